--- a/internal/admission/meter.go
+++ b/internal/admission/meter.go
@@ -5,65 +5,66 @@
 	"time"
 )
 
-// meter measures how many requests are dispatched a second while some wait.
-type meter struct {
-	memory time.Duration
-	// starts and busy are sums that fade over busy time: dispatches, and
-	// seconds in which requests waited.
-	starts, busy float64
-	backlog      int
-	of           time.Time
+// dispatchMeter measures how many requests are dispatched per second while some
+// are waiting.
+type dispatchMeter struct {
+	window time.Duration
+	// dispatches and busySeconds count dispatches and the seconds during which
+	// requests were waiting. Both decay exponentially over busy time.
+	dispatches, busySeconds float64
+	waitingCount            int
+	updatedAt               time.Time
 }
 
-// leastBusy is how many seconds must have been watched before the rate says
-// anything; below it a single long request would look like a stall.
-const leastBusy = 1
+// minBusySeconds is the busy time that must have been observed before the rate
+// is used. With less, a single long request would look like a stall.
+const minBusySeconds = 1
 
-func (m *meter) waiting(now time.Time, n int) {
+func (m *dispatchMeter) setWaiting(now time.Time, n int) {
 	m.advance(now)
-	m.backlog = n
+	m.waitingCount = n
 }
 
-func (m *meter) started(now time.Time) {
+func (m *dispatchMeter) recordDispatch(now time.Time) {
 	m.advance(now)
-	m.starts++
+	m.dispatches++
 }
 
-func (m *meter) advance(now time.Time) {
-	passed := now.Sub(m.of).Seconds()
-	first := m.of.IsZero()
-	m.of = now
+func (m *dispatchMeter) advance(now time.Time) {
+	elapsed := now.Sub(m.updatedAt).Seconds()
+	first := m.updatedAt.IsZero()
+	m.updatedAt = now
 	switch {
-	case first || passed <= 0:
-	case m.backlog > 0:
-		fade := math.Exp(-passed / m.memory.Seconds())
-		m.starts *= fade
-		m.busy = m.busy*fade + passed
-	case passed > m.memory.Seconds():
-		// Nothing waited for long: what was measured before says nothing of
-		// the load now.
-		m.starts, m.busy = 0, 0
+	case first || elapsed <= 0:
+	case m.waitingCount > 0:
+		decay := math.Exp(-elapsed / m.window.Seconds())
+		m.dispatches *= decay
+		m.busySeconds = m.busySeconds*decay + elapsed
+	case elapsed > m.window.Seconds():
+		// No request has waited for a long time, so the earlier measurement
+		// does not describe the current load.
+		m.dispatches, m.busySeconds = 0, 0
 	}
 }
 
-// wait returns how long the dispatch of n requests takes; zero where the rate
-// is not known.
-func (m *meter) wait(now time.Time, n int) time.Duration {
+// expectedWait returns the expected time to dispatch n requests; zero if the
+// rate is unknown.
+func (m *dispatchMeter) expectedWait(now time.Time, n int) time.Duration {
 	m.advance(now)
-	if m.busy < leastBusy || n <= 0 {
+	if m.busySeconds < minBusySeconds || n <= 0 {
 		return 0
 	}
-	starts := max(m.starts, 1)
-	return time.Duration(float64(n) * m.busy / starts * float64(time.Second))
+	dispatches := max(m.dispatches, 1)
+	return time.Duration(float64(n) * m.busySeconds / dispatches * float64(time.Second))
 }
 
-// quantile follows the quantile of the given rank of what is added, in steps of
-// at most quantileStep of itself.
-type quantile struct{ rank, value float64 }
+// quantileEstimator tracks the quantile of the given rank of the added values,
+// in steps of at most the fraction quantileStep of its current value.
+type quantileEstimator struct{ rank, value float64 }
 
 const quantileStep = 0.05
 
-func (q *quantile) add(x float64) {
+func (q *quantileEstimator) add(x float64) {
 	switch {
 	case q.value == 0:
 		q.value = x
@@ -74,14 +75,14 @@
 	}
 }
 
-// times follows how long the requests of one class take.
-type times struct{ fast, typical quantile }
+// serviceTimes tracks the service times of one class.
+type serviceTimes struct{ fast, median quantileEstimator }
 
 const (
-	fastRank    = 0.1
-	typicalRank = 0.5
+	fastRank   = 0.1
+	medianRank = 0.5
 )
 
-func newTimes() *times {
-	return &times{fast: quantile{rank: fastRank}, typical: quantile{rank: typicalRank}}
+func newServiceTimes() *serviceTimes {
+	return &serviceTimes{fast: quantileEstimator{rank: fastRank}, median: quantileEstimator{rank: medianRank}}
 }
--- a/internal/admission/share.go
+++ b/internal/admission/share.go
@@ -7,8 +7,8 @@
 	"github.com/savorystall/savorystall/internal/limit"
 )
 
-// SetDaemons tells which daemons are live, this one among them, sorted by name.
-// It keeps the list.
+// SetDaemons sets the live daemons, including this one, sorted by name. It
+// retains the slice.
 func (c *Controller) SetDaemons(now time.Time, daemons []ident.Daemon) {
 	c.daemons = daemons
 	for _, w := range c.workspaces {
@@ -16,24 +16,26 @@
 	}
 }
 
-// Tell returns what the other daemons have to know of a workspace's limits, and
-// whether it differs from what they were told before. It is called once in each
-// interval of the exchange, with the number of requests that wait or run here.
-func (c *Controller) Tell(now time.Time, ws ident.Workspace, inFlight int) (limit.News, bool) {
+// LimitReport returns what the other daemons need to know about a workspace's
+// limits, and whether it differs from the last report. It is called once per
+// exchange interval with the number of requests waiting or running at this
+// daemon.
+func (c *Controller) LimitReport(now time.Time, ws ident.Workspace, inFlight int) (limit.News, bool) {
 	return c.workspaces[ws].share.Tell(now, inFlight)
 }
 
-// Spoke tells whether another daemon may know anything of a workspace's limits.
-func (c *Controller) Spoke(ws ident.Workspace) bool { return c.workspaces[ws].share.Spoke() }
+// HasReported reports whether other daemons may hold a report about a
+// workspace's limits.
+func (c *Controller) HasReported(ws ident.Workspace) bool { return c.workspaces[ws].share.Spoke() }
 
-// Hear takes in what another daemon told of a workspace.
-func (c *Controller) Hear(now time.Time, from ident.Daemon, ws ident.Workspace, n limit.News) {
+// MergeLimitReport applies another daemon's report about a workspace.
+func (c *Controller) MergeLimitReport(now time.Time, from ident.Daemon, ws ident.Workspace, n limit.News) {
 	if w := c.workspaces[ws]; w != nil {
 		w.share.Hear(now, from, n)
 	}
 }
 
-// Forget drops what an incarnation of another daemon told.
+// Forget discards the reports of another daemon whose incarnation has ended.
 func (c *Controller) Forget(now time.Time, id ident.Daemon) {
 	for _, w := range c.workspaces {
 		w.share.Forget(now, id)
--- a/internal/fairshare/bound_test.go
+++ b/internal/fairshare/bound_test.go
@@ -15,18 +15,18 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// TestMain fixes the seed of the property tests, so that CI gives the same
-// verdict on every run. -rapid.seed and -rapid.checks ask for more.
+// TestMain fixes the seed of the property tests, so that CI gets the same
+// result on every run. Use -rapid.seed and -rapid.checks to run more cases.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	setUnlessGiven("rapid.seed", "1")
-	setUnlessGiven("rapid.checks", "300")
+	setFlagDefault("rapid.seed", "1")
+	setFlagDefault("rapid.checks", "300")
 	os.Exit(m.Run())
 }
 
 var start = time.Date(2026, 6, 1, 0, 0, 0, 0, time.UTC)
 
-func setUnlessGiven(name, value string) {
+func setFlagDefault(name, value string) {
 	given := false
 	flag.Visit(func(f *flag.Flag) { given = given || f.Name == name })
 	if !given {
@@ -35,48 +35,52 @@
 }
 
 const (
-	modelStep  = 100 * time.Millisecond
-	modelSteps = 900
-	modelRate  = 30.0 // cost a second of one slot
+	modelStep     = 100 * time.Millisecond
+	modelSteps    = 900
+	modelSlotRate = 30.0 // cost per second of one slot
 )
 
-// model is a fleet of owners that share slots by their ledgers. Every owner sees
-// all demand; service is exchanged with lag, loss and restarts.
+// model is a fleet of owners that share slots through their ledgers. Every
+// owner knows the demand of all workspaces; reports of service are exchanged
+// with lag, loss and restarts.
 type model struct {
-	rng     *rand.Rand
-	now     time.Time
-	lag     time.Duration
-	loss    float64
-	largest float64
-	owners  []*modelOwner
-	spaces  []*modelSpace
-	// age is the greatest age that an owner's view of another has had.
-	age      time.Duration
-	restarts int
+	rng        *rand.Rand
+	now        time.Time
+	lag        time.Duration
+	loss       float64
+	maxCost    float64
+	owners     []*modelOwner
+	workspaces []*modelWorkspace
+	// maxViewAge is the greatest age that an owner's view of another owner has
+	// reached.
+	maxViewAge time.Duration
+	restarts   int
 }
 
 type modelOwner struct {
 	id          ident.Daemon
 	incarnation uint64
 	ledger      *Ledger
-	slots       []*modelJob // nil: free
-	// heard is when each other owner's parts were last taken in.
-	heard map[ident.Daemon]time.Time
+	slots       []*modelJob // nil if free
+	// lastHeard is when the reports of each other owner were last merged.
+	lastHeard map[ident.Daemon]time.Time
 }
 
-type modelSpace struct {
+type modelWorkspace struct {
 	name   ident.Workspace
 	weight float64
-	// steady workspaces always have work; others have it every second period.
+	// period is zero for a workspace that always has work. Others have work in
+	// every second period.
 	period time.Duration
 	served float64
-	// tied workspaces may use the slots of the first owners only; zero means all.
-	tied int
+	// restrictedTo limits the workspace to the slots of the first n owners;
+	// zero means no limit.
+	restrictedTo int
 }
 
 type modelJob struct {
-	space *modelSpace
-	left  float64
+	workspace *modelWorkspace
+	remaining float64
 }
 
 func drawModel(t *rapid.T) *model {
@@ -86,16 +90,16 @@
 		now:     start,
 		lag:     time.Duration(rapid.IntRange(2, 100).Draw(t, "lag")) * modelStep,
 		loss:    rapid.Float64Range(0, 0.5).Draw(t, "loss"),
-		largest: rapid.Float64Range(20, 3000).Draw(t, "largest"),
+		maxCost: rapid.Float64Range(20, 3000).Draw(t, "largest"),
 	}
 	for i := range rapid.IntRange(2, 6).Draw(t, "steady") {
-		m.spaces = append(m.spaces, &modelSpace{
+		m.workspaces = append(m.workspaces, &modelWorkspace{
 			name:   ident.Workspace(fmt.Sprintf("steady-%d", i)),
 			weight: rapid.Float64Range(0.5, 4).Draw(t, "weight"),
 		})
 	}
 	for i := range rapid.IntRange(0, 3).Draw(t, "others") {
-		m.spaces = append(m.spaces, &modelSpace{
+		m.workspaces = append(m.workspaces, &modelWorkspace{
 			name:   ident.Workspace(fmt.Sprintf("other-%d", i)),
 			weight: rapid.Float64Range(0.5, 4).Draw(t, "weight"),
 			period: time.Duration(rapid.IntRange(10, 200).Draw(t, "period")) * modelStep,
@@ -107,39 +111,41 @@
 		m.owners = append(m.owners, o)
 	}
 	if rapid.Bool().Draw(t, "ties") {
-		first := rapid.IntRange(1, len(m.owners)).Draw(t, "first")
-		for _, s := range m.spaces[1:] {
-			s.tied = first * rapid.IntRange(0, 1).Draw(t, "tied")
+		ownerCount := rapid.IntRange(1, len(m.owners)).Draw(t, "first")
+		for _, s := range m.workspaces[1:] {
+			s.restrictedTo = ownerCount * rapid.IntRange(0, 1).Draw(t, "tied")
 		}
 	}
 	for _, o := range m.owners {
-		m.boot(o)
+		m.startOwner(o)
 	}
 	return m
 }
 
-// wantsFrom tells whether the workspace has work that the owner's slots can do.
-func (m *model) wantsFrom(o *modelOwner, s *modelSpace) bool {
-	return m.wants(s) && (s.tied == 0 || slices.Contains(m.owners[:s.tied], o))
+// hasWorkFor reports whether the workspace has work that the owner's slots can
+// run.
+func (m *model) hasWorkFor(o *modelOwner, s *modelWorkspace) bool {
+	return m.hasWork(s) && (s.restrictedTo == 0 || slices.Contains(m.owners[:s.restrictedTo], o))
 }
 
-// boot gives the owner a ledger without state. Its clamp is out of reach: what
-// it forgets is not part of the bound.
-func (m *model) boot(o *modelOwner) {
+// startOwner gives the owner a new ledger without state. MaxDeviation is set
+// too high to be reached, because differences that the ledger discards are not
+// covered by the bound.
+func (m *model) startOwner(o *modelOwner) {
 	o.incarnation++
-	o.heard = map[ident.Daemon]time.Time{}
+	o.lastHeard = map[ident.Daemon]time.Time{}
 	for _, p := range m.owners {
-		o.heard[p.id] = m.now
+		o.lastHeard[p.id] = m.now
 	}
-	o.ledger = New(Config{Self: o.id, Incarnation: o.incarnation, MaxDebt: 1e6 * time.Second})
-	for _, s := range m.spaces {
+	o.ledger = New(Config{Self: o.id, Incarnation: o.incarnation, MaxDeviation: 1e6 * time.Second})
+	for _, s := range m.workspaces {
 		o.ledger.SetWeight(s.name, s.weight)
-		if s.tied > 0 {
+		if s.restrictedTo > 0 {
 			o.ledger.SetGroup(s.name, "tied")
 		}
 	}
 	o.ledger.Tune(Conditions{
-		Lag: m.lag, SlotRate: modelRate, MeanCost: m.largest / 2, OwnSlots: len(o.slots), FleetSlots: m.slots(),
+		Lag: m.lag, SlotRate: modelSlotRate, MeanCost: m.maxCost / 2, LocalSlots: len(o.slots), FleetSlots: m.slots(),
 	})
 }
 
@@ -151,72 +157,72 @@
 	return n
 }
 
-func (m *model) wants(s *modelSpace) bool {
+func (m *model) hasWork(s *modelWorkspace) bool {
 	return s.period == 0 || m.now.Sub(start)/s.period%2 == 0
 }
 
 func (m *model) step() {
 	m.now = m.now.Add(modelStep)
 	for _, o := range m.owners {
-		o.work()
-		m.fill(o)
+		o.runStep()
+		m.fillSlots(o)
 	}
 	if m.now.Sub(start)%m.lag == 0 {
 		m.exchange()
 	}
 }
 
-// work serves the jobs of the owner for one step.
-func (o *modelOwner) work() {
+// runStep runs the owner's jobs for one step.
+func (o *modelOwner) runStep() {
 	for i, j := range o.slots {
 		if j == nil {
 			continue
 		}
-		o.charge(j, min(j.left, modelRate*modelStep.Seconds()))
-		if j.left <= 0 {
+		o.charge(j, min(j.remaining, modelSlotRate*modelStep.Seconds()))
+		if j.remaining <= 0 {
 			o.slots[i] = nil
 		}
 	}
 }
 
 func (o *modelOwner) charge(j *modelJob, cost float64) {
-	j.left -= cost
-	j.space.served += cost
-	o.ledger.Charge(j.space.name, cost)
+	j.remaining -= cost
+	j.workspace.served += cost
+	o.ledger.Charge(j.workspace.name, cost)
 }
 
-// fill gives away the free slots. A part of each job's cost is charged at once,
-// as that of a prompt is.
-func (m *model) fill(o *modelOwner) {
+// fillSlots assigns the free slots. Part of each job's cost is charged
+// immediately, like the cost of a prompt.
+func (m *model) fillSlots(o *modelOwner) {
 	for i := range o.slots {
 		if o.slots[i] != nil {
 			continue
 		}
 		var candidates []Candidate
-		for _, s := range m.spaces {
-			wants := m.wantsFrom(o, s)
-			o.ledger.SetBacklogged(s.name, wants)
-			if wants {
+		for _, s := range m.workspaces {
+			hasWork := m.hasWorkFor(o, s)
+			o.ledger.SetBacklogged(s.name, hasWork)
+			if hasWork {
 				candidates = append(candidates, Candidate{
 					Workspace: s.name, Running: o.running(s), Unreported: m.rng.IntN(5),
 				})
 			}
 		}
 		name, _ := o.ledger.Pick(candidates)
-		for _, s := range m.spaces {
+		for _, s := range m.workspaces {
 			if s.name == name {
-				cost := m.largest * math.Pow(m.rng.Float64(), 3)
-				o.slots[i] = &modelJob{space: s, left: cost}
+				cost := m.maxCost * math.Pow(m.rng.Float64(), 3)
+				o.slots[i] = &modelJob{workspace: s, remaining: cost}
 				o.charge(o.slots[i], cost*m.rng.Float64()*0.3)
 			}
 		}
 	}
 }
 
-func (o *modelOwner) running(s *modelSpace) int {
+func (o *modelOwner) running(s *modelWorkspace) int {
 	n := 0
 	for _, j := range o.slots {
-		if j != nil && j.space == s {
+		if j != nil && j.workspace == s {
 			n++
 		}
 	}
@@ -229,41 +235,43 @@
 			if from == to {
 				continue
 			}
-			m.age = max(m.age, m.now.Sub(to.heard[from.id]))
+			m.maxViewAge = max(m.maxViewAge, m.now.Sub(to.lastHeard[from.id]))
 			if m.rng.Float64() < m.loss {
 				continue
 			}
-			to.heard[from.id] = m.now
-			for _, s := range m.spaces {
-				to.ledger.Merge(from.id, from.incarnation, s.name, from.ledger.Own(s.name))
+			to.lastHeard[from.id] = m.now
+			for _, s := range m.workspaces {
+				to.ledger.Merge(from.id, from.incarnation, s.name, from.ledger.LocalService(s.name))
 			}
 		}
 	}
 }
 
-// bound is the greatest gap that docs/design/fair-share.md proves.
+// bound is the maximum gap proved in docs/design/fair-share.md.
 func (m *model) bound() float64 {
-	weights, light := math.Inf(1), math.Inf(1)
+	minOwnerWeight, minWeight := math.Inf(1), math.Inf(1)
 	for _, o := range m.owners {
-		here := 0.0
-		for _, s := range m.spaces {
-			if s.period == 0 && m.wantsFrom(o, s) {
-				here += s.weight
-				light = min(light, s.weight)
+		ownerWeight := 0.0
+		for _, s := range m.workspaces {
+			if s.period == 0 && m.hasWorkFor(o, s) {
+				ownerWeight += s.weight
+				minWeight = min(minWeight, s.weight)
 			}
 		}
-		weights = min(weights, here)
+		minOwnerWeight = min(minOwnerWeight, ownerWeight)
 	}
 	slots := float64(m.slots())
-	lead := max(DefaultMaxLead, m.lag).Seconds() * modelRate * slots / weights
-	unseen := (m.age + m.lag).Seconds() * slots * modelRate
-	return 2 * (lead + (unseen+2*slots*m.largest)/light)
+	maxLead := max(DefaultMaxLead, m.lag).Seconds() * modelSlotRate * slots / minOwnerWeight
+	unreported := (m.maxViewAge + m.lag).Seconds() * slots * modelSlotRate
+	return 2 * (maxLead + (unreported+2*slots*m.maxCost)/minWeight)
 }
 
-// Two workspaces are backlogged all the time, and may use the same slots; others
-// come and go or are tied to other slots, requests cost anything, the exchange is late and loses messages, and owners restart without
-// state. Whatever happens, neither may get ahead of the other by more than the
-// bound, over any span of time: else the one behind waits without limit.
+// Some workspaces are always backlogged and may use the same slots. Others have
+// work intermittently or are restricted to other slots, request costs vary
+// widely, the exchange is delayed and loses messages, and owners restart
+// without state. In all these cases no always-backlogged workspace may get
+// ahead of another by more than the bound over any time span; otherwise the one
+// behind could wait indefinitely.
 func TestGapStaysWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawModel(t)
@@ -272,24 +280,24 @@
 		for range restarts {
 			restartAt[rapid.IntRange(100, modelSteps-1).Draw(t, "at")] = true
 		}
-		least := map[[2]int]float64{}
+		minLead := map[[2]int]float64{}
 		for step := range modelSteps {
 			if restartAt[step] {
 				m.restarts++
-				m.boot(m.owners[m.rng.IntN(len(m.owners))])
+				m.startOwner(m.owners[m.rng.IntN(len(m.owners))])
 			}
 			m.step()
 			limit := m.bound() * float64(1+m.restarts)
-			for i, a := range m.spaces {
-				for k, b := range m.spaces {
-					if a.period > 0 || b.period > 0 || a == b || a.tied != b.tied {
+			for i, a := range m.workspaces {
+				for k, b := range m.workspaces {
+					if a.period > 0 || b.period > 0 || a == b || a.restrictedTo != b.restrictedTo {
 						continue
 					}
 					lead := a.served/a.weight - b.served/b.weight
 					pair := [2]int{i, k}
-					least[pair] = min(least[pair], lead)
-					if gap := lead - least[pair]; gap > limit {
-						t.Fatalf("step %d: %s leads %s by %.0f, above %.0f", step, a.name, b.name, gap, limit)
+					minLead[pair] = min(minLead[pair], lead)
+					if gap := lead - minLead[pair]; gap > limit {
+						t.Fatalf("step %d: %s leads %s by %.0f, want at most %.0f", step, a.name, b.name, gap, limit)
 					}
 				}
 			}
@@ -297,23 +305,24 @@
 	})
 }
 
-// Whatever its neighbours are, a workspace with work gets some of it done in a
-// minute and a half, and no slot is left free while anyone waits.
-func TestNobodyStarvesAndNoSlotIdles(t *testing.T) {
+// Regardless of the other workspaces, a workspace that always has work must be
+// served within a minute and a half, and no slot may be free while any
+// workspace has waiting work.
+func TestNoStarvationAndNoIdleSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawModel(t)
-		m.largest = min(m.largest, 600)
+		m.maxCost = min(m.maxCost, 600)
 		for range modelSteps {
 			m.step()
 			for _, o := range m.owners {
 				for _, j := range o.slots {
 					if j == nil {
-						t.Fatal("a slot is free")
+						t.Fatal("a slot is idle although work is waiting")
 					}
 				}
 			}
 		}
-		for _, s := range m.spaces {
+		for _, s := range m.workspaces {
 			if s.period == 0 && s.served == 0 {
 				t.Fatalf("%s got nothing", s.name)
 			}
--- a/internal/fairshare/group.go
+++ b/internal/fairshare/group.go
@@ -6,65 +6,71 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// group is the workspaces that may use the same targets. Where those are too few
-// for what the group is owed, it falls behind all others without end, and can
-// never be repaid. Measured and clamped from one median, the differences within
-// such a group, or within the rest, would all be forgotten: each would stand at
-// the clamp. So a group moves as a whole, and its members are compared with each
-// other.
+// group is a set of workspaces that may use the same targets. If those targets
+// have too little capacity for the group's fair share, the group falls ever
+// further behind the others and cannot be repaid. If every workspace were
+// measured against one common median and clamped to it, the differences within
+// such a group, or within all other workspaces, would be lost, because all of
+// them would sit at the clamp. Each group is therefore shifted as a whole, and
+// its members are compared with each other.
 type group struct {
-	// floor is the highest value that the median of its backlogged has had. It
-	// is where a workspace starts when no other is backlogged.
+	// floor is the highest median virtual time that the group's backlogged
+	// workspaces have reached. A workspace starts there when no other one is
+	// backlogged.
 	floor float64
-	// middle is the median of the candidates of the group, of the present pick.
-	middle float64
+	// median is the median virtual time of the group's candidates in the
+	// current call of Pick.
+	median float64
 }
 
-// SetGroup tells which workspaces may use the same targets: those of one group.
-// The empty one is for those that may use all. A workspace that changes the
-// group keeps the lead that it had in the old one.
+// SetGroup assigns a workspace to the named group of workspaces that may use
+// the same targets. The empty name is the group of those that may use every
+// target. A workspace that changes groups keeps the lead it had in its former
+// group.
 func (l *Ledger) SetGroup(ws ident.Workspace, name string) {
 	a := l.account(ws)
 	g := l.groups[name]
 	if g == nil {
-		g = &group{floor: l.all.floor}
+		g = &group{floor: l.defaultGroup.floor}
 		l.groups[name] = g
 	}
-	a.virtual += g.floor - a.group.floor
+	a.virtualTime += g.floor - a.group.floor
 	a.group = g
 }
 
-// settleGroups measures the median of each group of candidates and forgets what
-// is above the bound, of the distance of each group from the median of all, and
-// of each candidate from that of its group.
-func settleGroups(list []scored, middle, bound float64) {
+// clampGroups computes the median virtual time of each group of candidates. It
+// limits the distance of each group's median from the overall median, and of
+// each candidate from its group's median, to bound, and discards the excess.
+func clampGroups(list []scoredCandidate, overallMedian, bound float64) {
 	for i := range list {
 		g := list[i].group
-		if !firstOf(list, i) {
+		if !isFirstOfGroup(list, i) {
 			continue
 		}
-		g.middle = middle
-		if members := ofGroup(list, g); len(members) < len(list) {
-			g.middle = median(members)
+		g.median = overallMedian
+		if members := membersOf(list, g); len(members) < len(list) {
+			g.median = weightedMedian(members)
 		}
-		kept := within(g.middle, middle, bound)
+		clampedMedian := clampAround(g.median, overallMedian, bound)
 		for k := range list {
 			if list[k].group == g {
-				list[k].virtual = within(list[k].virtual+kept-g.middle, kept, bound)
+				list[k].virtualTime = clampAround(list[k].virtualTime+clampedMedian-g.median, clampedMedian, bound)
 			}
 		}
-		g.floor = max(g.floor+kept-g.middle, kept)
-		g.middle = kept
+		g.floor = max(g.floor+clampedMedian-g.median, clampedMedian)
+		g.median = clampedMedian
 	}
 }
 
-// within returns the value nearest to x that is at most bound from the middle.
-func within(x, middle, bound float64) float64 {
-	return max(middle-bound, min(x, middle+bound))
+// clampAround returns the value closest to x that is at most bound away from
+// center.
+func clampAround(x, center, bound float64) float64 {
+	return max(center-bound, min(x, center+bound))
 }
 
-// firstOf tells whether the candidate is the first of its group in the list.
-func firstOf(list []scored, i int) bool {
+// isFirstOfGroup reports whether list[i] is the first candidate of its group in
+// the list.
+func isFirstOfGroup(list []scoredCandidate, i int) bool {
 	for k := range i {
 		if list[k].group == list[i].group {
 			return false
@@ -73,16 +79,16 @@
 	return true
 }
 
-// ofGroup returns the candidates of a group.
-func ofGroup(list []scored, g *group) []scored {
-	if !slices.ContainsFunc(list, func(s scored) bool { return s.group != g }) {
+// membersOf returns the candidates that belong to the group.
+func membersOf(list []scoredCandidate, g *group) []scoredCandidate {
+	if !slices.ContainsFunc(list, func(s scoredCandidate) bool { return s.group != g }) {
 		return list
 	}
-	var of []scored
+	var members []scoredCandidate
 	for i := range list {
 		if list[i].group == g {
-			of = append(of, list[i])
+			members = append(members, list[i])
 		}
 	}
-	return of
+	return members
 }
--- a/internal/fairshare/lead.go
+++ b/internal/fairshare/lead.go
@@ -2,14 +2,15 @@
 
 import "github.com/savorystall/savorystall/internal/ident"
 
-// Leads returns a function that gives a workspace's lead in its group as Pick counts it,
-// without its bounds: the slots over weight that the owner takes from it to
-// repay the difference. It holds until the ledger changes.
-func (l *Ledger) Leads() func(ident.Workspace) float64 {
-	middles := map[*group]float64{}
+// SlotLeadFunc returns a function that gives a workspace's lead within its
+// group as Pick computes it, but without bounds: the number of slots, divided
+// by weight, that the owner withholds from it to repay the difference. The
+// function is valid until the ledger changes.
+func (l *Ledger) SlotLeadFunc() func(ident.Workspace) float64 {
+	medians := map[*group]float64{}
 	for a := range l.backlogged {
-		if _, known := middles[a.group]; !known {
-			middles[a.group], _ = l.middle(a.group)
+		if _, known := medians[a.group]; !known {
+			medians[a.group], _ = l.backloggedMedian(a.group)
 		}
 	}
 	return func(ws ident.Workspace) float64 {
@@ -17,10 +18,10 @@
 		if a == nil {
 			return 0
 		}
-		middle, ok := middles[a.group]
+		median, ok := medians[a.group]
 		if !ok {
 			return 0
 		}
-		return (a.virtual - middle) / l.charge
+		return (a.virtualTime - median) / l.runningCharge
 	}
 }
--- a/internal/fairshare/ledger_test.go
+++ b/internal/fairshare/ledger_test.go
@@ -9,9 +9,9 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// A workspace that was idle for a long time comes back with a full queue. Were
-// its idle time credit, it would take every slot until it had caught up, and
-// its neighbours would wait for minutes.
+// A workspace returns with a full queue after a long idle period. If idle time
+// earned credit, it would take every slot until it had caught up, and other
+// workspaces would wait for minutes.
 func TestIdleTimeEarnsNoCredit(t *testing.T) {
 	is := is.New(t)
 	l := New(Config{Self: "d"})
@@ -21,7 +21,7 @@
 	is.Equal(l.Lead("idle"), l.Lead("busy"))
 }
 
-func TestOwnSlotsAreDividedByWeight(t *testing.T) {
+func TestLocalSlotsAreDividedByWeight(t *testing.T) {
 	is := is.New(t)
 	l := New(Config{Self: "d"})
 	l.SetWeight("a", 3)
@@ -36,9 +36,9 @@
 	is.Equal(running["b"], 10)
 }
 
-// A message with counters is lost, another arrives twice, and one of a daemon's
-// former incarnation arrives late. Each would shift the shares for good if
-// counters were increments.
+// A report is lost, another is duplicated, and one from a former incarnation of
+// a daemon arrives late. If reports were increments, each of these would shift
+// the shares permanently.
 func TestMergeReplacesTotals(t *testing.T) {
 	is := is.New(t)
 	l := New(Config{Self: "d", Incarnation: 1})
@@ -58,9 +58,9 @@
 	is.Equal(l.Lead("b"), 360.0)
 }
 
-// A daemon restarts without state and hears totals of daemons that have run for
-// days. Counted in full they would look like a huge lead of whoever those
-// daemons served, and it would be held down.
+// A daemon restarts without state and receives totals from daemons that have
+// run for days. Counted in full, they would look like a huge lead of the
+// workspaces those daemons served, which would then be held back.
 func TestRestartTakesOldTotalsAsBaseline(t *testing.T) {
 	is := is.New(t)
 	l := New(Config{Self: "d", Incarnation: 9})
@@ -72,24 +72,24 @@
 	is.Equal(l.Lead("b"), 10.0)
 	l.Merge("new", 12, "b", 10)
 	is.Equal(l.Lead("b"), 20.0)
-	// A total that was taken as a baseline is no rate to estimate from.
+	// A total that only set a baseline gives no rate for an estimate.
 	l.Merge("other", 3, "b", 1e9)
-	l.Lost("other", 1)
+	l.EstimateLost("other", 1)
 	is.Equal(l.Lead("b"), 20.0)
 }
 
-// One workspace was served more than others for a while. It must go on getting
-// part of its share while the difference is repaid.
-func TestOverServedKeepsPartOfItsShare(t *testing.T) {
+// One workspace was over-served for a while. It must keep part of its share
+// while the difference is repaid.
+func TestOverServedWorkspaceKeepsMinShare(t *testing.T) {
 	is := is.New(t)
 	l := New(Config{Self: "d"})
-	l.Tune(Conditions{SlotRate: 50, MeanCost: 300, OwnSlots: 40, FleetSlots: 280})
+	l.Tune(Conditions{SlotRate: 50, MeanCost: 300, LocalSlots: 40, FleetSlots: 280})
 	names := []ident.Workspace{"lucky", "b", "c", "d"}
 	for _, ws := range names {
 		l.SetBacklogged(ws, true)
 	}
-	const fairSecond = 50 * 280 / 4
-	l.Merge("e", 1, "lucky", 1.9*fairSecond)
+	const fairRate = 50 * 280 / 4
+	l.Merge("e", 1, "lucky", 1.9*fairRate)
 	running := map[ident.Workspace]int{}
 	for range 40 {
 		var candidates []Candidate
@@ -103,12 +103,13 @@
 	is.True(running["lucky"] < 10)
 }
 
-// A zone was cut off for an hour and one workspace had it to itself. When the
-// zone is back it owes an hour of service, and would get nothing for as long.
-func TestDebtIsBounded(t *testing.T) {
+// A zone was partitioned for an hour and one workspace had it to itself. After
+// the partition heals the workspace owes an hour of service, and without a
+// bound it would get nothing for that long.
+func TestDeviationIsBounded(t *testing.T) {
 	is := is.New(t)
 	l := New(Config{Self: "d"})
-	l.Tune(Conditions{SlotRate: 50, MeanCost: 300, OwnSlots: 40, FleetSlots: 280})
+	l.Tune(Conditions{SlotRate: 50, MeanCost: 300, LocalSlots: 40, FleetSlots: 280})
 	names := []ident.Workspace{"lucky", "b", "c", "d"}
 	var candidates []Candidate
 	for _, ws := range names {
@@ -117,10 +118,10 @@
 	}
 	l.Merge("e", 1, "lucky", 1e9)
 	l.Pick(candidates)
-	const fairSecond = 50 * 280 / 4
-	is.Equal(l.Lead("lucky"), 10.0*fairSecond)
+	const fairRate = 50 * 280 / 4
+	is.Equal(l.Lead("lucky"), 10.0*fairRate)
 	for i, ws := range names[1:] {
-		l.Charge(ws, 9*fairSecond)
+		l.Charge(ws, 9*fairRate)
 		candidates[i+1].Running = 13
 	}
 	ws, _ := l.Pick(candidates)
@@ -134,14 +135,15 @@
 	l.Charge("a", 7)
 	l.Charge("a", -2)
 	is.Equal(l.Changed(), []ident.Workspace{"a", "b"})
-	is.Equal(l.Changed(), []ident.Workspace{"a", "b"}) // unchanged since
+	is.Equal(l.Changed(), []ident.Workspace{"a", "b"}) // reported once more, unchanged
 	is.Equal(len(l.Changed()), 0)
-	is.Equal(l.Own("a"), 5.0)
+	is.Equal(l.LocalService("a"), 5.0)
 }
 
-// A daemon dies between two messages and what it delivered since the first is
-// never reported. Were it taken for nothing, whoever it had served most would be
-// ahead by that for good, and by as much again after each restart.
+// A daemon dies between two reports, so the service it delivered after the
+// first is never reported. If it counted as zero, the workspace served most
+// would stay ahead by that amount permanently, and by as much again after each
+// restart.
 func TestUnreportedServiceIsEstimated(t *testing.T) {
 	is := is.New(t)
 	l := New(Config{Self: "d", Incarnation: 1})
@@ -153,20 +155,21 @@
 	is.Equal(l.Lead("b"), 180.0+40.0)
 }
 
-// Two workspaces may use one target only, which is too little for them, so that
-// they fall behind those that may use all. However far that is, the one of the
-// two that was served more has to wait for the other, and so have those of the
-// rest: once all of them stood at the clamp, which forgot who was owed what.
+// Two workspaces are restricted to one target, which has too little capacity
+// for them, so they fall behind those that may use every target. However far
+// behind they are, the one of the two that was served more must wait for the
+// other, and the same holds among the rest. If all of them were clamped to one
+// median, the differences within both groups would be lost.
 func TestGroupFarBehindKeepsItsDifferences(t *testing.T) {
 	is := is.New(t)
 	l := New(Config{Self: "d1"})
-	l.Tune(Conditions{SlotRate: 30, OwnSlots: 4, FleetSlots: 4})
-	var all, free []Candidate
+	l.Tune(Conditions{SlotRate: 30, LocalSlots: 4, FleetSlots: 4})
+	var all, unrestricted []Candidate
 	for _, ws := range []ident.Workspace{"tied-1", "tied-2", "free-1", "free-2", "free-3"} {
 		if strings.HasPrefix(string(ws), "tied") {
 			l.SetGroup(ws, "t1")
 		} else {
-			free = append(free, Candidate{Workspace: ws})
+			unrestricted = append(unrestricted, Candidate{Workspace: ws})
 		}
 		l.SetBacklogged(ws, true)
 		all = append(all, Candidate{Workspace: ws})
@@ -179,13 +182,14 @@
 	l.Charge("free-2", 30)
 	ws, _ := l.Pick(all)
 	is.Equal(ws, ident.Workspace("tied-2"))
-	ws, _ = l.Pick(free)
+	ws, _ = l.Pick(unrestricted)
 	is.Equal(ws, ident.Workspace("free-3"))
 	is.True(l.Lead("tied-1") == 20 && l.Lead("free-2") == 10)
 }
 
-// A tied workspace was idle while all others were served. As the first of its
-// group to come back it starts where the others are, with no credit.
+// A restricted workspace was idle while all others were served. When it becomes
+// backlogged as the first of its group, it starts level with the others,
+// without credit.
 func TestFirstOfAGroupHasNoBankedCredit(t *testing.T) {
 	is := is.New(t)
 	l := New(Config{Self: "d1"})
@@ -198,40 +202,41 @@
 	is.Equal(ws, ident.Workspace("free"))
 }
 
-// A daemon dies a moment before its exchange, and its callers, who come again by
-// other daemons, would get the second that nobody reported once more. What is
-// known of it is counted; and when it was only cut off, its own totals count.
+// A daemon dies just before its exchange. Its callers return through other
+// daemons and would get the unreported service a second time, so it is
+// estimated from the last known increment. If the daemon was only disconnected,
+// its own totals replace the estimate.
 func TestLostServiceIsEstimatedUntilTheOwnerReturns(t *testing.T) {
 	is := is.New(t)
 	l := New(Config{Self: "d1"})
 	l.Merge("d2", 1, "a", 100)
 	l.Merge("d2", 1, "a", 180)
-	l.Lost("d2", 0.75)
-	is.Equal(l.accounts["a"].virtual, 240.0)
-	l.Lost("d2", 0.75) // nothing new was heard
-	is.Equal(l.accounts["a"].virtual, 240.0)
+	l.EstimateLost("d2", 0.75)
+	is.Equal(l.accounts["a"].virtualTime, 240.0)
+	l.EstimateLost("d2", 0.75) // no new report
+	is.Equal(l.accounts["a"].virtualTime, 240.0)
 	l.Merge("d2", 1, "a", 200)
-	is.Equal(l.accounts["a"].virtual, 200.0)
-	l.Lost("d2", 0.5)
+	is.Equal(l.accounts["a"].virtualTime, 200.0)
+	l.EstimateLost("d2", 0.5)
 	l.Merge("d2", 2, "a", 0)
-	is.Equal(l.accounts["a"].virtual, 180.0)
+	is.Equal(l.accounts["a"].virtualTime, 180.0)
 }
 
-// An owner has just given one workspace several slots, and what their prompts cost
-// comes back with the next exchange only. Until then the next slot goes to
-// another that has as many.
+// An owner has just granted one workspace several slots, and the cost of their
+// prompts is reported only by the next exchange. Until then the next slot must
+// go to another workspace with the same number of running requests.
 func TestGrantsCountBeforeTheyAreReported(t *testing.T) {
 	is := is.New(t)
 	l := New(Config{Self: "d"})
-	l.Tune(Conditions{SlotRate: 30, MeanCost: 200, OwnSlots: 8, FleetSlots: 8})
-	for _, fresh := range []ident.Workspace{"a", "b"} {
+	l.Tune(Conditions{SlotRate: 30, MeanCost: 200, LocalSlots: 8, FleetSlots: 8})
+	for _, withUnreported := range []ident.Workspace{"a", "b"} {
 		candidates := []Candidate{{Workspace: "a", Running: 4}, {Workspace: "b", Running: 4}}
 		for i := range candidates {
-			if candidates[i].Workspace == fresh {
+			if candidates[i].Workspace == withUnreported {
 				candidates[i].Unreported = 3
 			}
 		}
 		ws, ok := l.Pick(candidates)
-		is.True(ok && ws != fresh)
+		is.True(ok && ws != withUnreported)
 	}
 }
--- a/internal/fairshare/peer.go
+++ b/internal/fairshare/peer.go
@@ -2,101 +2,105 @@
 
 import "github.com/savorystall/savorystall/internal/ident"
 
-// peer is what the ledger has heard from one incarnation of another owner.
+// peer holds what one incarnation of another owner has reported.
 type peer struct {
 	incarnation uint64
-	parts       map[ident.Workspace]part
-	// fromZero tells that the incarnation has served nothing before this
-	// ledger listened, so that a part not seen before counts in full.
-	fromZero bool
+	reports     map[ident.Workspace]peerReport
+	// countFirstReport is set if the incarnation had delivered nothing before
+	// this ledger started to receive reports, so that its first report for a
+	// workspace counts in full.
+	countFirstReport bool
 }
 
-// part is what an incarnation has delivered to one workspace: in total, and
-// between its last two messages.
-type part struct{ served, last float64 }
+// peerReport is the service that an incarnation has delivered to one workspace:
+// the total, and the increment between its last two messages.
+type peerReport struct{ served, lastIncrement float64 }
 
-// Merge takes in what an owner's incarnation has delivered to the workspace in
-// total. Repeated, reordered within an incarnation to the newest, and lost
-// messages do no harm, because the total replaces the one known before. What an
-// earlier incarnation delivered stays counted; its late messages are dropped.
+// Merge applies the total service that an owner's incarnation has delivered to
+// the workspace. Messages that are duplicated, lost, or reordered within an
+// incarnation do no lasting harm, because each total replaces the previous one.
+// Service delivered by an earlier incarnation remains counted; late messages
+// from it are ignored.
 //
-// A part of an incarnation older than this ledger is a baseline when it is
-// first seen. Counting it would be wrong by what dead incarnations delivered
-// besides, which this ledger never learns: after a restart without state it
-// would favour whomever they had served.
+// The first report from an incarnation older than this ledger only sets a
+// baseline. Counting it in full would be wrong, because this ledger never
+// learns what incarnations that have ended delivered: after a restart without
+// state it would favor the workspaces that those had served.
 func (l *Ledger) Merge(daemon ident.Daemon, incarnation uint64, ws ident.Workspace, served float64) {
 	if p := l.peer(daemon, incarnation); p != nil {
-		l.merge(daemon, incarnation, ws, served, !p.fromZero)
+		l.merge(daemon, incarnation, ws, served, !p.countFirstReport)
 	}
 }
 
-// merge counts what is new in a part and returns it. A part that is seen first
-// is only remembered where it is a baseline.
+// merge adds the service that is new in a report and returns it. If baseline is
+// set, the first report for a workspace is only recorded.
 func (l *Ledger) merge(daemon ident.Daemon, incarnation uint64, ws ident.Workspace, served float64, baseline bool) (added float64) {
 	p := l.peer(daemon, incarnation)
 	if p == nil {
 		return 0
 	}
-	before, seen := p.parts[ws]
-	added = served - before.served
+	previous, seen := p.reports[ws]
+	added = served - previous.served
 	if !seen && baseline {
-		p.parts[ws] = part{served: served}
+		p.reports[ws] = peerReport{served: served}
 		return 0
 	}
-	p.parts[ws] = part{served: served, last: added}
+	p.reports[ws] = peerReport{served: served, lastIncrement: added}
 	a := l.account(ws)
-	a.virtual += added / a.weight
+	a.virtualTime += added / a.weight
 	return added
 }
 
-// peer returns the state of the incarnation, or nil for one that is over.
+// peer returns the state of the incarnation, or nil if a newer one has replaced
+// it.
 func (l *Ledger) peer(daemon ident.Daemon, incarnation uint64) *peer {
 	p := l.peers[daemon]
 	if p != nil && incarnation < p.incarnation {
 		return nil
 	}
 	if p == nil || incarnation > p.incarnation {
-		l.estimate(p, unknownShare)
+		l.estimateUnreported(p, defaultLostFraction)
 		p = &peer{
-			incarnation: incarnation,
-			parts:       make(map[ident.Workspace]part),
-			fromZero:    incarnation >= l.config.Incarnation,
+			incarnation:      incarnation,
+			reports:          make(map[ident.Workspace]peerReport),
+			countFirstReport: incarnation >= l.config.Incarnation,
 		}
 		l.peers[daemon] = p
 	}
 	return p
 }
 
-// unknownShare is the part of an exchange that a dead owner worked on after its
-// last message, where nothing is known of it: half on the average.
-const unknownShare = 0.5
+// defaultLostFraction is the assumed fraction of an exchange interval that a
+// failed owner kept working after its last message if nothing is known about
+// it: half on average.
+const defaultLostFraction = 0.5
 
-// Lost estimates what an owner that can no longer be reached has delivered since
-// its last message, as a part (0 to 1) of what it delivered between its last two.
-// Should the same incarnation come back, its totals replace the estimate.
-func (l *Ledger) Lost(daemon ident.Daemon, share float64) {
-	l.estimate(l.peers[daemon], share)
+// EstimateLost estimates what an unreachable owner has delivered since its last
+// message, as a fraction (0 to 1) of what it delivered between its last two
+// messages. If the same incarnation returns, its totals replace the estimate.
+func (l *Ledger) EstimateLost(daemon ident.Daemon, fraction float64) {
+	l.estimateUnreported(l.peers[daemon], fraction)
 }
 
-func (l *Ledger) estimate(p *peer, share float64) {
+func (l *Ledger) estimateUnreported(p *peer, fraction float64) {
 	if p == nil {
 		return
 	}
-	for ws, old := range p.parts {
+	for ws, report := range p.reports {
 		a := l.account(ws)
-		added := old.last * share
-		a.virtual += added / a.weight
-		p.parts[ws] = part{served: old.served + added}
+		added := report.lastIncrement * fraction
+		a.virtualTime += added / a.weight
+		p.reports[ws] = peerReport{served: report.served + added}
 	}
 }
 
-// Forget frees the state of a dead owner. Its service stays counted. Should the
-// same incarnation come back, its totals are taken as a new baseline.
+// Forget releases the state of a failed owner. Its service remains counted. If
+// the same incarnation returns, its totals set a new baseline.
 func (l *Ledger) Forget(daemon ident.Daemon) {
 	p := l.peers[daemon]
 	if p == nil {
 		return
 	}
-	clear(p.parts)
-	p.fromZero = false
+	clear(p.reports)
+	p.countFirstReport = false
 }
--- a/internal/fairshare/pick.go
+++ b/internal/fairshare/pick.go
@@ -10,16 +10,16 @@
 // Candidate is a workspace that could use the free slot.
 type Candidate struct {
 	Workspace ident.Workspace
-	// Running counts its requests, and its grants not yet used, on the own
+	// Running counts its running requests and unused grants on this owner's
 	// slots of the service.
 	Running int
-	// Unreported counts the grants that the owner gave it so lately that what
-	// they receive has not come back with an exchange.
+	// Unreported counts the grants that the owner issued so recently that the
+	// service they receive has not been reported by an exchange yet.
 	Unreported int
 }
 
-// scored is a candidate with what Pick compares.
-type scored struct {
+// scoredCandidate is a candidate with the values that Pick compares.
+type scoredCandidate struct {
 	*account
 	workspace  ident.Workspace
 	running    int
@@ -27,84 +27,88 @@
 	score      float64
 }
 
-// Pick returns the candidate that gets the next slot; ok is false when there is
-// none. The score of a workspace is its running requests here over its weight,
-// plus its lead in virtual time over the median in the same unit. The least
-// score wins, then the least virtual time, then an order of this owner's own. A
-// candidate that leads the least served one by more than MaxLead is passed over:
-// this makes the bound on the gap hold, whatever the requests cost.
+// Pick returns the candidate that gets the next slot; ok is false if there are
+// no candidates. The score of a workspace is its number of running requests on
+// this owner divided by its weight, plus its lead in virtual time over the
+// median, converted to the same unit. The lowest score wins; ties are broken by
+// the lowest virtual time, then by an order specific to this owner. A candidate
+// that leads the least served one by more than MaxLead is skipped, so that the
+// bound on the gap holds regardless of what the requests cost.
 func (l *Ledger) Pick(candidates []Candidate) (ws ident.Workspace, ok bool) {
 	if len(candidates) == 0 {
 		return "", false
 	}
-	list := l.list(candidates)
-	fair := fairSlots(list)
-	middle := median(list)
-	second := l.fairSecond(list)
-	lead := max(l.config.MaxLead, l.conditions.Lag)
-	debt := max(l.config.MaxDebt, 2*lead)
-	settleGroups(list, middle, debt.Seconds()*second)
-	top := least(list) + lead.Seconds()*second
-	limit := authority * (1 - l.config.Keep) * fair
+	list := l.scoredCandidates(candidates)
+	fairSlots := fairSlotsPerWeight(list)
+	overallMedian := weightedMedian(list)
+	fairRate := l.fairRate(list)
+	maxLead := max(l.config.MaxLead, l.conditions.Lag)
+	maxDeviation := max(l.config.MaxDeviation, 2*maxLead)
+	clampGroups(list, overallMedian, maxDeviation.Seconds()*fairRate)
+	maxVirtualTime := minVirtualTime(list) + maxLead.Seconds()*fairRate
+	maxShift := maxShareShift * (1 - l.config.MinShare) * fairSlots
 	best := -1
 	for i := range list {
 		s := &list[i]
-		if s.virtual > top {
+		if s.virtualTime > maxVirtualTime {
 			continue
 		}
-		lead := (s.virtual + l.opening(s) - s.group.middle) / l.charge
-		ahead := (s.group.middle - middle) / l.charge
-		s.score = float64(s.running)/s.weight + within(lead, 0, limit) + within(ahead, 0, limit)
-		if best < 0 || s.before(&list[best]) {
+		lead := (s.virtualTime + l.expectedUnreported(s) - s.group.median) / l.runningCharge
+		groupLead := (s.group.median - overallMedian) / l.runningCharge
+		s.score = float64(s.running)/s.weight + clampAround(lead, 0, maxShift) + clampAround(groupLead, 0, maxShift)
+		if best < 0 || s.less(&list[best]) {
 			best = i
 		}
 	}
 	return list[best].workspace, true
 }
 
-// openingPart is what a grant is taken to have received before its first report,
-// as a part of the mean cost of a request. A prompt costs many times as much a
-// second as an answer, so that an owner that starts several requests of one
-// workspace within an exchange gives it more than it sees: 0.5 gave smaller gaps
-// than none, and than 1.
-const openingPart = 0.5
+// unreportedCostFraction is the service that a grant is assumed to have
+// received before its first report, as a fraction of the mean cost of a
+// request. Prefill costs many times as much per second as decoding, so an owner
+// that starts several requests of one workspace within one exchange interval
+// gives it more than the reports show yet. 0.5 gave smaller gaps than 0 and
+// than 1.
+const unreportedCostFraction = 0.5
 
-// opening is what the grants that are not reported yet are expected to have
-// received, over weight. The figure is one of the whole service, so that no
-// caller can bend it, and the reports replace it. It shifts the order within the
-// limits of the slow loop, and has no part in the rule of the greatest lead.
-func (l *Ledger) opening(s *scored) float64 {
-	return openingPart * l.conditions.MeanCost * float64(s.unreported) / s.weight
+// expectedUnreported is the service over weight that grants without a report
+// are expected to have received. It is derived from a figure for the whole
+// service, so no caller can influence it, and is replaced by the reports. It
+// shifts the order within the limits of the slow loop and does not count toward
+// MaxLead.
+func (l *Ledger) expectedUnreported(s *scoredCandidate) float64 {
+	return unreportedCostFraction * l.conditions.MeanCost * float64(s.unreported) / s.weight
 }
 
-// authority bounds how far virtual time may move a workspace from its fair
-// share of the own slots. At worst half of the weight leads by -limit and one
-// workspace by +limit, which leaves that one 1 - 1.5 x limit of its share.
-const authority = 1 / 1.5
+// maxShareShift bounds how far virtual time may move a workspace from its fair
+// share of the owner's slots, as a fraction of that share. In the worst case
+// half of the weight is shifted by -s and one workspace by +s, which leaves
+// that workspace 1 - 1.5 x s of its share.
+const maxShareShift = 1 / 1.5
 
-func (l *Ledger) list(candidates []Candidate) []scored {
-	list := make([]scored, len(candidates))
+func (l *Ledger) scoredCandidates(candidates []Candidate) []scoredCandidate {
+	list := make([]scoredCandidate, len(candidates))
 	for i, c := range candidates {
-		list[i] = scored{
+		list[i] = scoredCandidate{
 			account: l.account(c.Workspace), workspace: c.Workspace, running: c.Running, unreported: c.Unreported,
 		}
 	}
 	return list
 }
 
-func (s *scored) before(other *scored) bool {
+func (s *scoredCandidate) less(other *scoredCandidate) bool {
 	if s.score != other.score {
 		return s.score < other.score
 	}
-	if s.virtual != other.virtual {
-		return s.virtual < other.virtual
+	if s.virtualTime != other.virtualTime {
+		return s.virtualTime < other.virtualTime
 	}
-	return s.tie < other.tie
+	return s.tieBreak < other.tieBreak
 }
 
-// fairSlots is the number of own slots per weight when all candidates have
-// their share.
-func fairSlots(list []scored) float64 {
+// fairSlotsPerWeight is the number of this owner's slots per unit of weight
+// when every candidate has its fair share.
+func fairSlotsPerWeight(list []scoredCandidate) float64 {
 	slots, weight := 1, 0.0
 	for i := range list {
 		slots += list[i].running
@@ -113,53 +117,54 @@
 	return float64(slots) / weight
 }
 
-// median returns the weighted lower median of the virtual times. Leads are
-// measured from it because a workspace that cannot use its share, being bound
-// to few targets, stays far behind and would hide the differences between the
-// others were they measured from the least.
-func median(list []scored) float64 {
+// weightedMedian returns the weighted lower median of the virtual times. Leads
+// are measured from the median rather than from the minimum, because a
+// workspace that cannot use its share, being restricted to a few targets, stays
+// far behind and would hide the differences between the others.
+func weightedMedian(list []scoredCandidate) float64 {
 	sorted := make([]*account, len(list))
 	total := 0.0
 	for i := range list {
 		sorted[i] = list[i].account
 		total += list[i].weight
 	}
-	slices.SortFunc(sorted, func(a, b *account) int { return cmp.Compare(a.virtual, b.virtual) })
+	slices.SortFunc(sorted, func(a, b *account) int { return cmp.Compare(a.virtualTime, b.virtualTime) })
 	sum := 0.0
 	for _, a := range sorted {
 		sum += a.weight
 		if sum >= total/2 {
-			return a.virtual
+			return a.virtualTime
 		}
 	}
-	return sorted[len(sorted)-1].virtual
+	return sorted[len(sorted)-1].virtualTime
 }
 
-func least(list []scored) float64 {
-	v := list[0].virtual
+func minVirtualTime(list []scoredCandidate) float64 {
+	lowest := list[0].virtualTime
 	for i := range list {
-		v = min(v, list[i].virtual)
+		lowest = min(lowest, list[i].virtualTime)
 	}
-	return v
+	return lowest
 }
 
-// fairSecond is what a workspace receives in a second at its fair rate, in units
-// of the service over weight. It counts all slots, not those in use, because a
-// debt is not to be forgotten while the slots fill up.
-func (l *Ledger) fairSecond(list []scored) float64 {
+// fairRate is the service over weight that a workspace receives per second at
+// its fair share, in units of the service. It counts all slots rather than
+// those in use, so that differences are not discarded while slots are still
+// being filled.
+func (l *Ledger) fairRate(list []scoredCandidate) float64 {
 	running, weight := 1, 0.0
 	for i := range list {
 		running += list[i].running
 		weight += list[i].weight
 	}
-	l.slots = max(l.slots, running)
+	l.maxRunning = max(l.maxRunning, running)
 	c := l.conditions
-	if c.SlotRate <= 0 || c.OwnSlots <= 0 {
-		return unmeasuredRate * l.charge * float64(l.slots) / weight
+	if c.SlotRate <= 0 || c.LocalSlots <= 0 {
+		return defaultChargeRate * l.runningCharge * float64(l.maxRunning) / weight
 	}
-	return c.SlotRate * float64(max(c.FleetSlots, c.OwnSlots)) / weight
+	return c.SlotRate * float64(max(c.FleetSlots, c.LocalSlots)) / weight
 }
 
-// unmeasuredRate is the part of a running request's charge that it is taken to
-// be worth a second until that is measured.
-const unmeasuredRate = 0.1
+// defaultChargeRate is the assumed service per second of a running request, as
+// a fraction of its charge, until the slot rate has been measured.
+const defaultChargeRate = 0.1
--- a/internal/fairshare/sum.go
+++ b/internal/fairshare/sum.go
@@ -2,104 +2,108 @@
 
 import "github.com/savorystall/savorystall/internal/ident"
 
-// Sum adds up what a zone's daemons have delivered to one workspace, at the one
-// daemon of the zone that adds up this workspace. It counts increments from its
-// own start, so that a Sum means something only beside an earlier value of the
-// same Sum. It does not hold the own service of the daemon that adds up, which
-// the Ledger has. The zero value is empty.
-type Sum struct {
-	zone, beyond float64
-	mates        map[ident.Daemon]float64
+// Aggregate sums the service that the daemons of a zone have delivered to one
+// workspace. It is kept by the daemon of the zone that aggregates this
+// workspace. It counts increments since its creation, so a total is only
+// meaningful relative to an earlier total of the same Aggregate. It excludes
+// the service delivered by the aggregating daemon itself, which the Ledger
+// holds. The zero value is empty.
+type Aggregate struct {
+	zoneTotal, otherZonesTotal float64
+	zonePeers                  map[ident.Daemon]float64
 }
 
-// AddMate counts service delivered by another daemon of the zone.
-func (s *Sum) AddMate(d ident.Daemon, cost float64) {
-	if s.mates == nil {
-		s.mates = make(map[ident.Daemon]float64)
+// AddZonePeer adds service delivered by another daemon of the zone.
+func (a *Aggregate) AddZonePeer(d ident.Daemon, cost float64) {
+	if a.zonePeers == nil {
+		a.zonePeers = make(map[ident.Daemon]float64)
 	}
-	s.mates[d] += cost
-	s.zone += cost
+	a.zonePeers[d] += cost
+	a.zoneTotal += cost
 }
 
-// ForgetMate frees what is kept of a daemon that is gone.
-func (s *Sum) ForgetMate(d ident.Daemon) { delete(s.mates, d) }
+// ForgetZonePeer releases the state of a daemon that has left.
+func (a *Aggregate) ForgetZonePeer(d ident.Daemon) { delete(a.zonePeers, d) }
 
-// AddBeyond counts service delivered in another zone.
-func (s *Sum) AddBeyond(cost float64) { s.beyond += cost }
+// AddOtherZone adds service delivered in another zone.
+func (a *Aggregate) AddOtherZone(cost float64) { a.otherZonesTotal += cost }
 
-// ForMate returns what everyone but the daemon d of the zone has delivered,
-// where own is the service of the daemon that adds up. What d delivered itself
-// is left out, because d counted it when it delivered it.
-func (s *Sum) ForMate(d ident.Daemon, own float64) float64 {
-	return own + s.zone - s.mates[d] + s.beyond
+// TotalForZonePeer returns the service delivered by all daemons except d, a
+// daemon of the zone, where localService is that of the aggregating daemon.
+// Service delivered by d is excluded, because d counted it on delivery.
+func (a *Aggregate) TotalForZonePeer(d ident.Daemon, localService float64) float64 {
+	return localService + a.zoneTotal - a.zonePeers[d] + a.otherZonesTotal
 }
 
-// ForZone returns what the zone has delivered, for another zone.
-func (s *Sum) ForZone(own float64) float64 { return own + s.zone }
+// ZoneTotal returns the service delivered in the zone, to be reported to other
+// zones.
+func (a *Aggregate) ZoneTotal(localService float64) float64 { return localService + a.zoneTotal }
 
-// Origin names who told a total: a daemon's incarnation. Zone is that whose
-// service the total covers, or the own one for everything that the receiver
-// does not count itself.
+// Origin identifies the daemon incarnation that reported a total. Zone is the
+// zone whose service the total covers, or the receiver's own zone for a total
+// of everything that the receiver does not count itself.
 type Origin struct {
 	Zone        ident.Zone
 	Daemon      ident.Daemon
 	Incarnation uint64
 }
 
-// told is the last total that was told for one workspace and zone.
-type told struct {
-	by          Origin
-	total, last float64
+// aggregateReport is the last total reported for one workspace and zone.
+type aggregateReport struct {
+	origin               Origin
+	total, lastIncrement float64
 }
 
-// MergeSum takes in a sum that another daemon added up, and returns what was
-// counted of it. Repeated and lost messages do no harm, because the total
-// replaces the one before.
+// MergeAggregate applies a total aggregated by another daemon and returns the
+// service added. Duplicated and lost messages do no harm, because each total
+// replaces the previous one.
 //
-// A sum of another origin than the last one is a baseline: it began at another
-// time and covers an unknown part of what was counted before. Of the service
-// that the former origin did not report any more, half its last increment is
-// counted, as for an owner that dies. A sum that is seen first is a baseline
-// only where the caller says that it may cover former times.
-func (l *Ledger) MergeSum(by Origin, ws ident.Workspace, total float64, baseline bool) (added float64) {
-	rows := l.sums[ws]
-	if rows == nil {
-		rows = make(map[ident.Zone]told)
-		l.sums[ws] = rows
+// A total from a different origin than the previous one sets a baseline: that
+// origin started counting at another time, and its total includes an unknown
+// part of what has been counted already. Half of the former origin's last
+// increment is added for the service that it did not report any more, as for an
+// owner that fails. The first total for a workspace and zone sets a baseline
+// only if the caller indicates that it may include service from before.
+func (l *Ledger) MergeAggregate(origin Origin, ws ident.Workspace, total float64, baseline bool) (added float64) {
+	byZone := l.aggregates[ws]
+	if byZone == nil {
+		byZone = make(map[ident.Zone]aggregateReport)
+		l.aggregates[ws] = byZone
 	}
-	before, seen := rows[by.Zone]
+	previous, seen := byZone[origin.Zone]
 	switch {
-	case seen && before.by == by:
-		added = total - before.total
+	case seen && previous.origin == origin:
+		added = total - previous.total
 	case seen:
-		added = before.last / 2
+		added = previous.lastIncrement / 2
 	case !baseline:
 		added = total
 	}
-	rows[by.Zone] = told{by: by, total: total, last: added}
+	byZone[origin.Zone] = aggregateReport{origin: origin, total: total, lastIncrement: added}
 	a := l.account(ws)
-	a.virtual += added / a.weight
+	a.virtualTime += added / a.weight
 	return added
 }
 
-// MergeMate is Merge for a daemon whose service this one adds up for its zone.
-// It returns what was counted. A part that is seen first counts in full unless
-// the caller says that it may cover service that was counted before, by way of
-// the daemon that added up until then.
-func (l *Ledger) MergeMate(daemon ident.Daemon, incarnation uint64, ws ident.Workspace, served float64, baseline bool) (added float64) {
+// MergeZonePeer is Merge for a daemon whose service this daemon aggregates for
+// its zone. It returns the service added. The first report counts in full
+// unless the caller indicates that it may include service already counted
+// through the former aggregating daemon.
+func (l *Ledger) MergeZonePeer(daemon ident.Daemon, incarnation uint64, ws ident.Workspace, served float64, baseline bool) (added float64) {
 	return l.merge(daemon, incarnation, ws, served, baseline)
 }
 
-// Rebase forgets what was told about a workspace, because others tell it from
-// now on; the next totals can then be taken as baselines. Half of the last
-// increment of each sum is counted for what its origin no longer reports.
-func (l *Ledger) Rebase(ws ident.Workspace) {
+// ResetBaselines discards the reports about a workspace when other daemons take
+// over reporting it, so that the next totals can be used as baselines. Half of
+// the last increment of each aggregate is added for service that its origin no
+// longer reports.
+func (l *Ledger) ResetBaselines(ws ident.Workspace) {
 	for _, p := range l.peers {
-		delete(p.parts, ws)
+		delete(p.reports, ws)
 	}
 	a := l.account(ws)
-	for _, t := range l.sums[ws] {
-		a.virtual += t.last / 2 / a.weight
+	for _, report := range l.aggregates[ws] {
+		a.virtualTime += report.lastIncrement / 2 / a.weight
 	}
-	delete(l.sums, ws)
+	delete(l.aggregates, ws)
 }
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -1,129 +1,143 @@
-// Package preemption decides whether a running stream is stopped for a waiting
-// question, and which one. The stopped request goes on later at its offset.
+// Package preemption decides whether to preempt a running stream for a waiting
+// interactive request, and which one. The preempted request resumes later at
+// its offset.
 //
-// The load pattern it answers: one workspace floods the fleet with drafts of
-// half a minute while no other has work, and so runs on more slots than its
-// share. Then a person of another workspace asks. Fair sharing gives that
-// workspace the next slot that becomes free; without preemption the question
-// waits for one, and its wait is set by the length of other people's requests.
+// The load pattern it addresses: one workspace floods the fleet with batch
+// requests of half a minute each while no other workspace has work, and so runs
+// on more slots than its share. Then an interactive request of another
+// workspace arrives. Fair sharing gives that workspace the next slot that
+// becomes free; without preemption the request waits for one, and its wait is
+// determined by the duration of other workspaces' requests.
 //
-// A stop costs: the engine's cache of the stream is lost, and its prompt and all
-// that it generated are read again. So it happens only where a question waits of
-// a workspace below its share of the owner's slots, at the expense of one that
-// is at least two slots above its own. After it the one that gave is still a slot
-// above its share and the one that got less than that, so that no two workspaces
-// take slots from each other in turn.
+// Preemption has a cost: the engine's KV cache of the stream is lost, and its
+// prompt and all generated tokens must be prefilled again. A stream is
+// therefore preempted only if an interactive request is waiting in a workspace
+// below its share of the owner's slots, and only from a workspace at least two
+// slots above its own share. Afterwards the victim is still at least one slot
+// above its share and the recipient less than one, so two workspaces never take
+// slots from each other in turn.
 //
-// What the bounds protect: two slots above the share keep workspaces that all stand near
-// their shares from taking slots from each other, which costs control traffic. Three stops
-// of one request bound its extra work to three readings, and a twentieth of the slots a
-// second bounds those that read again. From three quarters of the expected cost on, what is
-// left is of the size of what would be read again and of the wait that it saves.
+// The bounds protect against the following. Two slots above the share keep
+// workspaces that are all close to their shares from taking slots from each
+// other, which costs control traffic. Three preemptions per request limit its
+// extra work to prefilling three times, and a twentieth of the slots per second
+// limits how many streams prefill again. From three quarters of the expected
+// cost on, the remaining work is about as large as the work to be repeated and
+// as the wait that preemption would save.
 package preemption
 
 import "time"
 
 const (
-	// MostStops bounds how often one request is stopped.
-	MostStops = 3
-	// overShare is how many slots above its share a workspace gives one.
-	overShare = 2
-	// slotsPerSecond is the part of an owner's slots that it may free a second.
-	slotsPerSecond = 0.05
-	// nearlyDone is the part of the expected cost from which a stream is left alone.
-	nearlyDone = 0.75
-	// deadlineFactor is how many times the typical time of a request must be left
-	// to its deadline: it is paused, reads again, and runs on.
+	// MaxPreemptions bounds how often one request is preempted.
+	MaxPreemptions = 3
+	// minExcessSlots is how many slots above its share a workspace must be to
+	// give one up.
+	minExcessSlots = 2
+	// slotFractionPerSecond is the fraction of its slots that an owner may free
+	// per second.
+	slotFractionPerSecond = 0.05
+	// nearlyDoneFraction is the fraction of the expected cost from which a
+	// stream is not preempted.
+	nearlyDoneFraction = 0.75
+	// deadlineFactor is how many times the median service time must remain
+	// before a request's deadline, because it has to be paused, prefilled again
+	// and run to its end.
 	deadlineFactor = 2
-	// authority bounds how far a lead moves a workspace's share, as a part of it.
-	// It is the ledger's own bound (2/3 of 3/4), so that a slot that the ledger
-	// gave to repay a difference is not taken back.
-	authority = 0.5
+	// maxShareShift bounds how far a lead moves a workspace's share, as a
+	// fraction of the share. It equals the ledger's own bound (2/3 of 3/4), so
+	// that a slot granted by the ledger to repay a difference is not taken
+	// back.
+	maxShareShift = 0.5
 )
 
-// Standing is how a workspace stands at one owner of slots.
-type Standing struct {
+// WorkspaceUsage is the slot usage and demand of a workspace at one owner of
+// slots.
+type WorkspaceUsage struct {
 	Weight float64
-	// Running counts its slots, with those that are being freed for it.
+	// Running counts its slots, including those being freed for it.
 	Running int
-	// Leaving counts those of them that are being taken from it.
-	Leaving int
-	// Questions counts its waiting interactive requests for which no slot is
-	// being freed.
-	Questions int
-	// Lead is what the ledger takes from it to repay a difference in service, in
-	// slots over weight; below zero, what it is owed.
+	// Releasing counts the slots among them that are being taken from it.
+	Releasing int
+	// WaitingInteractive counts its waiting interactive requests for which no
+	// slot is being freed.
+	WaitingInteractive int
+	// Lead is what the ledger withholds from it to repay a difference in
+	// service, in slots over weight; a negative value is what the workspace is
+	// owed.
 	Lead float64
 }
 
 // Choose returns the workspace that a slot is to be freed for and the one that
-// it is taken from, as indexes into the list of those that have slots or wait.
-// It is called where none of the slots is free. Shares are the slots divided by
-// weight, less the leads. The one that gets is furthest below its share, the one
-// that gives has the most slots above its own.
-func Choose(slots int, list []Standing) (to, from int, ok bool) {
-	weights := 0.0
+// it is taken from, as indexes into list, which holds the workspaces that have
+// slots or are waiting. It must be called only if no slot is free. Shares are
+// the slots divided by weight, minus the leads. The recipient is the workspace
+// furthest below its share, the victim the one with the most slots above its
+// share.
+func Choose(slots int, list []WorkspaceUsage) (recipient, victim int, ok bool) {
+	totalWeight := 0.0
 	for _, s := range list {
-		weights += s.Weight
+		totalWeight += s.Weight
 	}
-	fair := float64(slots) / weights
-	to, from = -1, -1
-	var least, most float64
+	fairSlots := float64(slots) / totalWeight
+	recipient, victim = -1, -1
+	var minFraction, maxExcess float64
 	for i, s := range list {
-		owed := s.Weight * max(-authority*fair, min(s.Lead, authority*fair))
-		share := fair * s.Weight
-		if part := (float64(s.Running) + owed) / share; s.Questions > 0 && part < 1 && (to < 0 || part < least) {
-			to, least = i, part
+		lead := s.Weight * max(-maxShareShift*fairSlots, min(s.Lead, maxShareShift*fairSlots))
+		share := fairSlots * s.Weight
+		if fraction := (float64(s.Running) + lead) / share; s.WaitingInteractive > 0 && fraction < 1 && (recipient < 0 || fraction < minFraction) {
+			recipient, minFraction = i, fraction
 		}
-		if over := float64(s.Running-s.Leaving) + owed - share; over >= overShare && (from < 0 || over > most) {
-			from, most = i, over
+		if excess := float64(s.Running-s.Releasing) + lead - share; excess >= minExcessSlots && (victim < 0 || excess > maxExcess) {
+			victim, maxExcess = i, excess
 		}
 	}
-	return to, from, to >= 0 && from >= 0
+	return recipient, victim, recipient >= 0 && victim >= 0
 }
 
-// Stream is a running request, as its ingress knows it.
+// Stream is a running request as seen by its ingress.
 type Stream struct {
-	// Allowed tells that the request can be stopped and go on: its service
-	// allows it, its class is not interactive, and it may run in parts.
+	// Allowed is set if the request can be preempted and resumed: its service
+	// allows preemption, its class is not interactive, and it may run in
+	// several attempts.
 	Allowed bool
-	// Served is what it has received in all its attempts, Cost what it is
-	// expected to receive, in units of the service.
+	// Served is the service that it has received in all attempts, and Cost the
+	// total it is expected to receive, in units of the service.
 	Served, Cost float64
-	// Stops counts how often it was stopped.
-	Stops int
-	// Deadline is when its caller gives up; zero means never. Typical is the
-	// time that requests of its class take.
-	Deadline time.Time
-	Typical  time.Duration
+	// Preemptions counts how often it has been preempted.
+	Preemptions int
+	// Deadline is when the caller gives up; zero means never. MedianServiceTime
+	// is the median service time of its class.
+	Deadline          time.Time
+	MedianServiceTime time.Duration
 }
 
-// Stoppable tells whether the stream may be stopped now.
-func (s Stream) Stoppable(now time.Time) bool {
-	if !s.Allowed || s.Stops >= MostStops || s.Served >= nearlyDone*s.Cost {
+// Preemptible reports whether the stream may be preempted now.
+func (s Stream) Preemptible(now time.Time) bool {
+	if !s.Allowed || s.Preemptions >= MaxPreemptions || s.Served >= nearlyDoneFraction*s.Cost {
 		return false
 	}
-	return s.Deadline.IsZero() || !now.Add(deadlineFactor*s.Typical).After(s.Deadline)
+	return s.Deadline.IsZero() || !now.Add(deadlineFactor*s.MedianServiceTime).After(s.Deadline)
 }
 
-// Allowance bounds the slots that an owner frees by preemption. The zero value
-// is ready, and full.
-type Allowance struct {
-	left float64
-	at   time.Time
+// Budget is a token bucket that limits the slots that an owner frees by
+// preemption. The zero value is a full bucket.
+type Budget struct {
+	tokens    float64
+	updatedAt time.Time
 }
 
-// Open tells whether one more slot of so many may be freed now.
-func (a *Allowance) Open(now time.Time, slots int) bool {
-	rate := slotsPerSecond * float64(slots)
-	full := max(1, rate)
-	if a.at.IsZero() {
-		a.left, a.at = full, now
+// Available reports whether one more of the owner's slots may be freed now.
+func (b *Budget) Available(now time.Time, slots int) bool {
+	rate := slotFractionPerSecond * float64(slots)
+	capacity := max(1, rate)
+	if b.updatedAt.IsZero() {
+		b.tokens, b.updatedAt = capacity, now
 	}
-	a.left = min(full, a.left+rate*max(0, now.Sub(a.at).Seconds()))
-	a.at = now
-	return a.left >= 1
+	b.tokens = min(capacity, b.tokens+rate*max(0, now.Sub(b.updatedAt).Seconds()))
+	b.updatedAt = now
+	return b.tokens >= 1
 }
 
-// Spend counts a slot that is freed.
-func (a *Allowance) Spend() { a.left-- }
+// Spend records that a slot is being freed.
+func (b *Budget) Spend() { b.tokens-- }
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -8,24 +8,26 @@
 	"pgregory.net/rapid"
 
 	"github.com/savorystall/savorystall/internal/preemption"
-	_ "github.com/savorystall/savorystall/test/fixedseed" // the same verdict each run
+	_ "github.com/savorystall/savorystall/test/fixedseed" // fixed seed for reproducible results
 )
 
 var now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Two workspaces that take slots from each other in turn would read their
-// prompts again and again and get nowhere. Whatever stands at an owner, with all
-// questions asking at once, the moves come to an end before each slot has moved
-// once, a taker never ends a slot above its share and a giver never less than one above.
-func TestMovesEndAndKeepShares(t *testing.T) {
+// Two workspaces that take slots from each other in turn would prefill their
+// prompts repeatedly and make no progress. For any initial distribution of
+// slots, with every interactive request waiting at once, preemption must end
+// within as many moves as there are slots. After each move the recipient must
+// be less than one slot above its share, and the victim at least one slot
+// above.
+func TestPreemptionTerminatesAndKeepsShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		list := make([]preemption.Standing, rapid.IntRange(1, 8).Draw(t, "workspaces"))
+		list := make([]preemption.WorkspaceUsage, rapid.IntRange(1, 8).Draw(t, "workspaces"))
 		slots, weights := 0, 0.0
 		for i := range list {
-			list[i] = preemption.Standing{
-				Weight:    float64(rapid.IntRange(1, 5).Draw(t, "weight")),
-				Running:   rapid.IntRange(0, 20).Draw(t, "running"),
-				Questions: rapid.IntRange(0, 30).Draw(t, "questions"),
+			list[i] = preemption.WorkspaceUsage{
+				Weight:             float64(rapid.IntRange(1, 5).Draw(t, "weight")),
+				Running:            rapid.IntRange(0, 20).Draw(t, "running"),
+				WaitingInteractive: rapid.IntRange(0, 30).Draw(t, "questions"),
 			}
 			slots += list[i].Running
 			weights += list[i].Weight
@@ -33,29 +35,29 @@
 		share := func(i int) float64 { return float64(slots) * list[i].Weight / weights }
 		moves := 0
 		for to, from, ok := preemption.Choose(slots, list); ok; to, from, ok = preemption.Choose(slots, list) {
-			if to == from || list[to].Questions == 0 {
-				t.Fatalf("a slot of %d for %d: %+v", from, to, list)
+			if to == from || list[to].WaitingInteractive == 0 {
+				t.Fatalf("slot of %d taken for %d: %+v", from, to, list)
 			}
 			list[to].Running++
-			list[to].Questions--
+			list[to].WaitingInteractive--
 			list[from].Running--
 			if float64(list[to].Running) >= share(to)+1 || float64(list[from].Running) < share(from)+1 {
-				t.Fatalf("a slot of %d for %d leaves %+v", from, to, list)
+				t.Fatalf("slot of %d taken for %d leaves %+v", from, to, list)
 			}
 			if moves++; moves > slots {
-				t.Fatalf("no end: %+v", list)
+				t.Fatalf("no end after more moves than slots: %+v", list)
 			}
 		}
 	})
 }
 
-// The ledger gives a workspace that was served less more than its share of the
-// slots for a while. Preemption must not take back what repays the difference.
-func TestRepaymentIsNotTakenBack(t *testing.T) {
+// The ledger temporarily gives an under-served workspace more than its share of
+// the slots. Preemption must not take back the slots that repay the difference.
+func TestPreemptionKeepsRepayment(t *testing.T) {
 	is := is.New(t)
-	list := []preemption.Standing{
+	list := []preemption.WorkspaceUsage{
 		{Weight: 1, Running: 13, Lead: -4},
-		{Weight: 1, Running: 7, Lead: 4, Questions: 1},
+		{Weight: 1, Running: 7, Lead: 4, WaitingInteractive: 1},
 	}
 	_, _, ok := preemption.Choose(20, list)
 	is.True(!ok)
@@ -65,34 +67,34 @@
 	is.Equal([]int{to, from}, []int{1, 0})
 }
 
-func TestWhatMayBeStopped(t *testing.T) {
-	ordinary := preemption.Stream{Allowed: true, Served: 100, Cost: 1000, Typical: 10 * time.Second}
+func TestPreemptibleStreams(t *testing.T) {
+	ordinary := preemption.Stream{Allowed: true, Served: 100, Cost: 1000, MedianServiceTime: 10 * time.Second}
 	with := func(edit func(*preemption.Stream)) preemption.Stream { s := ordinary; edit(&s); return s }
 	for name, test := range map[string]struct {
 		stream preemption.Stream
 		want   bool
 	}{
-		"ordinary":                {ordinary, true},
-		"not allowed":             {with(func(s *preemption.Stream) { s.Allowed = false }), false},
-		"stopped often":           {with(func(s *preemption.Stream) { s.Stops = preemption.MostStops }), false},
-		"nearly done":             {with(func(s *preemption.Stream) { s.Served = 760 }), false},
-		"longer than was thought": {with(func(s *preemption.Stream) { s.Served = 4000 }), false},
-		"late":                    {with(func(s *preemption.Stream) { s.Deadline = now.Add(19 * time.Second) }), false},
-		"in time":                 {with(func(s *preemption.Stream) { s.Deadline = now.Add(20 * time.Second) }), true},
+		"ordinary":             {ordinary, true},
+		"not allowed":          {with(func(s *preemption.Stream) { s.Allowed = false }), false},
+		"stopped too often":    {with(func(s *preemption.Stream) { s.Preemptions = preemption.MaxPreemptions }), false},
+		"nearly done":          {with(func(s *preemption.Stream) { s.Served = 760 }), false},
+		"longer than expected": {with(func(s *preemption.Stream) { s.Served = 4000 }), false},
+		"too late":             {with(func(s *preemption.Stream) { s.Deadline = now.Add(19 * time.Second) }), false},
+		"in time":              {with(func(s *preemption.Stream) { s.Deadline = now.Add(20 * time.Second) }), true},
 	} {
-		t.Run(name, func(t *testing.T) { is.New(t).Equal(test.stream.Stoppable(now), test.want) })
+		t.Run(name, func(t *testing.T) { is.New(t).Equal(test.stream.Preemptible(now), test.want) })
 	}
 }
 
-func TestAllowanceBoundsStopsASecond(t *testing.T) {
+func TestBudgetBoundsPreemptionsPerSecond(t *testing.T) {
 	is := is.New(t)
-	var a preemption.Allowance
-	stops := 0
+	var budget preemption.Budget
+	preemptions := 0
 	for ms := range 10_000 {
-		for a.Open(now.Add(time.Duration(ms)*time.Millisecond), 100) {
-			a.Spend()
-			stops++
+		for budget.Available(now.Add(time.Duration(ms)*time.Millisecond), 100) {
+			budget.Spend()
+			preemptions++
 		}
 	}
-	is.True(stops >= 50 && stops <= 55) // five a second, and five at once
+	is.True(preemptions >= 50 && preemptions <= 55) // five per second, plus an initial burst of five
 }
--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -2,36 +2,38 @@
 
 import "time"
 
-// entry is an item with its place in an order.
+// entry is an item and its position in a heap.
 type entry[T any] struct {
 	Item[T]
-	due time.Time
-	// late puts the entry behind those of a later deadline: among requests that
-	// will hardly be in time, the one with the most time left has most hope.
-	late bool
-	in   *order[T]
-	at   int
-	// passedOver counts the preferred requests that went first.
-	passedOver int
+	sortTime time.Time
+	// late reverses the order of the sort times: of the requests that are
+	// unlikely to meet their deadlines, the one with the latest deadline has
+	// the best chance and goes first.
+	late   bool
+	parent *requestHeap[T]
+	index  int
+	// bypasses counts the preferred requests that were popped ahead of this
+	// one.
+	bypasses int
 }
 
-// passed tells whether the caller has given up by the time.
-func (e *entry[T]) passed(by time.Time) bool {
-	return !e.Deadline.IsZero() && by.After(e.Deadline)
+// expired reports whether the deadline has passed.
+func (e *entry[T]) expired(now time.Time) bool {
+	return !e.Deadline.IsZero() && now.After(e.Deadline)
 }
 
-// order is a heap by due time, for late entries the last first, then by arrival
-// and id.
-type order[T any] []*entry[T]
+// requestHeap is a heap ordered by sort time, latest first for late entries,
+// then by arrival and ID.
+type requestHeap[T any] []*entry[T]
 
 // Len implements heap.Interface.
-func (o order[T]) Len() int { return len(o) }
+func (h requestHeap[T]) Len() int { return len(h) }
 
 // Less implements heap.Interface.
-func (o order[T]) Less(i, j int) bool {
-	a, b := o[i], o[j]
-	if !a.due.Equal(b.due) {
-		return a.due.Before(b.due) != a.late
+func (h requestHeap[T]) Less(i, j int) bool {
+	a, b := h[i], h[j]
+	if !a.sortTime.Equal(b.sortTime) {
+		return a.sortTime.Before(b.sortTime) != a.late
 	}
 	if !a.Arrived.Equal(b.Arrived) {
 		return a.Arrived.Before(b.Arrived)
@@ -40,24 +42,24 @@
 }
 
 // Swap implements heap.Interface.
-func (o order[T]) Swap(i, j int) {
-	o[i], o[j] = o[j], o[i]
-	o[i].at, o[j].at = i, j
+func (h requestHeap[T]) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].index, h[j].index = i, j
 }
 
 // Push implements heap.Interface.
-func (o *order[T]) Push(x any) {
+func (h *requestHeap[T]) Push(x any) {
 	e := x.(*entry[T])
-	e.at = len(*o)
-	*o = append(*o, e)
+	e.index = len(*h)
+	*h = append(*h, e)
 }
 
 // Pop implements heap.Interface.
-func (o *order[T]) Pop() any {
-	old := *o
+func (h *requestHeap[T]) Pop() any {
+	old := *h
 	last := len(old) - 1
 	e := old[last]
 	old[last] = nil
-	*o = old[:last]
+	*h = old[:last]
 	return e
 }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,20 +1,22 @@
 // Package queue holds the requests of one workspace that wait at one daemon for
 // a slot.
 //
-// The load pattern it answers: a workspace sends two hundred long drafts and
-// then one short question, and under overload more than can be answered in
-// time. In arrival order the question waits behind the drafts, and every answer
-// is late because slots go to requests whose callers have nearly given up.
+// The load pattern it addresses: a workspace sends two hundred long batch
+// requests and then one short interactive request, and under overload more than
+// can be served in time. In arrival order the interactive request waits behind
+// the batch requests, and every response is late because slots go to requests
+// whose callers are about to give up.
 //
-// Classes share the time on slots that a workspace gets by weight, 16 to 4 to 1
-// by default: a question is next as long as questions take less than 16 in 21
-// parts of it, and batch requests get 1 in 21 whatever else waits. A class earns
-// no credit while it is empty. Within a class the earliest deadline goes first; a
-// request that will hardly be in time any more stands behind all that can be, of
-// whatever class, the least hopeless first, and is handed back when its deadline
-// has passed. Each class but the first is kept
-// out of the last tenths of the queue, so that drafts cannot fill it against
-// questions.
+// Classes share the slot time of a workspace by weight, 16 to 4 to 1 by
+// default: an interactive request is next as long as interactive requests use
+// less than 16 of 21 parts of the time, and batch requests get 1 of 21
+// regardless of what else is waiting. A class earns no credit while it is
+// empty. Within a class the earliest deadline goes first. A request that is
+// unlikely to meet its deadline is moved behind all requests, of any class,
+// that can meet theirs; among such requests the latest deadline goes first. A
+// request is returned as expired once its deadline has passed. Every class but
+// the first leaves the last tenths of the queue free for the classes before it,
+// so that batch requests cannot crowd out interactive ones.
 package queue
 
 import (
@@ -27,44 +29,45 @@
 
 // Defaults of Config.
 const (
-	DefaultLimit    = 1000
-	DefaultPatience = 60 * time.Second
-	DefaultReserve  = 0.1
+	DefaultLimit          = 1000
+	DefaultImpliedTimeout = 60 * time.Second
+	DefaultReserve        = 0.1
 )
 
-// DefaultWeights are the shares of the classes 0, 1 and 2.
+// DefaultWeights returns the weights of the classes 0, 1 and 2.
 func DefaultWeights() []float64 { return []float64{16, 4, 1} }
 
-// Config sets up a Queue. Zero fields take their defaults.
+// Config configures a Queue. Zero fields take their defaults.
 type Config struct {
-	// Limit bounds the requests that wait (default 1000).
+	// Limit bounds the number of waiting requests (default 1000).
 	Limit int
-	// Weights gives the share of each class, the first class first (default 16,
-	// 4, 1). It also sets the number of classes.
+	// Weights holds the weight of each class, the first class first (default
+	// 16, 4, 1). Its length is the number of classes.
 	Weights []float64
-	// Patience stands in for the deadline of a request that has none
-	// (default 60 s), so that it keeps a place in the order.
-	Patience time.Duration
-	// Reserve is the part of Limit that each class leaves to the classes before
-	// it (default 0.1).
+	// ImpliedTimeout takes the place of the deadline when a request without one
+	// is ordered (default 60 s).
+	ImpliedTimeout time.Duration
+	// Reserve is the fraction of Limit that each class leaves free for the
+	// classes before it (default 0.1).
 	Reserve float64
 }
 
-// Item is one waiting request.
+// Item is a waiting request.
 type Item[T any] struct {
-	// ID must not be in the queue yet.
+	// ID identifies the request; it must not be in the queue yet.
 	ID ident.Request
-	// Class goes before those with a higher number; one above the last counts
-	// as the last.
+	// Class is the index of the request's class. An index above the last class
+	// counts as the last.
 	Class uint8
-	// Arrived orders requests without a deadline.
+	// Arrived is the arrival time, which orders requests without a deadline.
 	Arrived time.Time
 	// Deadline is when the caller gives up; zero means never.
 	Deadline time.Time
-	// Front puts the request before all others of its class and past the bound:
-	// it waited before and its attempt did not run.
+	// Front puts the request ahead of all others of its class and exempts it
+	// from Limit. It is set for a request that has already waited and whose
+	// attempt did not run.
 	Front bool
-	// Value is the caller's own.
+	// Value is opaque to the queue.
 	Value T
 }
 
@@ -73,23 +76,25 @@
 type Queue[T any] struct {
 	config  Config
 	classes []class[T]
-	// late holds what cannot be in time any more.
-	late  order[T]
+	// late holds the requests that are unlikely to meet their deadlines.
+	late  requestHeap[T]
 	items map[ident.Request]*entry[T]
-	// earliest is at or before the earliest deadline; zero: there is none.
-	earliest time.Time
-	// clock is the virtual time of the class that was popped last.
-	clock float64
+	// earliestDeadline is a lower bound of all deadlines; zero if there are
+	// none.
+	earliestDeadline time.Time
+	// virtualTime is the highest virtual time that a class has had when a
+	// request of it was popped.
+	virtualTime float64
 }
 
-// class is the sub-queue of one class.
+// class is the queue of one class.
 type class[T any] struct {
-	order[T]
+	requestHeap[T]
 	weight float64
-	// typical is the time that a request takes once it is dispatched.
-	typical time.Duration
-	// pass is the class's virtual time: time on slots over weight.
-	pass float64
+	// medianServiceTime is the median time from dispatch to completion.
+	medianServiceTime time.Duration
+	// virtualTime is the slot time charged to the class over its weight.
+	virtualTime float64
 }
 
 // New returns an empty queue.
@@ -100,8 +105,8 @@
 	if len(c.Weights) == 0 {
 		c.Weights = DefaultWeights()
 	}
-	if c.Patience <= 0 {
-		c.Patience = DefaultPatience
+	if c.ImpliedTimeout <= 0 {
+		c.ImpliedTimeout = DefaultImpliedTimeout
 	}
 	if c.Reserve <= 0 {
 		c.Reserve = DefaultReserve
@@ -113,94 +118,99 @@
 	return q
 }
 
-// SetLimit changes the bound. What already waits above it stays.
+// SetLimit changes the limit. Requests already waiting above it remain in the
+// queue.
 func (q *Queue[T]) SetLimit(limit int) { q.config.Limit = limit }
 
-// SetTypical sets the measured median time from dispatch to the end of a request
-// of the class. One whose deadline is nearer than that will hardly be in time.
-func (q *Queue[T]) SetTypical(class uint8, typical time.Duration) {
-	q.classes[q.index(class)].typical = typical
+// SetMedianServiceTime sets the measured median time from dispatch to
+// completion in the class. A request whose deadline is closer than that is
+// unlikely to meet it.
+func (q *Queue[T]) SetMedianServiceTime(class uint8, median time.Duration) {
+	q.classes[q.classIndex(class)].medianServiceTime = median
 }
 
-// Len returns how many requests wait.
+// Len returns the number of waiting requests.
 func (q *Queue[T]) Len() int { return len(q.items) }
 
-// LenClass returns how many requests of the class wait, late ones left out.
-func (q *Queue[T]) LenClass(class uint8) int { return q.classes[q.index(class)].Len() }
+// LenClass returns the number of waiting requests of the class, excluding late
+// ones.
+func (q *Queue[T]) LenClass(class uint8) int { return q.classes[q.classIndex(class)].Len() }
 
-// Ahead returns how many waiting requests a new one of the class would be
-// popped after, at the least: those of its class and of the classes before it.
+// Ahead returns the minimum number of waiting requests that would be popped
+// before a new one of the class: those of its class and of the classes before
+// it.
 func (q *Queue[T]) Ahead(class uint8) int {
 	n := 0
-	for i := range q.index(class) + 1 {
+	for i := range q.classIndex(class) + 1 {
 		n += q.classes[i].Len()
 	}
 	return n
 }
 
-// Push adds a request. The failure has the code QueueFull.
+// Push adds a request. It fails with the code QueueFull if the queue is full.
 func (q *Queue[T]) Push(it Item[T]) *resultcode.Failure {
-	index := q.index(it.Class)
-	free := 1 - q.config.Reserve*float64(index)
-	if !it.Front && len(q.items) >= max(1, int(float64(q.config.Limit)*free)) {
+	index := q.classIndex(it.Class)
+	usable := 1 - q.config.Reserve*float64(index)
+	if !it.Front && len(q.items) >= max(1, int(float64(q.config.Limit)*usable)) {
 		return resultcode.Fail(resultcode.QueueFull, "%d requests wait", len(q.items))
 	}
-	e := &entry[T]{Item: it, due: it.Deadline}
+	e := &entry[T]{Item: it, sortTime: it.Deadline}
 	switch {
 	case it.Front:
-		e.due = time.Time{}
+		e.sortTime = time.Time{}
 	case it.Deadline.IsZero():
-		e.due = it.Arrived.Add(q.config.Patience)
+		e.sortTime = it.Arrived.Add(q.config.ImpliedTimeout)
 	}
 	c := &q.classes[index]
 	if c.Len() == 0 {
-		c.pass = max(c.pass, q.clock)
+		c.virtualTime = max(c.virtualTime, q.virtualTime)
 	}
 	q.items[it.ID] = e
 	q.noteDeadline(it.Deadline)
-	e.in = &c.order
-	heap.Push(e.in, e)
+	e.parent = &c.requestHeap
+	heap.Push(e.parent, e)
 	return nil
 }
 
-func (q *Queue[T]) index(class uint8) int { return min(int(class), len(q.classes)-1) }
+func (q *Queue[T]) classIndex(class uint8) int { return min(int(class), len(q.classes)-1) }
 
-// Pop removes the request that goes next. Expired are requests whose deadline
-// has passed; they are removed as well and were not run.
+// Pop removes and returns the next request. It also removes and returns, in
+// expired, requests whose deadline has passed without their having run.
 func (q *Queue[T]) Pop(now time.Time) (it Item[T], expired []Item[T], ok bool) {
 	return q.PopWhere(now, func(Item[T]) bool { return true })
 }
 
-// PopWhere removes the first request, in the order of Pop, that fits.
+// PopWhere removes the first request, in the order of Pop, for which fits
+// returns true.
 func (q *Queue[T]) PopWhere(now time.Time, fits func(Item[T]) bool) (it Item[T], expired []Item[T], ok bool) {
 	return q.PopPreferred(now, fits, nil)
 }
 
-// PopPreferred is PopWhere, but for a request near the head of the same class
-// that is preferred: it may go first. A request is passed over for that
-// maxPassedOver times at most. Nil prefers none.
+// PopPreferred is like PopWhere, but a request near the head of the same class
+// for which prefers returns true may go ahead of the head. A request is
+// bypassed in this way at most maxBypasses times. A nil prefers prefers none.
 func (q *Queue[T]) PopPreferred(now time.Time, fits, prefers func(Item[T]) bool) (it Item[T], expired []Item[T], ok bool) {
-	var passedOver []*entry[T]
+	var skipped []*entry[T]
 	defer func() {
-		for _, e := range passedOver {
-			heap.Push(e.in, e)
+		for _, e := range skipped {
+			heap.Push(e.parent, e)
 		}
 	}()
 	for e := q.next(); e != nil; e = q.next() {
 		switch {
-		case e.passed(now):
+		case e.expired(now):
 			q.drop(e)
 			expired = append(expired, e.Item)
-		case e.in != &q.late && e.passed(now.Add(q.classes[q.index(e.Class)].typical)):
-			heap.Remove(e.in, e.at)
-			e.in, e.late = &q.late, true
-			heap.Push(e.in, e)
+		case e.parent != &q.late && e.expired(now.Add(q.classes[q.classIndex(e.Class)].medianServiceTime)):
+			heap.Remove(e.parent, e.index)
+			e.parent, e.late = &q.late, true
+			heap.Push(e.parent, e)
 		case !fits(e.Item):
-			heap.Remove(e.in, e.at)
-			passedOver = append(passedOver, e)
+			heap.Remove(e.parent, e.index)
+			skipped = append(skipped, e)
 		default:
 			e = q.preferred(e, now, fits, prefers)
-			q.account(e)
+			q.chargeClass(e)
 			q.drop(e)
 			return e.Item, expired, true
 		}
@@ -209,30 +219,33 @@
 }
 
 const (
-	// near is how many requests at the top of the heap are looked at for a
-	// preferred one: three levels, which hold those that go next.
-	near = 7
-	// maxPassedOver bounds what a preference costs the others: a few places.
-	maxPassedOver = 4
+	// preferenceLookahead is how many requests at the top of the heap are
+	// checked for a preferred one: three levels, which contain the requests
+	// that are popped next.
+	preferenceLookahead = 7
+	// maxBypasses limits the cost of a preference for other requests to a few
+	// positions.
+	maxBypasses = 4
 )
 
-// preferred returns the request that goes in place of the head of its class, or
-// the head. Late requests have no time to lose for a preference.
+// preferred returns the request to pop in place of the head of its class, or
+// the head itself. Late requests are never bypassed, because they have no time
+// to spare.
 func (q *Queue[T]) preferred(head *entry[T], now time.Time, fits, prefers func(Item[T]) bool) *entry[T] {
-	if prefers == nil || head.in == &q.late || head.passedOver == maxPassedOver || prefers(head.Item) {
+	if prefers == nil || head.parent == &q.late || head.bypasses == maxBypasses || prefers(head.Item) {
 		return head
 	}
 	best := head
-	for _, e := range (*head.in)[:min(near, head.in.Len())] {
-		if e.passed(now) || !prefers(e.Item) || !fits(e.Item) {
+	for _, e := range (*head.parent)[:min(preferenceLookahead, head.parent.Len())] {
+		if e.expired(now) || !prefers(e.Item) || !fits(e.Item) {
 			continue
 		}
-		if best == head || e.due.Before(best.due) {
+		if best == head || e.sortTime.Before(best.sortTime) {
 			best = e
 		}
 	}
 	if best != head {
-		head.passedOver++
+		head.bypasses++
 	}
 	return best
 }
@@ -241,50 +254,52 @@
 func (q *Queue[T]) Drain() []Item[T] {
 	var all []Item[T]
 	for i := range q.classes {
-		all = q.drain(&q.classes[i].order, all)
+		all = q.drain(&q.classes[i].requestHeap, all)
 	}
 	return q.drain(&q.late, all)
 }
 
-func (q *Queue[T]) drain(o *order[T], all []Item[T]) []Item[T] {
-	for o.Len() > 0 {
-		e := (*o)[0]
+func (q *Queue[T]) drain(h *requestHeap[T], all []Item[T]) []Item[T] {
+	for h.Len() > 0 {
+		e := (*h)[0]
 		q.drop(e)
 		all = append(all, e.Item)
 	}
 	return all
 }
 
-// next returns the head of the class with the least virtual time, the first
-// class on a tie, or the head of the late ones.
+// next returns the head of the class with the lowest virtual time, the first
+// class on a tie. If all classes are empty, it returns the head of the late
+// requests, or nil if there are none.
 func (q *Queue[T]) next() *entry[T] {
 	var best *class[T]
 	for i := range q.classes {
 		c := &q.classes[i]
-		if c.Len() > 0 && (best == nil || c.pass < best.pass) {
+		if c.Len() > 0 && (best == nil || c.virtualTime < best.virtualTime) {
 			best = c
 		}
 	}
 	switch {
 	case best != nil:
-		return best.order[0]
+		return best.requestHeap[0]
 	case q.late.Len() > 0:
 		return q.late[0]
 	}
 	return nil
 }
 
-// account charges the class of e with the time that the request will take.
-func (q *Queue[T]) account(e *entry[T]) {
-	c := &q.classes[q.index(e.Class)]
-	q.clock = max(q.clock, c.pass)
-	c.pass += max(leastTime, c.typical).Seconds() / c.weight
+// chargeClass charges the class of e with the median service time of the class.
+func (q *Queue[T]) chargeClass(e *entry[T]) {
+	c := &q.classes[q.classIndex(e.Class)]
+	q.virtualTime = max(q.virtualTime, c.virtualTime)
+	c.virtualTime += max(minServiceTime, c.medianServiceTime).Seconds() / c.weight
 }
 
-// leastTime stands for the time of a request until one was measured.
-const leastTime = 10 * time.Millisecond
+// minServiceTime is the lower bound of the charged service time. It also
+// applies before one has been measured.
+const minServiceTime = 10 * time.Millisecond
 
-// Remove takes a request out, for instance because its caller left.
+// Remove removes a request, for example because its caller disconnected.
 func (q *Queue[T]) Remove(id ident.Request) (Item[T], bool) {
 	e := q.items[id]
 	if e == nil {
@@ -295,17 +310,17 @@
 }
 
 // Expire removes and returns the requests whose deadline has passed, so that
-// their callers hear of it although no slot becomes free.
+// their callers are notified even if no slot becomes free.
 func (q *Queue[T]) Expire(now time.Time) []Item[T] {
-	if q.earliest.IsZero() || !now.After(q.earliest) {
+	if q.earliestDeadline.IsZero() || !now.After(q.earliestDeadline) {
 		return nil
 	}
 	var expired []Item[T]
 	for i := range q.classes {
-		expired = q.expire(&q.classes[i].order, now, expired)
+		expired = q.expire(&q.classes[i].requestHeap, now, expired)
 	}
 	expired = q.expire(&q.late, now, expired)
-	q.earliest = time.Time{}
+	q.earliestDeadline = time.Time{}
 	for _, e := range q.items {
 		q.noteDeadline(e.Deadline)
 	}
@@ -313,19 +328,19 @@
 }
 
 func (q *Queue[T]) noteDeadline(deadline time.Time) {
-	if !deadline.IsZero() && (q.earliest.IsZero() || deadline.Before(q.earliest)) {
-		q.earliest = deadline
+	if !deadline.IsZero() && (q.earliestDeadline.IsZero() || deadline.Before(q.earliestDeadline)) {
+		q.earliestDeadline = deadline
 	}
 }
 
-func (q *Queue[T]) expire(o *order[T], now time.Time, expired []Item[T]) []Item[T] {
-	var passed []*entry[T]
-	for _, e := range *o {
-		if e.passed(now) {
-			passed = append(passed, e)
+func (q *Queue[T]) expire(h *requestHeap[T], now time.Time, expired []Item[T]) []Item[T] {
+	var expiredEntries []*entry[T]
+	for _, e := range *h {
+		if e.expired(now) {
+			expiredEntries = append(expiredEntries, e)
 		}
 	}
-	for _, e := range passed {
+	for _, e := range expiredEntries {
 		q.drop(e)
 		expired = append(expired, e.Item)
 	}
@@ -333,6 +348,6 @@
 }
 
 func (q *Queue[T]) drop(e *entry[T]) {
-	heap.Remove(e.in, e.at)
+	heap.Remove(e.parent, e.index)
 	delete(q.items, e.ID)
 }
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -26,26 +26,27 @@
 	return string(it.ID)
 }
 
-// A workspace has queued two hundred drafts when a member asks a question. In
-// arrival order the question would wait for all of them.
-func TestQuestionPassesDrafts(t *testing.T) {
+// A workspace has queued two hundred batch requests when an interactive request
+// arrives. In arrival order it would wait for all of them.
+func TestInteractiveOvertakesBatch(t *testing.T) {
 	is := is.New(t)
 	q := New[int](Config{})
 	for i := range 200 {
-		push(t, q, fmt.Sprintf("draft-%03d", i), 2, time.Time{})
+		push(t, q, fmt.Sprintf("batch-%03d", i), 2, time.Time{})
 	}
-	is.Equal(pop(t, q, start), "draft-000")
-	push(t, q, "question", 0, time.Time{})
+	is.Equal(pop(t, q, start), "batch-000")
+	push(t, q, "interactive", 0, time.Time{})
 	is.Equal(q.Ahead(0), 1)
-	is.Equal(pop(t, q, start), "question")
+	is.Equal(pop(t, q, start), "interactive")
 }
 
-// Questions never cease. By strict priority the batch request would never run.
+// Interactive requests arrive continuously. With strict priority the batch
+// request would never run.
 func TestBatchIsNotStarved(t *testing.T) {
 	is := is.New(t)
 	q := New[int](Config{})
 	for i := range 50 {
-		push(t, q, fmt.Sprintf("question-%03d", i), 0, time.Time{})
+		push(t, q, fmt.Sprintf("interactive-%03d", i), 0, time.Time{})
 	}
 	push(t, q, "batch", 2, time.Time{})
 	for range 21 {
@@ -56,13 +57,13 @@
 	is.Fail()
 }
 
-// Under overload a request is left whose caller gives up in a second, though
-// an answer takes two. Served first, it would be in vain, and the next would be
-// late as well.
-func TestWhatCanBeInTimeGoesFirst(t *testing.T) {
+// Under overload a request is left whose caller gives up in one second although
+// a response takes two. Serving it first would waste the slot and make the next
+// request late as well.
+func TestFeasibleDeadlinesGoFirst(t *testing.T) {
 	is := is.New(t)
 	q := New[int](Config{})
-	q.SetTypical(0, 2*time.Second)
+	q.SetMedianServiceTime(0, 2*time.Second)
 	push(t, q, "hopeless", 0, start.Add(time.Second))
 	push(t, q, "unlikely", 0, start.Add(1500*time.Millisecond))
 	push(t, q, "later", 0, start.Add(9*time.Second))
@@ -75,7 +76,7 @@
 	is.Equal(pop(t, q, start), "hopeless")
 }
 
-func TestExpiredAreHandedBack(t *testing.T) {
+func TestExpiredRequestsAreReturned(t *testing.T) {
 	is := is.New(t)
 	q := New[int](Config{})
 	push(t, q, "a", 0, start.Add(time.Second))
@@ -91,8 +92,9 @@
 	is.Equal(q.Len(), 0)
 }
 
-// Drafts have filled the queue. A question must still find a place.
-func TestDraftsLeaveRoomForQuestions(t *testing.T) {
+// Batch requests have filled their part of the queue. An interactive request
+// must still be accepted.
+func TestBatchLeavesRoomForInteractive(t *testing.T) {
 	is := is.New(t)
 	q := New[int](Config{Limit: 10})
 	var failure *resultcode.Failure
@@ -101,16 +103,16 @@
 	}
 	is.Equal(q.Len(), 8)
 	is.Equal(failure.Code, resultcode.QueueFull)
-	push(t, q, "question", 0, time.Time{})
-	_, removed := q.Remove("question")
+	push(t, q, "interactive", 0, time.Time{})
+	_, removed := q.Remove("interactive")
 	is.True(removed)
-	_, removed = q.Remove("question")
+	_, removed = q.Remove("interactive")
 	is.True(!removed)
 }
 
-// A request was refused by one target and must not go there again. It keeps its
-// place while another one takes the slot of that target.
-func TestPopWherePassesOver(t *testing.T) {
+// A request was refused by one target and must not be sent there again. It
+// keeps its position while another request takes that target's slot.
+func TestPopWhereSkipsUnfitRequests(t *testing.T) {
 	is := is.New(t)
 	q := New[int](Config{Limit: 2})
 	push(t, q, "a", 0, time.Time{})
@@ -126,9 +128,9 @@
 	is.Equal(q.Len(), 0)
 }
 
-// A target holds the start of a prompt that the whole team uses. Requests with it
-// may go first, as it is cheap to run them there. Without a bound, one request
-// with a prompt of its own would wait for as long as the others come.
+// A target caches a prompt prefix that many requests share. Those requests may
+// go first, because they are cheap to run there. Without a bound, a request
+// with a different prompt would wait for as long as the others keep arriving.
 func TestPreferredRequestsGoFirstWithinABound(t *testing.T) {
 	is := is.New(t)
 	q := New[int](Config{})
@@ -143,9 +145,9 @@
 		it, _, ok := q.PopPreferred(start, all, shared)
 		is.True(ok)
 		if it.ID == "0-own" {
-			is.Equal(i, 4) // passed over four times
+			is.Equal(i, 4) // bypassed four times
 			return
 		}
 	}
-	t.Fatal("the request is passed over for ever")
+	t.Fatal("the request is bypassed for too long")
 }
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -130,7 +130,7 @@
 	// are asked back, and allowance bounds them.
 	preemption bool
 	freeing    []freeing
-	allowance  preemption.Allowance
+	allowance  preemption.Budget
 }
 
 // waiting counts the requests of all workspaces that wait here.
--- a/internal/scheduler/exchange.go
+++ b/internal/scheduler/exchange.go
@@ -25,7 +25,7 @@
 	}
 	for _, l := range m.Limits {
 		if s := c.services[l.Service]; s != nil {
-			s.admission.Hear(now, from, l.Workspace, l.News)
+			s.admission.MergeLimitReport(now, from, l.Workspace, l.News)
 		}
 	}
 	for _, news := range m.News {
@@ -109,7 +109,7 @@
 		for _, s := range c.services {
 			s.ledger.Forget(id)
 			for _, u := range s.sums {
-				u.ForgetMate(id)
+				u.ForgetZonePeer(id)
 			}
 		}
 	}
@@ -187,7 +187,7 @@
 	}
 	for _, t := range s.owned {
 		if t.usable() {
-			conditions.OwnSlots += t.limit()
+			conditions.LocalSlots += t.limit()
 		}
 	}
 	s.ledger.Tune(conditions)
@@ -219,7 +219,7 @@
 func (s *service) parts(names []ident.Workspace) []Part {
 	list := make([]Part, 0, len(names))
 	for _, name := range names {
-		list = append(list, Part{Service: s.name, Workspace: name, Served: s.ledger.Own(name)})
+		list = append(list, Part{Service: s.name, Workspace: name, Served: s.ledger.LocalService(name)})
 	}
 	return list
 }
@@ -228,7 +228,7 @@
 func (s *service) allParts() []Part {
 	var names []ident.Workspace
 	for _, w := range s.order {
-		if s.ledger.Own(w.Name) != 0 {
+		if s.ledger.LocalService(w.Name) != 0 {
 			names = append(names, w.Name)
 		}
 	}
--- a/internal/scheduler/ingress.go
+++ b/internal/scheduler/ingress.go
@@ -20,13 +20,13 @@
 		return resultcode.Fail(resultcode.NoTarget, "service %s lists no target", spec.Service)
 	}
 	failure = s.admission.Admit(now, admission.Arrival{
-		Workspace: w.Name,
-		Class:     uint8(spec.Class),
-		Deadline:  spec.Deadline,
-		Ahead:     w.queue.Ahead(uint8(spec.Class)),
-		Waiting:   w.waiting(),
-		Running:   w.running,
-		Total:     s.waiting(),
+		Workspace:    w.Name,
+		Class:        uint8(spec.Class),
+		Deadline:     spec.Deadline,
+		Ahead:        w.queue.Ahead(uint8(spec.Class)),
+		Waiting:      w.waiting(),
+		Running:      w.running,
+		TotalWaiting: s.waiting(),
 	})
 	if failure != nil {
 		return failure
@@ -82,7 +82,7 @@
 // changed tells admission how many requests wait.
 func (c *Core) changed(now time.Time, s *service, w *workspace) {
 	w.told = false
-	s.admission.Waiting(now, w.Name, w.waiting())
+	s.admission.SetWaiting(now, w.Name, w.waiting())
 }
 
 // Cancel withdraws a request whose caller left. A running one stays until
@@ -171,7 +171,7 @@
 		return
 	}
 	class := uint8(r.Class)
-	s.admission.Finished(class, result.Elapsed)
+	s.admission.RecordCompletion(class, result.Elapsed)
 	s.cost.add(result.Served)
 	s.rate.add(result.Served / result.Elapsed.Seconds())
 }
@@ -224,7 +224,7 @@
 	}
 	w := s.workspaces[g.Workspace]
 	for class := range uint8(classCount) {
-		w.queue.SetTypical(class, s.admission.Typical(class))
+		w.queue.SetMedianServiceTime(class, s.admission.MedianServiceTime(class))
 	}
 	if !w.mayUse(g.Target) {
 		return nil // The owner has another document in force.
@@ -237,7 +237,7 @@
 		return nil
 	}
 	w.running++
-	s.admission.Started(now, w.Name)
+	s.admission.RecordDispatch(now, w.Name)
 	s.places.dispatched(now, g.Target, it.Value)
 	return it.Value
 }
--- a/internal/scheduler/limits.go
+++ b/internal/scheduler/limits.go
@@ -46,12 +46,12 @@
 func (c *Core) sendLimits(now time.Time, s *service) {
 	var changed, all []Limit
 	for _, w := range s.order {
-		news, differs := s.admission.Tell(now, w.Name, w.waiting()+w.running)
+		news, differs := s.admission.LimitReport(now, w.Name, w.waiting()+w.running)
 		row := Limit{Service: s.name, Workspace: w.Name, News: news}
 		if differs {
 			changed = append(changed, row)
 		}
-		if s.admission.Spoke(w.Name) {
+		if s.admission.HasReported(w.Name) {
 			all = append(all, row)
 		}
 	}
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -57,7 +57,7 @@
 		if c.reduction == nil {
 			// In the reduced exchange, what replaces the estimate when the peer
 			// comes back would be missing in the sums that are told to others.
-			s.ledger.Lost(p.ID, share)
+			s.ledger.EstimateLost(p.ID, share)
 		}
 		for _, w := range s.order {
 			w.setDemand(p.ID, demand{})
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -37,7 +37,7 @@
 	}
 	s.freeing = slices.DeleteFunc(s.freeing, func(f freeing) bool { return now.Sub(f.since) >= preemptAnswer })
 	running, slots := s.occupied()
-	for slots > 0 && s.allowance.Open(now, slots) {
+	for slots > 0 && s.allowance.Available(now, slots) {
 		involved, list := s.standings(running)
 		to, from, ok := preemption.Choose(slots, list)
 		if !ok {
@@ -74,26 +74,26 @@
 }
 
 // standings lists the workspaces that have slots here or wait.
-func (s *service) standings(running map[ident.Workspace]int) (involved []*workspace, list []preemption.Standing) {
-	lead := s.ledger.Leads()
+func (s *service) standings(running map[ident.Workspace]int) (involved []*workspace, list []preemption.WorkspaceUsage) {
+	lead := s.ledger.SlotLeadFunc()
 	for _, w := range s.order {
 		if running[w.Name] == 0 && w.waiting() == 0 && w.remoteDemand() == 0 {
 			continue
 		}
-		one := preemption.Standing{
+		one := preemption.WorkspaceUsage{
 			Weight: w.Weight, Running: running[w.Name],
-			Questions: w.own().urgent + w.remote.urgent, Lead: lead(w.Name),
+			WaitingInteractive: w.own().urgent + w.remote.urgent, Lead: lead(w.Name),
 		}
 		if !w.here {
-			one.Questions = 0 // No slot of this owner is for it.
+			one.WaitingInteractive = 0 // No slot of this owner is for it.
 		}
 		for _, f := range s.freeing {
 			if f.to == w {
 				one.Running++
-				one.Questions--
+				one.WaitingInteractive--
 			}
 			if f.from == w {
-				one.Leaving++
+				one.Releasing++
 			}
 		}
 		involved, list = append(involved, w), append(list, one)
@@ -173,7 +173,7 @@
 		if !r.running || r.stopping || r.owner != like.owner || r.Service != like.Service || r.Workspace != like.Workspace {
 			continue
 		}
-		if !r.stream(s).Stoppable(now) {
+		if !r.stream(s).Preemptible(now) {
 			continue
 		}
 		if best == nil || r.loss() < best.loss() || r.loss() == best.loss() && r.grant.ID > best.grant.ID {
@@ -186,8 +186,8 @@
 func (r *request) stream(s *service) preemption.Stream {
 	return preemption.Stream{
 		Allowed: r.Preemptible && s.preemption && r.Class != Interactive,
-		Served:  r.loss(), Cost: r.Cost, Stops: r.Stops,
-		Deadline: r.Deadline, Typical: s.admission.Typical(uint8(r.Class)),
+		Served:  r.loss(), Cost: r.Cost, Preemptions: r.Stops,
+		Deadline: r.Deadline, MedianServiceTime: s.admission.MedianServiceTime(uint8(r.Class)),
 	}
 }
 
--- a/internal/scheduler/reduce.go
+++ b/internal/scheduler/reduce.go
@@ -107,7 +107,7 @@
 	for _, s := range c.services {
 		for _, w := range s.order {
 			if changed(w.shard) {
-				s.ledger.Rebase(w.Name)
+				s.ledger.ResetBaselines(w.Name)
 
 			}
 		}
@@ -134,7 +134,7 @@
 
 // sum is what this daemon adds up for a workspace.
 type sum struct {
-	fairshare.Sum
+	fairshare.Aggregate
 	// changed and zoneChanged tell that mates and other zones are to be told.
 	changed, zoneChanged bool
 }
@@ -157,7 +157,7 @@
 	}
 	if c.reduction == nil {
 		if now.Before(c.fullSettled) {
-			s.ledger.MergeMate(p.ID, p.Incarnation, part.Workspace, part.Served, true)
+			s.ledger.MergeZonePeer(p.ID, p.Incarnation, part.Workspace, part.Served, true)
 			return
 		}
 		s.ledger.Merge(p.ID, p.Incarnation, part.Workspace, part.Served)
@@ -167,9 +167,9 @@
 	if w == nil || p.Zone != c.cfg.Zone || !c.adds(w) {
 		return
 	}
-	added := s.ledger.MergeMate(p.ID, p.Incarnation, w.Name, part.Served, !c.settled(now, w))
+	added := s.ledger.MergeZonePeer(p.ID, p.Incarnation, w.Name, part.Served, !c.settled(now, w))
 	u := s.sum(w.Name)
-	u.AddMate(p.ID, added)
+	u.AddZonePeer(p.ID, added)
 	u.changed, u.zoneChanged = true, true
 }
 
@@ -187,10 +187,10 @@
 	by := fairshare.Origin{Zone: p.Zone, Daemon: p.ID, Incarnation: p.Incarnation}
 	switch {
 	case p.Zone == c.cfg.Zone:
-		s.ledger.MergeSum(by, w.Name, part.Served, !c.settled(now, w))
+		s.ledger.MergeAggregate(by, w.Name, part.Served, !c.settled(now, w))
 	case c.adds(w):
 		u := s.sum(w.Name)
-		u.AddBeyond(s.ledger.MergeSum(by, w.Name, part.Served, !c.settled(now, w)))
+		u.AddOtherZone(s.ledger.MergeAggregate(by, w.Name, part.Served, !c.settled(now, w)))
 		u.changed = true
 	}
 }
@@ -225,7 +225,7 @@
 // to know.
 func (c *Core) sendReducedTo(p *peer, s *service) {
 	for _, w := range s.order {
-		if !c.adds(w) && c.reduction.own(w.shard) == p.ID && s.ledger.Own(w.Name) != 0 {
+		if !c.adds(w) && c.reduction.own(w.shard) == p.ID && s.ledger.LocalService(w.Name) != 0 {
 			c.tellPart(p.ID, s, w)
 		}
 		if u := s.sums[w.Name]; u != nil && c.adds(w) {
@@ -239,19 +239,19 @@
 		return
 	}
 	m := c.message(to)
-	m.Parts = append(m.Parts, Part{Service: s.name, Workspace: w.Name, Served: s.ledger.Own(w.Name)})
+	m.Parts = append(m.Parts, Part{Service: s.name, Workspace: w.Name, Served: s.ledger.LocalService(w.Name)})
 }
 
 // tellSum tells a peer what concerns it of a sum: a mate what all others have
 // delivered, a counterpart in another zone what this zone has.
 func (c *Core) tellSum(p *peer, s *service, w *workspace, u *sum, zoneChanged bool) {
-	own := s.ledger.Own(w.Name)
+	own := s.ledger.LocalService(w.Name)
 	part := Part{Service: s.name, Workspace: w.Name}
 	switch {
 	case p.Zone == c.cfg.Zone:
-		part.Served = u.ForMate(p.ID, own)
+		part.Served = u.TotalForZonePeer(p.ID, own)
 	case zoneChanged && c.reduction.adder(p.Zone, w.shard) == p.ID:
-		part.Served = u.ForZone(own)
+		part.Served = u.ZoneTotal(own)
 	default:
 		return
 	}
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -21,7 +21,7 @@
 		for _, w := range s.order {
 			q := admin.Queue{
 				Service: s.name, Workspace: w.Name, Running: running[w],
-				Served: s.ledger.Own(w.Name), Weight: w.Weight, Lead: s.ledger.Lead(w.Name),
+				Served: s.ledger.LocalService(w.Name), Weight: w.Weight, Lead: s.ledger.Lead(w.Name),
 			}
 			for class := range q.Waiting {
 				q.Waiting[class] = w.queue.LenClass(uint8(class))
--- a/test/fairness/choosers.go
+++ b/test/fairness/choosers.go
@@ -318,7 +318,7 @@
 		for _, ws := range from.Changed() {
 			for _, to := range e.ledgers {
 				if to != from {
-					to.Merge(daemonOf(e.ledgers, from), 1, ws, from.Own(ws))
+					to.Merge(daemonOf(e.ledgers, from), 1, ws, from.LocalService(ws))
 				}
 			}
 		}
--- a/test/fairness/optimum.go
+++ b/test/fairness/optimum.go
@@ -70,8 +70,8 @@
 // tell makes both ledgers know what the two have charged the workspace.
 func (o *optimum) tell(workspace int) {
 	name := workspaceName(workspace)
-	o.apart.Merge("optimum", 1, name, o.ledger.Own(name))
-	o.ledger.Merge("apart", 1, name, o.apart.Own(name))
+	o.apart.Merge("optimum", 1, name, o.ledger.LocalService(name))
+	o.ledger.Merge("apart", 1, name, o.apart.LocalService(name))
 }
 
 func (o *optimum) exchange(b *baseline) {
@@ -84,9 +84,9 @@
 			slots[0] += e.slots
 		}
 	}
-	o.ledger.Tune(fairshare.Conditions{SlotRate: decodeRate, OwnSlots: slots[0], FleetSlots: slots[0]})
+	o.ledger.Tune(fairshare.Conditions{SlotRate: decodeRate, LocalSlots: slots[0], FleetSlots: slots[0]})
 	if o.apart != nil && b.run.cutOff {
-		o.apart.Tune(fairshare.Conditions{SlotRate: decodeRate, OwnSlots: slots[1], FleetSlots: slots[1]})
+		o.apart.Tune(fairshare.Conditions{SlotRate: decodeRate, LocalSlots: slots[1], FleetSlots: slots[1]})
 	}
 }
 
