--- a/internal/booking/candidates.go
+++ b/internal/booking/candidates.go
@@ -33,12 +33,12 @@
 	if shared == 0 {
 		return c.emptiest(now, usable, maxAsks)
 	}
-	spare := r.Late || !s.shares.within(now, r.Workspace, r.Cost(), s.rateOf(now))
+	spare := r.Late || !s.shares.withinShare(now, r.Workspace, r.Cost(), s.rateOf(now))
 	n := homes
-	if spare && !r.Begun {
+	if spare && !r.PreviouslyPlaced {
 		n = spareHomes
 	}
-	r.more = !spare && (shared < longPart || float64(shared) < longShare*float64(r.Prompt))
+	r.tryEmptiest = !spare && (shared < longPart || float64(shared) < longShare*float64(r.Prompt))
 	return homesOf(part, usable, n)
 }
 
@@ -47,7 +47,7 @@
 	var best [homes]*engine
 	var weights [homes]uint64
 	for _, e := range usable {
-		w := weight(part, e.Name)
+		w := rendezvousWeight(part, e.Name)
 		for i := range n {
 			if best[i] == nil || w > weights[i] {
 				copy(best[i+1:n], best[i:n-1])
@@ -91,16 +91,16 @@
 
 // further adds the emptiest targets once all homes were asked.
 func (c *Core) further(now time.Time, r *request) {
-	if len(r.candidates) > 0 || !r.more {
+	if len(r.candidates) > 0 || !r.tryEmptiest {
 		return
 	}
-	r.more = false
+	r.tryEmptiest = false
 	s := c.services[r.Service]
 	if s == nil {
 		return
 	}
 	for _, e := range c.emptiest(now, c.usable(now, s, r), maxAsks) {
-		if r.tried+len(r.candidates) < maxAsks && !slices.Contains(r.askedAt, e.engine) {
+		if r.ownersAsked+len(r.candidates) < maxAsks && !slices.Contains(r.askedEngines, e.engine) {
 			r.candidates = append(r.candidates, e)
 		}
 	}
@@ -110,11 +110,11 @@
 // that it should avoid, those are better than none.
 func (c *Core) usable(now time.Time, s *service, r *request) []*engine {
 	var open, avoided []*engine
-	for _, e := range s.order {
+	for _, e := range s.sortedEngines {
 		switch {
 		case slices.Contains(r.Avoid, e.Name):
 			avoided = append(avoided, e)
-		case e.shut(now):
+		case e.suspended(now):
 			avoided = append(avoided, e)
 		default:
 			open = append(open, e)
@@ -128,7 +128,7 @@
 
 // sharedPart names the part of a prompt by which its homes are chosen, the last one
 // that it shares with others, and counts the tokens up to its end.
-func sharedPart(parts []Part) (id uint64, tokens int) {
+func sharedPart(parts []PromptPart) (id uint64, tokens int) {
 	if len(parts) < 2 {
 		return 0, 0
 	}
@@ -151,5 +151,5 @@
 	if now.Sub(e.heard) > stale {
 		return 0
 	}
-	return e.told.Taken + e.told.Wait.Seconds()
+	return e.told.SlotUtilization + e.told.Wait.Seconds()
 }
--- a/internal/booking/capacity.go
+++ b/internal/booking/capacity.go
@@ -65,17 +65,17 @@
 }
 
 // readingPart is the part of its time that a target reads.
-func (e *engine) readingPart(now time.Time) float64 { return e.reading.now(now) / fade.Seconds() }
+func (e *engine) readingPart(now time.Time) float64 { return e.reading.now(now) / decayTime.Seconds() }
 
 // use is the mean over the targets of which something is known.
 func (s *service) use(now time.Time) float64 {
 	sum, n := 0.0, 0
-	for _, e := range s.order {
+	for _, e := range s.sortedEngines {
 		switch {
 		case e.owned:
 			sum += e.use(now)
 		case now.Sub(e.heard) <= stale:
-			sum += e.told.Use
+			sum += e.told.Utilization
 		default:
 			continue
 		}
@@ -90,19 +90,19 @@
 // shareUsed is how much of its share a workspace has had of late: one is all of it, zero also
 // where nobody is held to one.
 func (s *service) shareUsed(now time.Time, ws ident.Workspace) float64 {
-	if s.rate <= 0 || !s.model {
+	if s.rate <= 0 || !s.servesModel {
 		return 0
 	}
-	return s.shares.used(now, ws, s.rateOf(now))
+	return s.shares.shareUsed(now, ws, s.rateOf(now))
 }
 
 // rateOf is the rate of which workspaces have their shares.
 func (s *service) rateOf(now time.Time) rates {
-	if s.rate <= 0 || !s.model {
+	if s.rate <= 0 || !s.servesModel {
 		return rates{stated: s.rate}
 	}
-	if now.Sub(s.capacity.at) >= levelEvery {
-		s.capacity.observe(now, s.rate, s.shares.granted(now)/fade.Seconds(), s.use(now))
+	if now.Sub(s.capacity.at) >= levelInterval {
+		s.capacity.observe(now, s.rate, s.shares.totalGranted(now)/decayTime.Seconds(), s.use(now))
 	}
 	return rates{stated: s.rate, observed: s.capacity.rate}
 }
--- a/internal/booking/capacity_test.go
+++ b/internal/booking/capacity_test.go
@@ -29,7 +29,7 @@
 	for _, seed := range seeds {
 		s := newSim(seed, 4, 6, "hot", "hot 2", "b", "c", "d")
 		s.service.Rate = 400000
-		s.service.Fetch = time.Microsecond
+		s.service.FetchPerToken = time.Microsecond
 		s.tellPeers()
 		hotAndLight(s, 30)
 		s.run(20 * time.Second)
@@ -56,7 +56,7 @@
 			e.rate = simRate / 2
 		}
 		s.service.Rate = 400000
-		s.service.Fetch = time.Microsecond
+		s.service.FetchPerToken = time.Microsecond
 		s.tellPeers()
 		hotAndLight(s, 90)
 		s.run(20 * time.Second)
--- a/internal/booking/core.go
+++ b/internal/booking/core.go
@@ -11,162 +11,163 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// Config holds what a Core needs to know of its daemon.
+// Config identifies the daemon that a Core runs on.
 type Config struct {
 	Self        ident.Daemon
 	Incarnation uint64
 	Zone        ident.Zone
 }
 
-// Intervals and bounds.
+// Timeouts.
 const (
-	// askWait is how long the answer of another daemon is awaited. It is several
-	// times the way there and back with a busy owner, and below the time that a
-	// short objective leaves for another try.
-	askWait = 40 * time.Millisecond
-	// forget is how long an owner keeps a request of which it hears nothing more;
-	// a lost end then frees its place. No request lasts longer than a few seconds
-	// beyond its first byte, and an owner that forgets too early only takes too
-	// many for a moment.
-	forget = 12 * time.Second
-	// hearing is how long an owner that did not answer is passed over, unless it
-	// is heard before.
-	hearing = time.Second
+	// replyTimeout is how long to wait for the reply of another daemon. It is several round
+	// trips to a busy owner, and short enough that a tight latency objective leaves time for
+	// another attempt.
+	replyTimeout = 40 * time.Millisecond
+	// runTTL is how long an owner keeps a request about which it hears nothing more, so that a
+	// lost release frees its slot in the end. No request lasts more than a few seconds beyond
+	// its first byte, and an owner that drops one too early only admits too many for a moment.
+	runTTL = 12 * time.Second
+	// silentBackoff is how long an owner that did not reply is skipped, unless a message of it
+	// arrives earlier.
+	silentBackoff = time.Second
 )
 
-// Core is the booking state of one daemon. It is not safe for concurrent use: the
-// daemon's control goroutine owns it.
+// Core is the placement state of one daemon. It is not safe for concurrent use: the daemon's
+// control goroutine owns it.
 type Core struct {
-	cfg      Config
-	rng      *rand.Rand
-	leaving  bool
-	services map[ident.Service]*service
-	peers    map[ident.Daemon]*peer
-	requests map[ident.Request]*request
-	asks     map[uint64]*request
-	lastAsk  uint64
-	// sent are the asks that may still be out, in the order in which they were
-	// sent, so that a tick looks only at those that are due.
-	sent []sentAsk
-	runs map[runKey]*run
-	// held are the placed requests of this ingress that are held back, by the numbers
-	// of their runs; holds is until when, in order.
-	held    map[uint64]*request
-	holds   []heldUntil
-	returns returns
-	effects []Effect
-	outbox  map[ident.Daemon]*Message
-	// lastTell is when this daemon told others last, and nextTell when it is to.
-	lastTell, nextTell time.Time
-	circle             circle
-	// nextForget is when requests are looked for of which nothing is heard.
-	nextForget time.Time
+	cfg               Config
+	rng               *rand.Rand
+	leaving           bool
+	services          map[ident.Service]*service
+	peers             map[ident.Daemon]*peer
+	requests          map[ident.Request]*request
+	pending           map[uint64]*request
+	lastReservationID uint64
+	// sentReservations are the reservations that may still be unanswered, in the order in which
+	// they were sent, so that a tick looks only at those that are due.
+	sentReservations []sentReservation
+	runs             map[runKey]*run
+	// held are the placed requests of this ingress that are held back, by the IDs of their
+	// runs; holds lists when each hold ends, in order.
+	held          map[uint64]*request
+	holds         []heldUntil
+	callerRetries callerRetries
+	effects       []Effect
+	outbox        map[ident.Daemon]*Message
+	// lastPublish is when this daemon last published its sums, nextPublish when it next will.
+	lastPublish, nextPublish time.Time
+	group                    exchangeGroup
+	// nextExpiry is when to look next for requests about which nothing is heard.
+	nextExpiry time.Time
 }
 
-// sentAsk is an ask that may still be out.
-type sentAsk struct {
+// sentReservation is a reservation that may still be unanswered.
+type sentReservation struct {
 	id uint64
 	at time.Time
 }
 
 // service is the state of one service.
 type service struct {
-	name  ident.Service
-	model bool
-	rate  float64
-	// fetch is the time to copy one kept token between targets; zero: not possible.
-	fetch   time.Duration
-	engines map[ident.Target]*engine
-	// order lists them by name, so that no decision hangs on the order of a map.
-	order  []*engine
-	shares shares
-	// capacity is what its targets were seen to give.
+	name        ident.Service
+	servesModel bool
+	rate        float64
+	// fetchPerToken is the time to copy one cached token between targets; zero means that
+	// copying is not possible.
+	fetchPerToken time.Duration
+	engines       map[ident.Target]*engine
+	// sortedEngines lists the engines by name, so that no decision depends on map iteration
+	// order.
+	sortedEngines []*engine
+	shares        shares
+	// capacity is the observed capacity of its targets.
 	capacity capacity
-	// slowdown is what was learnt of streams beside reading.
+	// slowdown is the learned effect of prefill on running streams.
 	slowdown slowdown
-	// pace is what was learnt of all its targets that this daemon owns.
+	// pace is the prefill speed learned from all its targets that this daemon owns.
 	pace pace
 }
 
 // peer is the state kept about another daemon.
 type peer struct {
 	Peer
-	// silent is until when it is passed over because it did not answer.
-	silent time.Time
+	// silentUntil is until when the peer is skipped because it did not reply.
+	silentUntil time.Time
 }
 
-// runKey names a request on an owned target.
+// runKey identifies a request on an owned target.
 type runKey struct {
 	ingress ident.Daemon
 	id      uint64
 }
 
-// request is a request of this ingress: one that is being placed or that runs.
+// request is a request of this ingress that is being placed or runs.
 type request struct {
 	Request
-	// candidates are the targets still to be asked, tried counts those that were.
-	candidates []candidate
-	tried      int
-	// met tells that an owner was asked, back that one knows the request as one that
-	// comes back.
-	met, back bool
-	// more tells that the emptiest targets may be asked after the candidates.
-	more bool
-	// askedAt are the targets that were asked.
-	askedAt []*engine
-	// unheard are those whose owners did not answer, answered tells that one did.
-	unheard  []candidate
-	answered bool
-	// ask is the present one, zero while none is out; asked is when it was sent,
-	// at is the target, to the owner.
-	ask   uint64
-	asked time.Time
-	at    candidate
-	to    ident.Daemon
-	// least is the shortest wait that an owner told, limit, used and alone what it said
-	// with it.
-	least time.Duration
-	limit Limit
-	used  float64
-	alone time.Duration
-	// source is the target that keeps most of the prompt by what owners told, and
-	// sourceKept how many tokens.
-	source     ident.Target
-	sourceKept int
-	// here is how many tokens the target that answered last keeps.
-	here    int
-	running bool
-	began   time.Time
-	// read tells that the first byte of the answer has come.
-	read bool
-	// placedBy is the daemon that keeps the run; empty: this one.
-	placedBy ident.Daemon
+	// candidates are the targets still to be asked, ownersAsked counts those already asked.
+	candidates  []candidate
+	ownersAsked int
+	// contacted reports that an owner has received the request, callerRetry that one recognized
+	// it as a retry by the caller.
+	contacted, callerRetry bool
+	// tryEmptiest reports that the least loaded targets may be asked after the candidates.
+	tryEmptiest bool
+	// askedEngines are the targets that were asked.
+	askedEngines []*engine
+	// unresponsive are the targets whose owners did not reply, anyReply reports that one did.
+	unresponsive []candidate
+	anyReply     bool
+	// pendingID is the ID of the unanswered reservation, zero if there is none; sentAt is when
+	// it was sent, current its target and pendingOwner its recipient.
+	pendingID    uint64
+	sentAt       time.Time
+	current      candidate
+	pendingOwner ident.Daemon
+	// shortestWait is the shortest wait that an owner reported; limit, shareUsed and
+	// unloadedWait are from the same reply.
+	shortestWait time.Duration
+	limit        Limit
+	shareUsed    float64
+	unloadedWait time.Duration
+	// fetchSource is the target with the longest cached prefix according to the owners, and
+	// sourceTokens the length of that prefix.
+	fetchSource  ident.Target
+	sourceTokens int
+	// targetTokens is the length of the prefix that the target that replied last has cached.
+	targetTokens int
+	running      bool
+	placedAt     time.Time
+	// firstByteSeen reports that the first byte of the answer has arrived.
+	firstByteSeen bool
+	// runOwner is the daemon that records the run; empty if none does.
+	runOwner ident.Daemon
 	runID    uint64
-	// dispatch is what is emitted when it goes to its target.
+	// dispatch is the effect to emit when the request goes to its target.
 	dispatch Dispatch
 }
 
 type candidate struct {
-	engine *engine
-	by     string
+	engine     *engine
+	selectedBy string
 }
 
 // New returns a Core without services and peers.
 func New(cfg Config, rng *rand.Rand) *Core {
 	return &Core{
 		cfg: cfg, rng: rng,
-		services: map[ident.Service]*service{},
-		peers:    map[ident.Daemon]*peer{},
-		requests: map[ident.Request]*request{},
-		asks:     map[uint64]*request{},
-		runs:     map[runKey]*run{},
-		held:     map[uint64]*request{},
-		returns:  returns{},
-		outbox:   map[ident.Daemon]*Message{},
+		services:      map[ident.Service]*service{},
+		peers:         map[ident.Daemon]*peer{},
+		requests:      map[ident.Request]*request{},
+		pending:       map[uint64]*request{},
+		runs:          map[runKey]*run{},
+		held:          map[uint64]*request{},
+		callerRetries: callerRetries{},
+		outbox:        map[ident.Daemon]*Message{},
 	}
 }
 
-// Configure puts a new set of services in force.
+// Configure replaces the set of services.
 func (c *Core) Configure(now time.Time, services []Service) {
 	kept := make(map[ident.Service]*service, len(services))
 	for _, spec := range services {
@@ -174,32 +175,32 @@
 		if s == nil {
 			s = &service{name: spec.Name, engines: map[ident.Target]*engine{}, shares: newShares(), pace: assumedPace()}
 		}
-		s.model, s.rate, s.fetch = spec.Model, spec.Rate, spec.Fetch
+		s.servesModel, s.rate, s.fetchPerToken = spec.ServesModel, spec.Rate, spec.FetchPerToken
 		s.shares.configure(spec.Workspaces)
 		c.configureTargets(s, spec.Targets)
 		kept[spec.Name] = s
 	}
 	c.services = kept
-	c.assign(now)
+	c.assignOwners(now)
 }
 
 func (c *Core) configureTargets(s *service, targets []Target) {
 	engines := make(map[ident.Target]*engine, len(targets))
-	s.order = s.order[:0]
+	s.sortedEngines = s.sortedEngines[:0]
 	for _, spec := range targets {
 		e := s.engines[spec.Name]
 		if e == nil {
 			e = newEngine(s, spec)
 		}
-		if e.Born != spec.Born {
+		if e.Generation != spec.Generation {
 			c.dropRuns(e)
 			e.restarted()
 		}
 		e.Target = spec
 		engines[spec.Name] = e
-		s.order = append(s.order, e)
+		s.sortedEngines = append(s.sortedEngines, e)
 	}
-	sort.Slice(s.order, func(i, j int) bool { return s.order[i].Name < s.order[j].Name })
+	sort.Slice(s.sortedEngines, func(i, j int) bool { return s.sortedEngines[i].Name < s.sortedEngines[j].Name })
 	s.engines = engines
 }
 
@@ -209,67 +210,68 @@
 	}
 }
 
-// forgetEvery is how often requests are looked for of which nothing is heard.
-const forgetEvery = time.Second
+// expiryInterval is how often to look for requests about which nothing is heard.
+const expiryInterval = time.Second
 
-// leastTick bounds how soon Due asks for a tick: what is due within it is done in one go.
-const leastTick = 5 * time.Millisecond
+// minTickInterval is the lower bound of NextTick: everything due within it is handled in one
+// tick.
+const minTickInterval = 5 * time.Millisecond
 
-// Due returns how long it is until Tick has something to do. An idle daemon that ticks a
-// hundred times a second spends a sixth of its processor time on it.
-func (c *Core) Due(now time.Time) time.Duration {
-	next := c.nextTell
-	if c.nextForget.Before(next) {
-		next = c.nextForget
+// NextTick returns the time until Tick has something to do. An idle daemon that ticked a
+// hundred times a second would spend a sixth of its processor time on it.
+func (c *Core) NextTick(now time.Time) time.Duration {
+	next := c.nextPublish
+	if c.nextExpiry.Before(next) {
+		next = c.nextExpiry
 	}
-	for len(c.sent) > 0 && c.asks[c.sent[0].id] == nil {
-		c.sent = c.sent[1:] // it was answered
+	for len(c.sentReservations) > 0 && c.pending[c.sentReservations[0].id] == nil {
+		c.sentReservations = c.sentReservations[1:] // already answered
 	}
-	if len(c.sent) > 0 {
-		if answer := c.sent[0].at.Add(askWait); answer.Before(next) {
-			next = answer
+	if len(c.sentReservations) > 0 {
+		if timeout := c.sentReservations[0].at.Add(replyTimeout); timeout.Before(next) {
+			next = timeout
 		}
 	}
 	if at, ok := c.nextHold(); ok && at.Before(next) {
 		next = at
 	}
-	return max(leastTick, next.Sub(now))
+	return max(minTickInterval, next.Sub(now))
 }
 
-// Tick lets time pass.
+// Tick handles everything that has become due by now.
 func (c *Core) Tick(now time.Time) {
-	c.giveUpAsks(now)
+	c.timeOutReservations(now)
 	c.endHolds(now)
-	if !now.Before(c.nextForget) {
-		c.nextForget = now.Add(forgetEvery)
-		c.forgetRuns(now)
-		c.returns.forget(now)
+	if !now.Before(c.nextExpiry) {
+		c.nextExpiry = now.Add(expiryInterval)
+		c.expireRuns(now)
+		c.callerRetries.expire(now)
 	}
-	if !now.Before(c.nextTell) {
-		c.lastTell, c.nextTell = now, now.Add(c.interval())
-		c.tell(now)
+	if !now.Before(c.nextPublish) {
+		c.lastPublish, c.nextPublish = now, now.Add(c.publishInterval())
+		c.publish(now)
 	}
 }
 
-// giveUpAsks goes on with the requests whose owner has not answered in time.
-func (c *Core) giveUpAsks(now time.Time) {
-	for len(c.sent) > 0 && now.Sub(c.sent[0].at) >= askWait {
-		id := c.sent[0].id
-		c.sent = c.sent[1:]
-		r := c.asks[id]
-		if r == nil || r.ask != id {
-			continue // it was answered
+// timeOutReservations proceeds with the requests whose owners have not replied in time.
+func (c *Core) timeOutReservations(now time.Time) {
+	for len(c.sentReservations) > 0 && now.Sub(c.sentReservations[0].at) >= replyTimeout {
+		id := c.sentReservations[0].id
+		c.sentReservations = c.sentReservations[1:]
+		r := c.pending[id]
+		if r == nil || r.pendingID != id {
+			continue // already answered
 		}
-		if p := c.peers[r.to]; p != nil {
-			p.silent = now.Add(hearing)
+		if p := c.peers[r.pendingOwner]; p != nil {
+			p.silentUntil = now.Add(silentBackoff)
 		}
-		c.unanswered(now, r)
+		c.handleNoReply(now, r)
 	}
 }
 
-func (c *Core) forgetRuns(now time.Time) {
+func (c *Core) expireRuns(now time.Time) {
 	for key, r := range c.runs {
-		if now.After(r.until) {
+		if now.After(r.expiresAt) {
 			r.target.remove(now, r, 0)
 			delete(c.runs, key)
 			c.releaseBehind(now, r)
@@ -277,8 +279,8 @@
 	}
 }
 
-// Take returns the effects since the last call and forgets them.
-func (c *Core) Take() []Effect {
+// TakeEffects returns the effects since the last call and clears them.
+func (c *Core) TakeEffects() []Effect {
 	peers := make([]ident.Daemon, 0, len(c.outbox))
 	for id := range c.outbox {
 		peers = append(peers, id)
@@ -290,14 +292,14 @@
 		c.emit(Send{To: id, Message: *m})
 	}
 	clear(c.outbox)
-	taken := c.effects
+	effects := c.effects
 	c.effects = nil
-	return taken
+	return effects
 }
 
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
-func (c *Core) message(to ident.Daemon) *Message {
+func (c *Core) messageTo(to ident.Daemon) *Message {
 	m := c.outbox[to]
 	if m == nil {
 		m = &Message{}
@@ -306,11 +308,12 @@
 	return m
 }
 
-// Running returns how many requests of this ingress are placed or run.
+// Running returns how many requests of this ingress are being placed or run.
 func (c *Core) Running() int { return len(c.requests) }
 
-// weight orders targets for a shared part: the highest is its home.
-func weight(part uint64, target ident.Target) uint64 {
+// rendezvousWeight ranks targets for a shared part: the target with the highest weight is its
+// home.
+func rendezvousWeight(part uint64, target ident.Target) uint64 {
 	var b [8]byte
 	for i := range b {
 		b[i] = byte(part >> (8 * i))
--- a/internal/booking/core_bench_test.go
+++ b/internal/booking/core_bench_test.go
@@ -10,9 +10,9 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// BenchmarkPlacing is the processor time of an ingress for a request whose owner
-// answers, in a fleet of 67 daemons before 60 engines with 30 workspaces, while so
-// many of its requests run.
+// BenchmarkPlacing measures the processor time of an ingress for a request whose owner replies,
+// in a fleet of 67 daemons with 60 engines and 30 workspaces, while the given number of its
+// requests run.
 func BenchmarkPlacing(b *testing.B) {
 	for _, running := range []int{0, 1000, 4000} {
 		b.Run(fmt.Sprintf("running=%d", running), func(b *testing.B) { benchmarkPlacing(b, running) })
@@ -26,30 +26,30 @@
 	for i := range 66 {
 		peers = append(peers, booking.Peer{ID: ident.Daemon(fmt.Sprintf("d%02d", i+1)), Incarnation: 1, Zone: "z"})
 	}
-	service := booking.Service{Name: "pool", Model: true, Rate: 2e6}
+	service := booking.Service{Name: "pool", ServesModel: true, Rate: 2e6}
 	for i := range 60 {
 		service.Targets = append(service.Targets, booking.Target{Name: ident.Target(fmt.Sprintf("engine-%02d", i)), Zone: "z", Slots: 32, Memory: 444000})
 	}
 	for i := range 30 {
 		service.Workspaces = append(service.Workspaces, booking.Workspace{Name: ident.Workspace(fmt.Sprintf("w%02d", i)), Weight: 1})
 	}
-	c.Peers(now, peers)
+	c.SetPeers(now, peers)
 	c.Configure(now, []booking.Service{service})
 	place := func(id int) ident.Request {
 		r := booking.Request{
 			ID: ident.Request(fmt.Sprintf("r%08d", id)), Service: "pool", Workspace: service.Workspaces[id%30].Name,
-			Prompt: 2000, Output: 100, Due: now.Add(time.Second),
-			Parts: []booking.Part{{ID: uint64(id % 500), Tokens: 500}, {ID: uint64(id) << 32, Tokens: 1500}},
+			Prompt: 2000, Output: 100, Deadline: now.Add(time.Second),
+			Parts: []booking.PromptPart{{ID: uint64(id % 500), Tokens: 500}, {ID: uint64(id) << 32, Tokens: 1500}},
 		}
 		c.Submit(now, r)
-		for _, e := range c.Take() {
+		for _, e := range c.TakeEffects() {
 			if s, ok := e.(booking.Send); ok {
-				for _, a := range s.Message.Asks {
+				for _, a := range s.Message.Reservations {
 					c.Receive(now, s.To, booking.Message{Incarnation: 1, Replies: []booking.Reply{{ID: a.ID, OK: true}}})
 				}
 			}
 		}
-		c.Take()
+		c.TakeEffects()
 		return r.ID
 	}
 	for i := range running {
@@ -63,6 +63,6 @@
 		if i%10 == 0 {
 			c.Tick(now)
 		}
-		c.Take()
+		c.TakeEffects()
 	}
 }
--- a/internal/booking/engine.go
+++ b/internal/booking/engine.go
@@ -47,7 +47,7 @@
 	// memory is what they fill beyond their shared parts when they have ended.
 	memory int
 	// reading is the time in seconds that it reads what was sent to it of late.
-	reading faded
+	reading decayingSum
 	// readTotal adds up all that time.
 	readTotal time.Duration
 	// free is when everything that stands on it will have been read.
@@ -88,18 +88,18 @@
 
 // expect returns when the first byte of a request would come if it were sent now.
 func (e *engine) expect(now time.Time, r *run) time.Time {
-	if !e.service.model {
+	if !e.service.servesModel {
 		return now.Add(e.queueing() + e.work)
 	}
-	begin := later(e.free, now.Add(r.fetch))
+	begin := later(e.free, now.Add(r.fetchTime))
 	return begin.Add(e.overhead + e.reads(r))
 }
 
 // alone is the time to the first byte of a prompt where nothing else is to be read.
-func (e *engine) alone(r *run) time.Duration { return r.fetch + e.overhead + e.reads(r) }
+func (e *engine) alone(r *run) time.Duration { return r.fetchTime + e.overhead + e.reads(r) }
 
 // reads is how long the engine reads a prompt.
-func (e *engine) reads(r *run) time.Duration { return e.pace.of(r.work) }
+func (e *engine) reads(r *run) time.Duration { return e.pace.of(r.prefillWork) }
 
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
@@ -119,7 +119,7 @@
 
 // backlog is the time until a new prompt would be begun.
 func (e *engine) backlog(now time.Time) time.Duration {
-	if !e.service.model {
+	if !e.service.servesModel {
 		return e.queueing()
 	}
 	return max(0, e.free.Sub(now))
@@ -138,9 +138,9 @@
 
 // add notes a request that goes to the target now.
 func (e *engine) add(now time.Time, r *run) {
-	r.target, r.at = e, now
+	r.target, r.addedAt = e, now
 	r.expected = e.expect(now, r)
-	if e.service.model && !r.read {
+	if e.service.servesModel && !r.prefillDone {
 		// While a beginning is copied the engine reads for others.
 		e.free = later(e.free, now).Add(e.reads(r))
 		e.reading.add(now, e.reads(r).Seconds())
@@ -149,7 +149,7 @@
 	e.runs = append(e.runs, r)
 	e.memory += r.memory
 	var reader *run
-	if !r.read {
+	if !r.prefillDone {
 		reader = r
 	}
 	e.kept.use(now, r.shared, reader, e.Memory-e.memory)
@@ -157,13 +157,13 @@
 
 // first takes in that the first byte of a request has come.
 func (e *engine) first(now time.Time, r *run, took time.Duration) {
-	if r.read {
+	if r.prefillDone {
 		return
 	}
-	r.read = true
+	r.prefillDone = true
 	e.kept.readBy(r)
-	r.firstAt, r.readBefore = now, e.readTotal
-	if e.service.model {
+	r.firstByteAt, r.prefillBefore = now, e.readTotal
+	if e.service.servesModel {
 		e.learnPace(now, r, took)
 	}
 }
@@ -174,12 +174,12 @@
 // whichever is later. Where it found nothing before it, what its own reading does
 // not explain is overhead.
 func (e *engine) learnPace(now time.Time, r *run, took time.Duration) {
-	queued := e.lastRead.After(r.at)
+	queued := e.lastRead.After(r.addedAt)
 	reading := took - e.overhead
 	if queued {
 		reading = min(reading, now.Sub(e.lastRead))
 	} else {
-		reading -= r.fetch
+		reading -= r.fetchTime
 	}
 	switch {
 	case took < e.overhead:
@@ -187,9 +187,9 @@
 		// it, and nothing else would correct an overhead that was learnt while the
 		// engine was busy with what this owner does not know of.
 		e.overhead += time.Duration(unlearn * float64(took-e.overhead))
-	case r.work >= leastWork && reading > 0:
-		e.pace.observe(r.work, reading)
-		e.service.pace.observe(r.work, reading)
+	case r.prefillWork >= leastWork && reading > 0:
+		e.pace.observe(r.prefillWork, reading)
+		e.service.pace.observe(r.prefillWork, reading)
 	case !queued:
 		own := e.reads(r)
 		e.overhead += time.Duration(learn * float64(max(0, took-own)-e.overhead))
@@ -207,8 +207,8 @@
 func (e *engine) settle(now time.Time) {
 	work := 0.0
 	for _, r := range e.runs {
-		if !r.read {
-			work += r.work
+		if !r.prefillDone {
+			work += r.prefillWork
 		}
 	}
 	e.free = now.Add(e.pace.of(work))
@@ -224,17 +224,17 @@
 	e.runs = slices.Delete(e.runs, i, i+1)
 	e.memory -= r.memory
 	e.kept.release(now, r.shared)
-	if r.read {
-		e.kept.leave(now, r.own, e.Memory-e.memory)
+	if r.prefillDone {
+		e.kept.leave(now, r.ownPart, e.Memory-e.memory)
 	}
-	if !e.service.model {
+	if !e.service.servesModel {
 		if elapsed > 0 && elapsed < time.Second {
 			e.work += time.Duration(learn * float64(elapsed-e.work))
 		}
 		return
 	}
-	if !r.read {
-		r.read = true
+	if !r.prefillDone {
+		r.prefillDone = true
 		e.kept.unreadBy(r)
 		e.settle(now)
 	}
--- a/internal/booking/fetch.go
+++ b/internal/booking/fetch.go
@@ -30,10 +30,10 @@
 // reading returns the work that a prompt costs a target that keeps so many tokens of
 // its beginning, and the time of a copy where another one keeps more.
 func (s *service) reading(prompt, kept, elsewhere int) (work float64, fetch time.Duration) {
-	if s.fetch <= 0 || elsewhere-kept < leastFetch {
+	if s.fetchPerToken <= 0 || elsewhere-kept < leastFetch {
 		return workOf(prompt, kept), 0
 	}
-	return workOf(prompt, elsewhere), fetchStart + time.Duration(elsewhere-kept)*s.fetch
+	return workOf(prompt, elsewhere), fetchStart + time.Duration(elsewhere-kept)*s.fetchPerToken
 }
 
 // newOwner is how long an owner takes what ingresses know of a target beside what it has
@@ -43,10 +43,10 @@
 const newOwner = 10 * time.Second
 
 // keeps returns how many tokens of a prompt's beginning a target keeps.
-func (e *engine) keeps(now time.Time, a *Ask) int {
+func (e *engine) keeps(now time.Time, a *Reservation) int {
 	known := e.kept.hit(a.Parts)
 	if now.Sub(e.since) < newOwner {
-		known = max(known, min(a.Here, a.Prompt))
+		known = max(known, min(a.CachedHint, a.Prompt))
 	}
 	return known
 }
@@ -57,11 +57,11 @@
 // reach as well, and a request that waits for its copy would hang.
 func (c *Core) lookForSource(now time.Time, r *request) {
 	for _, home := range r.candidates {
-		if home.engine.shut(now) || c.silent(now, home.engine) {
+		if home.engine.suspended(now) || c.ownerSilent(now, home.engine) {
 			continue
 		}
-		if kept := home.engine.kept.hit(r.Parts); kept > r.sourceKept {
-			r.source, r.sourceKept = home.engine.Name, kept
+		if kept := home.engine.kept.hit(r.Parts); kept > r.sourceTokens {
+			r.fetchSource, r.sourceTokens = home.engine.Name, kept
 		}
 	}
 }
@@ -70,8 +70,8 @@
 // beginning of its prompt; empty: none.
 func (c *Core) sourceOf(r *request) ident.Target {
 	s := c.services[r.Service]
-	if s == nil || s.fetch <= 0 || r.sourceKept-r.here < leastFetch || r.source == r.at.engine.Name {
+	if s == nil || s.fetchPerToken <= 0 || r.sourceTokens-r.targetTokens < leastFetch || r.fetchSource == r.current.engine.Name {
 		return ""
 	}
-	return r.source
+	return r.fetchSource
 }
--- a/internal/booking/fetch_test.go
+++ b/internal/booking/fetch_test.go
@@ -22,7 +22,7 @@
 			for _, e := range s.engines {
 				e.rate = 50
 			}
-			s.service.Fetch = fetch
+			s.service.FetchPerToken = fetch
 			s.tellPeers()
 			s.offer(load{workspace: "a", perSecond: 75, to: 12 * time.Second, objective: 800 * time.Millisecond, make: session(1, 12, 13000, 3000, 40)})
 			s.run(18 * time.Second)
@@ -45,14 +45,14 @@
 func TestANewOwnerHearsWhatItsTargetsKeep(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	_, owner, name := two(now)
+	_, owner, name := newIngressAndOwner(now)
 	other := map[ident.Daemon]ident.Daemon{"a": "b", "b": "a"}[name]
 	takes := func(id uint64, here int) bool {
-		owner.Receive(now, other, booking.Message{Incarnation: 1, Asks: []booking.Ask{{
-			ID: id, Service: "pool", Target: "t", Workspace: "w", Prompt: 15000, Output: 10, Here: here, Left: 100 * time.Millisecond,
-			Parts: []booking.Part{{ID: id, Tokens: 13000}, {ID: 1000 + id, Tokens: 2000}},
+		owner.Receive(now, other, booking.Message{Incarnation: 1, Reservations: []booking.Reservation{{
+			ID: id, Service: "pool", Target: "t", Workspace: "w", Prompt: 15000, Output: 10, CachedHint: here, Remaining: 100 * time.Millisecond,
+			Parts: []booking.PromptPart{{ID: id, Tokens: 13000}, {ID: 1000 + id, Tokens: 2000}},
 		}}})
-		for _, e := range owner.Take() {
+		for _, e := range owner.TakeEffects() {
 			if s, ok := e.(booking.Send); ok && len(s.Message.Replies) > 0 {
 				return s.Message.Replies[0].OK
 			}
--- a/internal/booking/hasten.go
+++ b/internal/booking/hasten.go
@@ -15,17 +15,17 @@
 
 // hasten brings the next word forward where a workspace asks for twice as much as was told.
 func (c *Core) hasten(now time.Time, s *service, a *account) {
-	soon := c.lastTell.Add(leastTell)
-	if c.circle.hub == "" || !s.model || s.rate <= 0 || !soon.Before(c.nextTell) {
+	soon := c.lastPublish.Add(leastTell)
+	if c.group.hub == "" || !s.servesModel || s.rate <= 0 || !soon.Before(c.nextPublish) {
 		return
 	}
 	scope := ScopeOwn
-	if c.circle.isHub(c.cfg.Self) {
+	if c.group.isHub(c.cfg.Self) {
 		scope = ScopeFleet
 	}
-	told := a.sent[scope].now(now).asked
+	told := a.published[scope].now(now).asked
 	more := c.sumsOf(now, a, scope).asked - told
-	if more > max(told, worthHaste*min(a.weight*s.shares.level, s.rate*fade.Seconds())) {
-		c.nextTell = soon
+	if more > max(told, worthHaste*min(a.weight*s.shares.level, s.rate*decayTime.Seconds())) {
+		c.nextPublish = soon
 	}
 }
--- a/internal/booking/health.go
+++ b/internal/booking/health.go
@@ -5,7 +5,7 @@
 // health is how the requests on a target ended of late.
 type health struct {
 	// failures and ends are sums that fade.
-	failures, ends faded
+	failures, ends decayingSum
 	// row counts the failures since the last good end.
 	row int
 	// closed is until when no request is taken but one in probeEvery.
--- a/internal/booking/hold.go
+++ b/internal/booking/hold.go
@@ -35,8 +35,8 @@
 
 // holdBack returns for how long at most a request is to be held back, and notes for which
 // one. It ends before the answer would be late for sure.
-func (e *engine) holdBack(now time.Time, a *Ask, r *run) time.Duration {
-	if a.Taken || !e.service.model {
+func (e *engine) holdBack(now time.Time, a *Reservation, r *run) time.Duration {
+	if a.Running || !e.service.servesModel {
 		return 0
 	}
 	reader, tokens := e.kept.reading(r.shared)
@@ -45,27 +45,27 @@
 	}
 	left := max(0, reader.expected.Sub(now))
 	hold := left + time.Duration(holdSlack*float64(left)) + holdSlackLeast
-	hold = min(hold, a.Left-e.overhead-e.reads(r))
+	hold = min(hold, a.Remaining-e.overhead-e.reads(r))
 	if hold <= 0 {
 		return 0
 	}
-	r.behind = reader
+	r.heldBehind = reader
 	return hold
 }
 
 // releaseBehind tells those who hold requests back for another one that it is over.
 func (c *Core) releaseBehind(now time.Time, before *run) {
 	for _, r := range before.target.runs {
-		if r.behind != before {
+		if r.heldBehind != before {
 			continue
 		}
-		r.behind = nil
+		r.heldBehind = nil
 		if r.ingress == c.cfg.Self {
 			c.goOn(r.id)
 			continue
 		}
 		if c.peers[r.ingress] != nil {
-			m := c.message(r.ingress)
+			m := c.messageTo(r.ingress)
 			m.Ready = append(m.Ready, r.id)
 		}
 	}
--- a/internal/booking/hold_test.go
+++ b/internal/booking/hold_test.go
@@ -23,7 +23,7 @@
 		left--
 		return booking.Request{
 			Prompt: shared + own, Output: 30,
-			Parts: []booking.Part{{ID: id, Tokens: shared}, {ID: rng.Uint64(), Tokens: own}},
+			Parts: []booking.PromptPart{{ID: id, Tokens: shared}, {ID: rng.Uint64(), Tokens: own}},
 		}
 	}
 }
@@ -59,7 +59,7 @@
 
 func newBurst(t *testing.T) *burst {
 	b := &burst{is: is.New(t), now: time.Unix(1000, 0)}
-	b.ingress, b.owner, b.name = two(b.now)
+	b.ingress, b.owner, b.name = newIngressAndOwner(b.now)
 	b.other = map[ident.Daemon]ident.Daemon{"a": "b", "b": "a"}[b.name]
 	b.is.Equal(len(b.submit("first")), 1)
 	b.now = b.now.Add(10 * time.Millisecond)
@@ -69,25 +69,25 @@
 
 // submit places a request and returns the targets it was sent to at once.
 func (b *burst) submit(id ident.Request) []ident.Target {
-	parts := []booking.Part{{ID: 7, Tokens: 13000}, {ID: uint64(len(id)), Tokens: 500}}
+	parts := []booking.PromptPart{{ID: 7, Tokens: 13000}, {ID: uint64(len(id)), Tokens: 500}}
 	b.ingress.Submit(b.now, booking.Request{
-		ID: id, Service: "pool", Workspace: "w", Prompt: 13500, Output: 10, Parts: parts, Due: b.now.Add(2 * time.Second),
+		ID: id, Service: "pool", Workspace: "w", Prompt: 13500, Output: 10, Parts: parts, Deadline: b.now.Add(2 * time.Second),
 	})
 	return b.exchange()
 }
 
 // exchange carries messages there and back and returns the targets of what was sent.
 func (b *burst) exchange() []ident.Target {
-	placed := pass(b.now, b.ingress, b.owner, b.other)
-	pass(b.now, b.owner, b.ingress, b.name)
-	return append(placed, pass(b.now, b.ingress, b.owner, b.other)...)
+	placed := deliver(b.now, b.ingress, b.owner, b.other)
+	deliver(b.now, b.owner, b.ingress, b.name)
+	return append(placed, deliver(b.now, b.ingress, b.owner, b.other)...)
 }
 
 // The first byte of the first answer tells that the file has been read.
 func TestAHeldRequestGoesWhenItsPartHasBeenRead(t *testing.T) {
 	b := newBurst(t)
 	b.now = b.now.Add(200 * time.Millisecond)
-	b.ingress.First(b.now, "first", 210*time.Millisecond)
+	b.ingress.FirstByte(b.now, "first", 210*time.Millisecond)
 	b.is.Equal(len(b.exchange()), 1)
 	b.now = b.now.Add(time.Second)
 	b.ingress.Tick(b.now)
@@ -109,7 +109,7 @@
 	b.ingress.Tick(b.now)
 	b.is.Equal(len(b.exchange()), 0)
 	b.now = b.now.Add(600 * time.Millisecond)
-	b.is.True(b.ingress.Due(b.now) <= 5*time.Millisecond)
+	b.is.True(b.ingress.NextTick(b.now) <= 5*time.Millisecond)
 	b.ingress.Tick(b.now)
 	b.is.Equal(len(b.exchange()), 1)
 }
@@ -120,9 +120,9 @@
 	b := newBurst(t)
 	b.ingress.Finish(b.now, "second", booking.Result{})
 	b.exchange()
-	b.is.Equal(taken(t, b.now, b.owner), 1.0/8)
+	b.is.Equal(slotUtilization(t, b.now, b.owner), 1.0/8)
 	b.now = b.now.Add(200 * time.Millisecond)
-	b.ingress.First(b.now, "first", 210*time.Millisecond)
+	b.ingress.FirstByte(b.now, "first", 210*time.Millisecond)
 	b.is.Equal(len(b.exchange()), 0)
 	b.now = b.now.Add(2 * time.Second)
 	b.ingress.Tick(b.now)
--- a/internal/booking/ingress.go
+++ b/internal/booking/ingress.go
@@ -8,28 +8,28 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-// Submit places a request: a Dispatch or a Refuse follows.
+// Submit starts the placement of a request; a Dispatch or a Refuse follows.
 func (c *Core) Submit(now time.Time, spec Request) {
 	s := c.services[spec.Service]
 	if s == nil {
-		// Routes are in force a moment before this Core hears of their services. To
-		// say that the service does not exist would end the request for good.
+		// Routes come into force a moment before this Core learns about their services. A "not
+		// found" would be final for the caller.
 		c.refuse(spec.ID, resultcode.Fail(resultcode.NoTarget, "service %s", spec.Service))
 		return
 	}
-	r := &request{Request: spec, met: spec.Known}
+	r := &request{Request: spec, contacted: spec.OwnerContacted}
 	r.candidates = c.candidates(now, s, r)
 	if len(r.candidates) == 0 {
 		c.refuse(spec.ID, resultcode.Fail(resultcode.NoTarget, "service %s", spec.Service))
 		return
 	}
 	c.requests[spec.ID] = r
-	c.next(now, r)
+	c.tryNext(now, r)
 }
 
-// Wanted counts what a workspace asked for and was refused for want of processor time,
-// before a place was looked for.
-func (c *Core) Wanted(now time.Time, name ident.Service, ws ident.Workspace, cost float64) {
+// RecordShed counts the cost of a request that was refused for lack of processor time before
+// its placement began.
+func (c *Core) RecordShed(now time.Time, name ident.Service, ws ident.Workspace, cost float64) {
 	if s := c.services[name]; s != nil {
 		a := s.shares.account(ws)
 		a.own.asked.add(now, cost)
@@ -44,162 +44,162 @@
 	c.emit(Refuse{Request: id, Failure: f})
 }
 
-// next asks for the next candidate, or ends the placing.
-func (c *Core) next(now time.Time, r *request) {
+// tryNext asks the owner of the next candidate, or ends the placement.
+func (c *Core) tryNext(now time.Time, r *request) {
 	for c.further(now, r); len(r.candidates) > 0; c.further(now, r) {
-		r.at, r.candidates = r.candidates[0], r.candidates[1:]
-		r.tried++
-		e := r.at.engine
-		r.askedAt = append(r.askedAt, e)
+		r.current, r.candidates = r.candidates[0], r.candidates[1:]
+		r.ownersAsked++
+		e := r.current.engine
+		r.askedEngines = append(r.askedEngines, e)
 		if e.owned {
-			reply := c.take(now, c.cfg.Self, c.newAsk(now, r))
-			r.heard(reply)
+			reply := c.admit(now, c.cfg.Self, c.nextReservation(now, r))
+			r.recordReply(reply)
 			if reply.OK {
 				c.place(now, r, c.cfg.Self, reply.Hold)
 				return
 			}
 			continue
 		}
-		if c.silent(now, e) {
-			r.passOver()
+		if c.ownerSilent(now, e) {
+			r.deferUnresponsive()
 			continue
 		}
-		c.ask(now, r, e)
+		c.sendReservation(now, r, e)
 		return
 	}
-	if !r.answered && c.blind(now, r) {
+	if !r.anyReply && c.placeUnconfirmed(now, r) {
 		return
 	}
 	delete(c.requests, r.ID)
-	c.countUnheard(r)
-	c.emit(Refuse{Request: r.ID, Failure: c.full(r), Basis: r.basis()})
+	c.countUnanswered(r)
+	c.emit(Refuse{Request: r.ID, Failure: c.refusal(r), Basis: r.decisionBasis()})
 }
 
-// basis is what is known of the decision about a request.
-func (r *request) basis() Basis {
-	return Basis{By: r.at.by, Expected: r.least, Asks: r.tried, Limit: r.limit, Used: r.used, Alone: r.alone, Back: r.back}
+// decisionBasis returns the basis of the present decision about a request.
+func (r *request) decisionBasis() Basis {
+	return Basis{SelectedBy: r.current.selectedBy, Expected: r.shortestWait, OwnersAsked: r.ownersAsked, Limit: r.limit, ShareUsed: r.shareUsed, UnloadedWait: r.unloadedWait, CallerRetry: r.callerRetry}
 }
 
-// silent tells whether the owner of a target is another daemon that does not answer.
-func (c *Core) silent(now time.Time, e *engine) bool {
+// ownerSilent reports whether the owner of a target is another daemon that does not reply.
+func (c *Core) ownerSilent(now time.Time, e *engine) bool {
 	p := c.peers[e.owner]
-	return !e.owned && (p == nil || now.Before(p.silent))
+	return !e.owned && (p == nil || now.Before(p.silentUntil))
 }
 
-// passOver leaves a target to the last whose owner does not answer.
+// deferUnresponsive leaves a target whose owner does not reply until all others were asked.
 //
-// It guards against an availability zone that is cut off: a target is owned by a daemon
-// of its own zone, so that where the owner is silent the target most likely is too. Sent
-// there blindly a request hangs for a second, ends as one that may have run, and may not
-// be sent anywhere else, while other zones have room.
-func (r *request) passOver() {
-	r.unheard = append(r.unheard, r.at)
-	r.more = true
+// It guards against the partition of an availability zone: a target is owned by a daemon of its
+// own zone, so that the target is most likely unreachable too if its owner is silent. A request
+// that was sent there without a reply would hang for a second and end with an unknown outcome,
+// so that it must not be retried elsewhere although other zones have capacity.
+func (r *request) deferUnresponsive() {
+	r.unresponsive = append(r.unresponsive, r.current)
+	r.tryEmptiest = true
 }
 
-// heard takes in what an owner said: the wait at the target that takes the request,
-// or the shortest of those that do not.
-func (r *request) heard(reply Reply) {
-	r.answered = true
-	r.back = r.back || reply.Back
-	r.Late = r.Late || reply.Back
-	if reply.OK || r.least == 0 || reply.Wait < r.least {
-		r.least, r.limit, r.used, r.alone = reply.Wait, reply.Limit, reply.Used, reply.Alone
+// recordReply records what an owner replied: the wait at the target that admits the request, or
+// the shortest wait among those that refuse it.
+func (r *request) recordReply(reply Reply) {
+	r.anyReply = true
+	r.callerRetry = r.callerRetry || reply.CallerRetry
+	r.Late = r.Late || reply.CallerRetry
+	if reply.OK || r.shortestWait == 0 || reply.Wait < r.shortestWait {
+		r.shortestWait, r.limit, r.shareUsed, r.unloadedWait = reply.Wait, reply.Limit, reply.ShareUsed, reply.UnloadedWait
 	}
-	r.here = reply.Kept
-	if reply.Kept > r.sourceKept && !reply.OK {
-		r.source, r.sourceKept = r.at.engine.Name, reply.Kept
+	r.targetTokens = reply.CachedTokens
+	if reply.CachedTokens > r.sourceTokens && !reply.OK {
+		r.fetchSource, r.sourceTokens = r.current.engine.Name, reply.CachedTokens
 	}
 }
 
-// newAsk describes a request under a new number.
-func (c *Core) newAsk(now time.Time, r *request) Ask {
-	c.lastAsk++
-	r.runID = c.lastAsk
+// nextReservation returns a reservation with a new ID for the current candidate.
+func (c *Core) nextReservation(now time.Time, r *request) Reservation {
+	c.lastReservationID++
+	r.runID = c.lastReservationID
 	c.lookForSource(now, r)
-	a := r.describe(now)
-	a.First = !r.met && !r.Begun
-	r.met = true
+	a := r.newReservation(now)
+	a.FirstContact = !r.contacted && !r.PreviouslyPlaced
+	r.contacted = true
 	return a
 }
 
-func (r *request) describe(now time.Time) Ask {
-	return Ask{
-		ID: r.runID, Service: r.Service, Target: r.at.engine.Name, Workspace: r.Workspace,
-		Prompt: r.Prompt, Output: r.Output, Parts: r.Parts, Left: r.Due.Sub(now), Late: r.Late, Begun: r.Begun,
-		Here: r.at.engine.kept.hit(r.Parts), Elsewhere: r.sourceKept,
+func (r *request) newReservation(now time.Time) Reservation {
+	return Reservation{
+		ID: r.runID, Service: r.Service, Target: r.current.engine.Name, Workspace: r.Workspace,
+		Prompt: r.Prompt, Output: r.Output, Parts: r.Parts, Remaining: r.Deadline.Sub(now), Late: r.Late, PreviouslyPlaced: r.PreviouslyPlaced,
+		CachedHint: r.current.engine.kept.hit(r.Parts), CachedElsewhere: r.sourceTokens,
 	}
 }
 
-func (c *Core) ask(now time.Time, r *request, e *engine) {
-	a := c.newAsk(now, r)
-	r.ask, r.asked, r.to = a.ID, now, e.owner
-	c.asks[a.ID] = r
-	c.sent = append(c.sent, sentAsk{a.ID, now})
-	m := c.message(e.owner)
-	m.Asks = append(m.Asks, a)
+func (c *Core) sendReservation(now time.Time, r *request, e *engine) {
+	a := c.nextReservation(now, r)
+	r.pendingID, r.sentAt, r.pendingOwner = a.ID, now, e.owner
+	c.pending[a.ID] = r
+	c.sentReservations = append(c.sentReservations, sentReservation{a.ID, now})
+	m := c.messageTo(e.owner)
+	m.Reservations = append(m.Reservations, a)
 }
 
-// answered takes an owner's answer.
-func (c *Core) answered(now time.Time, from ident.Daemon, reply Reply) {
-	r := c.asks[reply.ID]
-	if r == nil || r.ask != reply.ID {
-		// Placed elsewhere meanwhile, or its caller has left: the place is free.
+// handleReply processes an owner's reply.
+func (c *Core) handleReply(now time.Time, from ident.Daemon, reply Reply) {
+	r := c.pending[reply.ID]
+	if r == nil || r.pendingID != reply.ID {
+		// The request was placed elsewhere meanwhile, or its caller has left: release the slot.
 		if reply.OK {
-			m := c.message(from)
-			m.Ends = append(m.Ends, End{ID: reply.ID})
+			m := c.messageTo(from)
+			m.Releases = append(m.Releases, Release{ID: reply.ID})
 		}
 		return
 	}
-	delete(c.asks, r.ask)
-	r.ask = 0
-	r.heard(reply)
+	delete(c.pending, r.pendingID)
+	r.pendingID = 0
+	r.recordReply(reply)
 	if reply.OK {
 		c.place(now, r, from, reply.Hold)
 		return
 	}
-	c.next(now, r)
+	c.tryNext(now, r)
 }
 
-// unanswered goes on without an owner's answer. Where it took the request all the
-// same, it hears that the place is free.
-func (c *Core) unanswered(now time.Time, r *request) {
-	m := c.message(r.to)
-	m.Ends = append(m.Ends, End{ID: r.ask})
-	delete(c.asks, r.ask)
-	r.ask = 0
-	r.passOver()
-	c.next(now, r)
+// handleNoReply proceeds without an owner's reply. The owner is sent a release in case it has
+// admitted the request.
+func (c *Core) handleNoReply(now time.Time, r *request) {
+	m := c.messageTo(r.pendingOwner)
+	m.Releases = append(m.Releases, Release{ID: r.pendingID})
+	delete(c.pending, r.pendingID)
+	r.pendingID = 0
+	r.deferUnresponsive()
+	c.tryNext(now, r)
 }
 
-// blind decides by what this ingress knows itself, where no owner answers: it takes its
-// part of what a target has, by its own requests there.
-func (c *Core) blind(now time.Time, r *request) bool {
-	for _, at := range r.unheard {
+// placeUnconfirmed decides from local state if no owner replied: this ingress uses its quota of
+// the target's slots, counting only its own requests there.
+func (c *Core) placeUnconfirmed(now time.Time, r *request) bool {
+	for _, at := range r.unresponsive {
 		e := at.engine
-		part := e.Slots / (len(c.peers) + 1)
-		if e.mine >= max(1, part) || e.shut(now) {
+		quota := e.Slots / (len(c.peers) + 1)
+		if e.mine >= max(1, quota) || e.suspended(now) {
 			continue
 		}
-		r.at = candidate{e, "blind"}
+		r.current = candidate{e, "blind"}
 		c.place(now, r, "", 0)
 		return true
 	}
 	return false
 }
 
-// place sends the request to its target, now or when what it is held back for has been
-// read. By is the daemon that keeps the run; empty where none does.
-func (c *Core) place(now time.Time, r *request, by ident.Daemon, hold time.Duration) {
-	r.running, r.began, r.placedBy = true, now, by
-	e := r.at.engine
+// place dispatches the request to its target, either at once or when its hold ends. Owner is
+// the daemon that records the run; empty if none does.
+func (c *Core) place(now time.Time, r *request, owner ident.Daemon, hold time.Duration) {
+	r.running, r.placedAt, r.runOwner = true, now, owner
+	e := r.current.engine
 	e.mine++
 	if !e.owned && len(r.Parts) > 1 {
 		e.kept.see(now, r.Parts[:len(r.Parts)-1], e.Memory/2)
 	}
-	basis := r.basis()
-	basis.Source, basis.Held = c.sourceOf(r), hold > 0
-	r.dispatch = Dispatch{Request: r.ID, Target: r.at.engine.Name, Basis: basis}
+	basis := r.decisionBasis()
+	basis.FetchSource, basis.Held = c.sourceOf(r), hold > 0
+	r.dispatch = Dispatch{Request: r.ID, Target: r.current.engine.Name, Basis: basis}
 	if hold > 0 {
 		c.hold(now, r, hold)
 		return
@@ -207,42 +207,42 @@
 	c.emit(r.dispatch)
 }
 
-// note tells the owner of a target of a request that runs there, and the one that
-// kept it before that it need not. The request keeps its number: an owner is told of
-// it twice where a link comes up and makes it the owner at once, and a second number
-// would stand for a second request that nobody ends.
-func (c *Core) note(now time.Time, r *request, e *engine) {
-	if r.placedBy != e.owner {
-		c.tellEnd(now, r, End{ID: r.runID})
+// notifyOwner tells the owner of a target about a request that runs there, and releases it at
+// the daemon that recorded it before. The request keeps its ID: when a link comes up and makes
+// the peer the owner at the same time, that owner is notified twice, and a second ID would
+// stand for a second request that is never released.
+func (c *Core) notifyOwner(now time.Time, r *request, e *engine) {
+	if r.runOwner != e.owner {
+		c.sendRelease(now, r, Release{ID: r.runID})
 	}
-	a := r.describe(now)
-	a.Taken, a.Read = true, r.read
-	r.placedBy = e.owner
+	a := r.newReservation(now)
+	a.Running, a.PrefillDone = true, r.firstByteSeen
+	r.runOwner = e.owner
 	if e.owned {
-		c.take(now, c.cfg.Self, a)
+		c.admit(now, c.cfg.Self, a)
 		return
 	}
 	if c.peers[e.owner] == nil {
-		r.placedBy = ""
+		r.runOwner = ""
 		return
 	}
-	m := c.message(e.owner)
-	m.Asks = append(m.Asks, a)
+	m := c.messageTo(e.owner)
+	m.Reservations = append(m.Reservations, a)
 }
 
-// First tells that the first byte of an answer has come.
-func (c *Core) First(now time.Time, id ident.Request, took time.Duration) {
+// FirstByte records that the first byte of an answer has arrived.
+func (c *Core) FirstByte(now time.Time, id ident.Request, elapsed time.Duration) {
 	r := c.requests[id]
 	if r == nil || !r.running {
 		return
 	}
-	r.read = true
+	r.firstByteSeen = true
 	switch {
-	case r.placedBy == c.cfg.Self:
-		c.marked(now, c.cfg.Self, Mark{ID: r.runID, First: took})
-	case c.peers[r.placedBy] != nil:
-		m := c.message(r.placedBy)
-		m.Marks = append(m.Marks, Mark{ID: r.runID, First: took})
+	case r.runOwner == c.cfg.Self:
+		c.handleFirstByte(now, c.cfg.Self, FirstByteNotice{ID: r.runID, Elapsed: elapsed})
+	case c.peers[r.runOwner] != nil:
+		m := c.messageTo(r.runOwner)
+		m.FirstBytes = append(m.FirstBytes, FirstByteNotice{ID: r.runID, Elapsed: elapsed})
 	}
 }
 
@@ -253,55 +253,55 @@
 		return
 	}
 	delete(c.requests, id)
-	if r.ask != 0 {
-		delete(c.asks, r.ask)
-		m := c.message(r.to)
-		m.Ends = append(m.Ends, End{ID: r.ask})
+	if r.pendingID != 0 {
+		delete(c.pending, r.pendingID)
+		m := c.messageTo(r.pendingOwner)
+		m.Releases = append(m.Releases, Release{ID: r.pendingID})
 		return
 	}
 	if !r.running {
 		return
 	}
 	delete(c.held, r.runID)
-	r.at.engine.mine--
-	r.at.engine.seen(now, result)
-	c.tellEnd(now, r, End{ID: r.runID, Elapsed: result.Elapsed, Failed: result.Failed, NotRun: result.NotRun, Pause: result.Pause})
+	r.current.engine.mine--
+	r.current.engine.recordOutcome(now, result)
+	c.sendRelease(now, r, Release{ID: r.runID, Elapsed: result.Elapsed, Failed: result.Failed, NotRun: result.NotRun, EventInterval: result.EventInterval})
 }
 
-// tellEnd tells the daemon that keeps a request that it has left its target.
-func (c *Core) tellEnd(now time.Time, r *request, end End) {
+// sendRelease tells the daemon that records a run that the request has left its target.
+func (c *Core) sendRelease(now time.Time, r *request, release Release) {
 	switch {
-	case r.placedBy == c.cfg.Self:
-		c.ended(now, c.cfg.Self, end)
-	case c.peers[r.placedBy] != nil:
-		m := c.message(r.placedBy)
-		m.Ends = append(m.Ends, end)
+	case r.runOwner == c.cfg.Self:
+		c.handleRelease(now, c.cfg.Self, release)
+	case c.peers[r.runOwner] != nil:
+		m := c.messageTo(r.runOwner)
+		m.Releases = append(m.Releases, release)
 	}
 }
 
-// full is the refusal of a request that no target takes, with a time to come back.
-func (c *Core) full(r *request) *resultcode.Failure {
-	returned := ""
-	if r.back {
-		returned = ", and it was refused before"
+// refusal returns the failure for a request that no target admits, with a time to retry after.
+func (c *Core) refusal(r *request) *resultcode.Failure {
+	retried := ""
+	if r.callerRetry {
+		retried = ", and it was refused before"
 	}
-	code, alone := resultcode.FleetFull, ""
+	code, unloaded := resultcode.FleetFull, ""
 	if r.limit == LimitPrompt {
-		code, alone = resultcode.ObjectiveUnmet, fmt.Sprintf("; the prompt alone takes %s", r.alone.Round(time.Millisecond))
+		code, unloaded = resultcode.ObjectiveUnmet, fmt.Sprintf("; the prompt alone takes %s", r.unloadedWait.Round(time.Millisecond))
 	}
-	f := resultcode.Fail(code, "%d targets asked, the shortest wait is %s%s%s", r.tried, r.least.Round(time.Millisecond), alone, returned)
-	f.RetryAfter = c.comeBack(r)
+	f := resultcode.Fail(code, "%d targets asked, the shortest wait is %s%s%s", r.ownersAsked, r.shortestWait.Round(time.Millisecond), unloaded, retried)
+	f.RetryAfter = c.retryAfter(r)
 	return f
 }
 
 const (
-	// backLeast and backSpread are when refused callers are told to come back:
-	// not before the backlog of an instant has gone, and spread out, so that those
-	// refused in one burst do not return as another.
-	backLeast  = 400 * time.Millisecond
-	backSpread = 1200 * time.Millisecond
+	// minRetryAfter and retryAfterSpread determine when refused callers are told to retry: not
+	// before a momentary backlog has cleared, and spread out, so that callers refused in one
+	// burst do not return as another.
+	minRetryAfter    = 400 * time.Millisecond
+	retryAfterSpread = 1200 * time.Millisecond
 )
 
-func (c *Core) comeBack(r *request) time.Duration {
-	return max(backLeast, r.least) + time.Duration(c.rng.Float64()*float64(backSpread))
+func (c *Core) retryAfter(r *request) time.Duration {
+	return max(minRetryAfter, r.shortestWait) + time.Duration(c.rng.Float64()*float64(retryAfterSpread))
 }
--- a/internal/booking/kept.go
+++ b/internal/booking/kept.go
@@ -35,7 +35,7 @@
 
 // hit returns how many tokens of a prompt's beginning are kept. A part counts only
 // where all before it are kept.
-func (k *kept) hit(parts []Part) int {
+func (k *kept) hit(parts []PromptPart) int {
 	tokens := 0
 	for _, p := range parts {
 		if k.parts[p.ID] == nil {
@@ -47,7 +47,7 @@
 }
 
 // added returns how many tokens more would be in use with these parts.
-func (k *kept) added(parts []Part) int {
+func (k *kept) added(parts []PromptPart) int {
 	tokens := 0
 	for _, p := range parts {
 		if known := k.parts[p.ID]; known == nil || known.users == 0 {
@@ -61,7 +61,7 @@
 // reader, where there is one, those that it does not keep yet. What was used longest ago
 // gives way where the engine would keep more than the bound; a bound of zero or less keeps
 // what is in use.
-func (k *kept) use(now time.Time, parts []Part, reader *run, bound int) {
+func (k *kept) use(now time.Time, parts []PromptPart, reader *run, bound int) {
 	for _, p := range parts {
 		_, there := k.parts[p.ID]
 		known := k.part(p)
@@ -79,7 +79,7 @@
 
 // leave notes that a request has ended whose prompt the engine has read: what it had of its
 // own stays until others need the room.
-func (k *kept) leave(now time.Time, own Part, bound int) {
+func (k *kept) leave(now time.Time, own PromptPart, bound int) {
 	if own.Tokens <= 0 {
 		return
 	}
@@ -88,14 +88,14 @@
 }
 
 // see notes that the parts were sent to an engine of which another daemon keeps the runs.
-func (k *kept) see(now time.Time, parts []Part, bound int) {
+func (k *kept) see(now time.Time, parts []PromptPart, bound int) {
 	for _, p := range parts {
 		k.part(p).used = now
 	}
 	k.shrink(bound)
 }
 
-func (k *kept) part(p Part) *keptPart {
+func (k *kept) part(p PromptPart) *keptPart {
 	known := k.parts[p.ID]
 	if known == nil {
 		known = &keptPart{tokens: p.Tokens}
@@ -111,7 +111,7 @@
 }
 
 // release notes that a request with these shared parts runs no more.
-func (k *kept) release(now time.Time, parts []Part) {
+func (k *kept) release(now time.Time, parts []PromptPart) {
 	for _, p := range parts {
 		known := k.parts[p.ID]
 		if known == nil || known.users == 0 {
@@ -152,7 +152,7 @@
 // reading returns the request with which an engine still reads a part of a prompt's
 // beginning, and how many tokens of it are being read; the last such request where there
 // are several.
-func (k *kept) reading(parts []Part) (reader *run, tokens int) {
+func (k *kept) reading(parts []PromptPart) (reader *run, tokens int) {
 	for _, p := range parts {
 		known := k.parts[p.ID]
 		if known == nil {
--- a/internal/booking/kept_test.go
+++ b/internal/booking/kept_test.go
@@ -13,13 +13,13 @@
 func TestASharedPartFillsMemoryOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	s := &service{model: true}
+	s := &service{servesModel: true}
 	e := newEngine(s, Target{Name: "e", Slots: 64, Memory: 100000})
-	ask := Ask{Prompt: 15000, Output: 500, Parts: []Part{{ID: 1, Tokens: 13000}, {ID: 2, Tokens: 2000}}}
+	ask := Reservation{Prompt: 15000, Output: 500, Parts: []PromptPart{{ID: 1, Tokens: 13000}, {ID: 2, Tokens: 2000}}}
 	var runs []*run
 	for range 10 {
 		r := &run{}
-		r.shared, r.memory = memoryOf(&ask)
+		r.shared, r.memory = memoryNeeds(&ask)
 		is.True(e.fits(r))
 		e.add(now, r)
 		runs = append(runs, r)
@@ -39,24 +39,24 @@
 func TestEndsOfPromptsDriveSessionsOut(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	e := newEngine(&service{model: true, pace: assumedPace()}, Target{Name: "e", Slots: 64, Memory: 100000})
-	session := Part{ID: 1, Tokens: 5000}
-	serve := func(shared []Part, own uint64) {
+	e := newEngine(&service{servesModel: true, pace: assumedPace()}, Target{Name: "e", Slots: 64, Memory: 100000})
+	session := PromptPart{ID: 1, Tokens: 5000}
+	serve := func(shared []PromptPart, own uint64) {
 		now = now.Add(20 * time.Millisecond)
-		r := &run{shared: shared, memory: 4000, own: Part{ID: own, Tokens: 4000}}
+		r := &run{shared: shared, memory: 4000, ownPart: PromptPart{ID: own, Tokens: 4000}}
 		e.add(now, r)
 		e.first(now, r, 10*time.Millisecond)
 		e.remove(now, r, 20*time.Millisecond)
 	}
-	serve([]Part{session}, 100)
+	serve([]PromptPart{session}, 100)
 	for i := range 10 {
 		serve(nil, uint64(200+i))
 	}
-	is.Equal(e.kept.hit([]Part{session}), 5000) // there is room for all that
+	is.Equal(e.kept.hit([]PromptPart{session}), 5000) // there is room for all that
 	for i := range 20 {
 		serve(nil, uint64(300+i))
 	}
-	is.Equal(e.kept.hit([]Part{session}), 0)
+	is.Equal(e.kept.hit([]PromptPart{session}), 0)
 	is.True(e.kept.total <= 100000)
 }
 
@@ -65,12 +65,12 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	k := newKept()
-	k.use(now, []Part{{ID: 1, Tokens: 60}}, nil, 100)
-	k.use(now.Add(time.Second), []Part{{ID: 2, Tokens: 60}}, nil, 100)
+	k.use(now, []PromptPart{{ID: 1, Tokens: 60}}, nil, 100)
+	k.use(now.Add(time.Second), []PromptPart{{ID: 2, Tokens: 60}}, nil, 100)
 	is.Equal(k.total, 120)
-	k.release(now, []Part{{ID: 1, Tokens: 60}})
-	k.use(now.Add(2*time.Second), []Part{{ID: 3, Tokens: 30}}, nil, 100)
-	is.Equal(k.hit([]Part{{ID: 1, Tokens: 60}}), 0)
-	is.Equal(k.hit([]Part{{ID: 2, Tokens: 60}}), 60)
+	k.release(now, []PromptPart{{ID: 1, Tokens: 60}})
+	k.use(now.Add(2*time.Second), []PromptPart{{ID: 3, Tokens: 30}}, nil, 100)
+	is.Equal(k.hit([]PromptPart{{ID: 1, Tokens: 60}}), 0)
+	is.Equal(k.hit([]PromptPart{{ID: 2, Tokens: 60}}), 60)
 	is.Equal(k.inUse, 90)
 }
--- a/internal/booking/keptback_test.go
+++ b/internal/booking/keptback_test.go
@@ -123,7 +123,7 @@
 		if s.rng.Float64() < v.lets(at)/v.asks(at) {
 			s.submit(small, r, 400*time.Millisecond)
 		} else {
-			small.core.Wanted(s.now, "pool", r.Workspace, r.Cost())
+			small.core.RecordShed(s.now, "pool", r.Workspace, r.Cost())
 		}
 		s.after(time.Duration(s.rng.ExpFloat64()*keptSize/v.asks(at)*float64(time.Second)), next)
 	}
--- a/internal/booking/limit.go
+++ b/internal/booking/limit.go
@@ -1,33 +1,33 @@
 package booking
 
-// Limit says what kept a target's owner from taking a request.
+// Limit is the reason why the owner of a target did not admit a request.
 type Limit uint8
 
 // Limits.
 const (
-	// LimitNone: the request was taken, or nobody was asked.
+	// LimitNone: the request was admitted, or no owner was asked.
 	LimitNone Limit = iota
-	// LimitFailing: the target fails too many requests.
+	// LimitFailing: the failure rate of the target is too high.
 	LimitFailing
-	// LimitMemory: what runs on the target fills its memory.
+	// LimitMemory: the running requests fill the target's memory.
 	LimitMemory
-	// LimitSlots: all its slots are in use.
+	// LimitSlots: all slots of the target are in use.
 	LimitSlots
-	// LimitSpare: a workspace above its share, or a late request, gets what is spare, and
-	// the target has none.
+	// LimitSpare: the workspace is above its share, or the request is late, and the target has
+	// no spare capacity.
 	LimitSpare
-	// LimitShare: the target has something to spare, but the workspace is too far ahead of
-	// one that lacks.
+	// LimitShare: the target has spare capacity, but the workspace is too far ahead of an
+	// underserved one.
 	LimitShare
-	// LimitTime: the answer would come after its objective.
+	// LimitTime: the answer would miss its latency objective.
 	LimitTime
-	// LimitPrompt: the prompt alone takes the target longer than its objective.
+	// LimitPrompt: the prompt alone takes the target longer than the latency objective.
 	LimitPrompt
 )
 
 var limitNames = [...]string{"", "failing", "memory", "slots", "spare", "share", "time", "prompt"}
 
-// String names the limit as logs do.
+// String returns the name of the limit in logs.
 func (l Limit) String() string {
 	if int(l) < len(limitNames) {
 		return limitNames[l]
--- a/internal/booking/load_test.go
+++ b/internal/booking/load_test.go
@@ -309,16 +309,16 @@
 func TestAnOwnerKnowsARequestThatComesBack(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	ingress, owner, name := two(now)
+	ingress, owner, name := newIngressAndOwner(now)
 	other := map[ident.Daemon]ident.Daemon{"a": "b", "b": "a"}[name]
 	ask := func(id ident.Request, last uint64, prompt int) booking.Basis {
 		ingress.Submit(now, booking.Request{
-			ID: id, Service: "pool", Workspace: "w", Prompt: prompt, Output: 10, Due: now.Add(300 * time.Millisecond),
-			Parts: []booking.Part{{ID: 1, Tokens: 500}, {ID: last, Tokens: prompt - 500}},
+			ID: id, Service: "pool", Workspace: "w", Prompt: prompt, Output: 10, Deadline: now.Add(300 * time.Millisecond),
+			Parts: []booking.PromptPart{{ID: 1, Tokens: 500}, {ID: last, Tokens: prompt - 500}},
 		})
-		pass(now, ingress, owner, other)
-		pass(now, owner, ingress, name)
-		for _, e := range ingress.Take() {
+		deliver(now, ingress, owner, other)
+		deliver(now, owner, ingress, name)
+		for _, e := range ingress.TakeEffects() {
 			if d, ok := e.(booking.Dispatch); ok {
 				ingress.Finish(now, id, booking.Result{})
 				return d.Basis
@@ -327,14 +327,14 @@
 		t.Fatal("not placed")
 		return booking.Basis{}
 	}
-	is.True(!ask("first", 7, 2000).Back)
-	is.True(!ask("other", 8, 2000).Back)
+	is.True(!ask("first", 7, 2000).CallerRetry)
+	is.True(!ask("other", 8, 2000).CallerRetry)
 	now = now.Add(time.Second)
-	is.True(ask("again", 7, 2000).Back)
-	is.True(!ask("next of the session", 7, 2100).Back) // longer: another request
+	is.True(ask("again", 7, 2000).CallerRetry)
+	is.True(!ask("next of the session", 7, 2100).CallerRetry) // longer: another request
 	now = now.Add(11 * time.Second)
 	owner.Tick(now)
-	is.True(!ask("long after", 8, 2000).Back)
+	is.True(!ask("long after", 8, 2000).CallerRetry)
 }
 
 // A target refuses the connection, and the request is placed anew by the same daemon.
@@ -343,22 +343,22 @@
 func TestARequestThatIsPlacedAnewHasNotComeBack(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	ingress, owner, name := two(now)
+	ingress, owner, name := newIngressAndOwner(now)
 	other := map[ident.Daemon]ident.Daemon{"a": "b", "b": "a"}[name]
 	r := booking.Request{
-		ID: "r", Service: "pool", Workspace: "w", Prompt: 2000, Output: 10, Due: now.Add(300 * time.Millisecond),
-		Parts: []booking.Part{{ID: 1, Tokens: 500}, {ID: 2, Tokens: 1500}},
+		ID: "r", Service: "pool", Workspace: "w", Prompt: 2000, Output: 10, Deadline: now.Add(300 * time.Millisecond),
+		Parts: []booking.PromptPart{{ID: 1, Tokens: 500}, {ID: 2, Tokens: 1500}},
 	}
-	for _, r.Known = range []bool{false, true} {
+	for _, r.OwnerContacted = range []bool{false, true} {
 		ingress.Submit(now, r)
-		pass(now, ingress, owner, other)
-		pass(now, owner, ingress, name)
-		for _, e := range ingress.Take() {
+		deliver(now, ingress, owner, other)
+		deliver(now, owner, ingress, name)
+		for _, e := range ingress.TakeEffects() {
 			d, ok := e.(booking.Dispatch)
 			is.True(ok)
-			is.True(!d.Basis.Back)
+			is.True(!d.Basis.CallerRetry)
 		}
 		ingress.Finish(now, r.ID, booking.Result{})
-		pass(now, ingress, owner, other)
+		deliver(now, ingress, owner, other)
 	}
 }
--- a/internal/booking/members.go
+++ b/internal/booking/members.go
@@ -8,13 +8,13 @@
 	"github.com/savorystall/savorystall/internal/membership"
 )
 
-// Peers replaces the list of other live daemons.
-func (c *Core) Peers(now time.Time, peers []Peer) {
+// SetPeers replaces the list of other live daemons.
+func (c *Core) SetPeers(now time.Time, peers []Peer) {
 	present := make(map[ident.Daemon]*peer, len(peers))
 	for _, spec := range peers {
 		p := c.peers[spec.ID]
 		if p == nil || p.Incarnation != spec.Incarnation {
-			c.dropPeer(now, spec.ID)
+			c.dropPeerRuns(now, spec.ID)
 			p = &peer{}
 		}
 		p.Peer = spec
@@ -22,16 +22,16 @@
 	}
 	for id := range c.peers {
 		if present[id] == nil {
-			c.dropPeer(now, id)
+			c.dropPeerRuns(now, id)
 		}
 	}
 	c.peers = present
-	c.assign(now)
+	c.assignOwners(now)
 }
 
-// dropPeer forgets what stands on the word of a daemon that is gone: its requests
-// have lost their connections, and its sums fade by themselves.
-func (c *Core) dropPeer(now time.Time, id ident.Daemon) {
+// dropPeerRuns drops the runs reported by a daemon that is gone: its requests have lost their
+// connections. Its sums need no cleanup, since they decay.
+func (c *Core) dropPeerRuns(now time.Time, id ident.Daemon) {
 	for key, r := range c.runs {
 		if key.ingress == id {
 			r.target.remove(now, r, 0)
@@ -40,25 +40,25 @@
 	}
 }
 
-// Leave begins a planned stop: the daemon owns no target from now on unless no
-// other daemon is left to own it.
+// Leave begins a planned stop: from now on the daemon owns no target unless no other daemon is
+// left to own it.
 func (c *Core) Leave(now time.Time) {
 	c.leaving = true
-	c.assign(now)
+	c.assignOwners(now)
 }
 
-// assign decides which targets this daemon owns. A new owner starts with what its
-// peers tell it: each ingress lists what it has running there.
-func (c *Core) assign(now time.Time) {
+// assignOwners determines which targets this daemon owns. A new owner starts with what its
+// peers tell it: each ingress lists the requests that it has running there.
+func (c *Core) assignOwners(now time.Time) {
 	members := []membership.Member{{ID: c.cfg.Self, Zone: c.cfg.Zone, Leaving: c.leaving}}
 	for _, p := range c.peers {
 		members = append(members, membership.Member{ID: p.ID, Zone: p.Zone, Incarnation: p.Incarnation, Leaving: p.Leaving})
 	}
 	owners := membership.NewOwners(members)
-	c.regroup(c.circleOf(members, owners))
+	c.setGroup(c.exchangeGroupOf(members, owners))
 	for _, s := range c.services {
 		owned := 0
-		for _, e := range s.order {
+		for _, e := range s.sortedEngines {
 			owner := owners.Of(s.name, e.Name, e.Zone)
 			if e.owned && owner != c.cfg.Self {
 				c.dropRuns(e)
@@ -68,22 +68,22 @@
 			if e.owner != owner {
 				e.owner = owner
 				e.owned, e.since = owner == c.cfg.Self, now
-				c.reclaim(now, e)
+				c.notifyNewOwner(now, e)
 			}
 			if e.owned {
 				owned++
 			}
 		}
-		s.shares.owns(owned, len(s.order))
+		s.shares.owns(owned, len(s.sortedEngines))
 	}
 }
 
-// reclaim tells the owner of a target what this ingress has running there.
-func (c *Core) reclaim(now time.Time, e *engine) {
+// notifyNewOwner tells the owner of a target about the requests of this ingress that run there.
+func (c *Core) notifyNewOwner(now time.Time, e *engine) {
 	for _, id := range c.sortedRequests() {
 		r := c.requests[id]
-		if r.running && r.at.engine == e {
-			c.note(now, r, e)
+		if r.running && r.current.engine == e {
+			c.notifyOwner(now, r, e)
 		}
 	}
 }
@@ -97,26 +97,26 @@
 	return ids
 }
 
-// LinkLost tells that messages to or from a peer may have been lost: its answers do
-// not come any more.
+// LinkLost handles the loss of a link to a peer: messages in either direction may be lost, so
+// that its replies are not awaited any longer.
 func (c *Core) LinkLost(now time.Time, id ident.Daemon) {
 	for _, rid := range c.sortedRequests() {
-		if r := c.requests[rid]; r.ask != 0 && r.to == id {
-			c.unanswered(now, r)
+		if r := c.requests[rid]; r.pendingID != 0 && r.pendingOwner == id {
+			c.handleNoReply(now, r)
 		}
 	}
 }
 
-// LinkUp tells that a link to a peer is up. Either end lists anew what it has running
-// on the other's targets, and forgets what it knew of that before: an end or a first
-// byte that was told to a lost link is never told again, and a request that nobody
-// ends would be taken for a prompt still to be read for as long as it is remembered.
+// LinkUp handles a new link to a peer. Each end lists again what it has running on the other's
+// targets, and discards what it knew about the other's requests before: a release or first-byte
+// notice that was sent over the lost link is never repeated, and a request without a release
+// would count as a prompt still to be read until it expires.
 func (c *Core) LinkUp(now time.Time, id ident.Daemon) {
 	c.LinkLost(now, id)
-	c.dropPeer(now, id)
+	c.dropPeerRuns(now, id)
 	for _, rid := range c.sortedRequests() {
-		if r := c.requests[rid]; r.running && r.at.engine.owner == id {
-			c.note(now, r, r.at.engine)
+		if r := c.requests[rid]; r.running && r.current.engine.owner == id {
+			c.notifyOwner(now, r, r.current.engine)
 		}
 	}
 }
--- a/internal/booking/owner.go
+++ b/internal/booking/owner.go
@@ -7,58 +7,57 @@
 )
 
 const (
-	// spareTaken and spareWait bound what a workspace above its share, or a late
-	// request, may find on a target to be taken: half of the slots, and a backlog
-	// that a request within its share hardly notices.
-	spareTaken = 0.5
-	spareWait  = 60 * time.Millisecond
-	// slotReserve is the part of the slots that is not given away: a slot is free
-	// a little later than its owner hears.
+	// maxSpareUtilization and maxSpareBacklog bound the load of a target that admits a request
+	// of a workspace above its share, or a late request: half of the slots, and a backlog that
+	// a request within its share hardly notices.
+	maxSpareUtilization = 0.5
+	maxSpareBacklog     = 60 * time.Millisecond
+	// slotReserve is the fraction of the slots that is not given away: a slot is freed a little
+	// later than its owner learns.
 	slotReserve = 0.03
-	// queueShare is how many plain requests may wait in a target, as a part of its
-	// slots.
-	queueShare = 1.0
+	// plainQueueRatio is how many plain requests may queue in a target, relative to its slots.
+	plainQueueRatio = 1.0
 )
 
-// Receive takes a message of another daemon.
+// Receive processes a message of another daemon.
 func (c *Core) Receive(now time.Time, from ident.Daemon, m Message) {
 	p := c.peers[from]
 	if p == nil || m.Incarnation != p.Incarnation {
 		return
 	}
-	p.silent = time.Time{}
-	if scope, ok := c.expects(from); ok && scope == m.Scope {
+	p.silentUntil = time.Time{}
+	if scope, ok := c.expectedScope(from); ok && scope == m.Scope {
 		for _, u := range m.Usage {
-			c.takeUsage(now, from, u)
+			c.receiveUsage(now, from, u)
 		}
 		for _, l := range m.Loads {
-			c.takeLoad(now, l)
+			c.receiveLoad(now, l)
 		}
 	}
-	for _, mark := range m.Marks {
-		c.marked(now, from, mark)
+	for _, notice := range m.FirstBytes {
+		c.handleFirstByte(now, from, notice)
 	}
-	for _, end := range m.Ends {
-		c.ended(now, from, end)
+	for _, release := range m.Releases {
+		c.handleRelease(now, from, release)
 	}
-	for _, a := range m.Asks {
-		c.asked(now, from, a)
+	for _, a := range m.Reservations {
+		c.handleReservation(now, from, a)
 	}
 	for _, reply := range m.Replies {
-		c.answered(now, from, reply)
+		c.handleReply(now, from, reply)
 	}
 	for _, id := range m.Ready {
 		c.goOn(id)
 	}
 }
 
-// asked answers an ask.
-func (c *Core) asked(now time.Time, from ident.Daemon, a Ask) {
-	reply := c.take(now, from, a)
-	if a.Taken {
+// handleReservation processes a reservation and replies to it.
+func (c *Core) handleReservation(now time.Time, from ident.Daemon, a Reservation) {
+	reply := c.admit(now, from, a)
+	if a.Running {
 		return
 	}
-	m := c.message(from)
+	m := c.messageTo(from)
 	m.Replies = append(m.Replies, reply)
 }
 
@@ -69,76 +68,76 @@
 	return nil
 }
 
-// take decides whether a target takes a request, and notes it where it does.
-func (c *Core) take(now time.Time, from ident.Daemon, a Ask) Reply {
+// admit decides whether a target admits a request, and records the run if it does.
+func (c *Core) admit(now time.Time, from ident.Daemon, a Reservation) Reply {
 	reply := Reply{ID: a.ID}
 	e := c.engine(a.Service, a.Target)
 	if e == nil || c.runs[runKey{from, a.ID}] != nil {
 		return reply
 	}
-	if a.First {
-		reply.Back = c.meet(now, e.service, &a)
+	if a.FirstContact {
+		reply.CallerRetry = c.recordDemand(now, e.service, &a)
 	}
 	kept := e.keeps(now, &a)
-	if !e.shut(now) {
-		reply.Kept = kept // nothing is copied from a target that fails
+	if !e.suspended(now) {
+		reply.CachedTokens = kept // nothing is copied from a failing target
 	}
-	r := &run{ingress: from, id: a.ID, until: now.Add(forget)}
-	r.shared, r.memory = memoryOf(&a)
+	r := &run{ingress: from, id: a.ID, expiresAt: now.Add(runTTL)}
+	r.shared, r.memory = memoryNeeds(&a)
 	if n := len(a.Parts); n > 0 {
-		r.own = Part{ID: a.Parts[n-1].ID, Tokens: r.memory}
+		r.ownPart = PromptPart{ID: a.Parts[n-1].ID, Tokens: r.memory}
 	}
-	r.work, r.fetch = e.service.reading(a.Prompt, kept, a.Elsewhere)
-	if !a.Taken {
-		reply.Limit = c.limit(now, e, a, r)
-		e.service.shares.account(a.Workspace).tally.decided(a, reply.Limit)
+	r.prefillWork, r.fetchTime = e.service.reading(a.Prompt, kept, a.CachedElsewhere)
+	if !a.Running {
+		reply.Limit = c.admissionLimit(now, e, a, r)
+		e.service.shares.account(a.Workspace).tally.record(a, reply.Limit)
 	}
 	if reply.Limit != LimitNone {
 		reply.Wait = e.backlog(now) + e.overhead
-		reply.Used = e.service.shareUsed(now, a.Workspace)
+		reply.ShareUsed = e.service.shareUsed(now, a.Workspace)
 		if reply.Limit == LimitPrompt {
-			reply.Alone = e.alone(r)
+			reply.UnloadedWait = e.alone(r)
 		}
 		return reply
 	}
 	reply.Hold = e.holdBack(now, &a, r)
-	c.accept(now, e, a, r)
+	c.addRun(now, e, a, r)
 	reply.OK, reply.Wait = true, r.expected.Sub(now)
 	return reply
 }
 
-// meet takes in the first ask of a request, and tells whether it comes back. Only
-// what is asked for the first time counts in its workspace's demand.
-func (c *Core) meet(now time.Time, s *service, a *Ask) (back bool) {
-	back = c.returns.meet(now, a.Parts, a.Prompt)
-	a.Late = a.Late || back
+// recordDemand processes the first reservation of a request, and reports whether the caller has
+// retried it. Only the first try counts in the workspace's demand.
+func (c *Core) recordDemand(now time.Time, s *service, a *Reservation) (callerRetry bool) {
+	callerRetry = c.callerRetries.record(now, a.Parts, a.Prompt)
+	a.Late = a.Late || callerRetry
 	if !a.Late {
 		account := s.shares.account(a.Workspace)
-		account.own.asked.add(now, cost(*a))
+		account.own.asked.add(now, reservationCost(*a))
 		c.hasten(now, s, account)
 	}
-	return back
+	return callerRetry
 }
 
-// accept notes a request on a target.
-func (c *Core) accept(now time.Time, e *engine, a Ask, r *run) {
-	r.read = a.Read
+// addRun records a request on a target.
+func (c *Core) addRun(now time.Time, e *engine, a Reservation, r *run) {
+	r.prefillDone = a.PrefillDone
 	e.add(now, r)
 	c.runs[runKey{r.ingress, a.ID}] = r
-	if !a.Taken && !a.Begun {
-		r.workspace, r.granted = a.Workspace, cost(a)
+	if !a.Running && !a.PreviouslyPlaced {
+		r.workspace, r.grantedCost = a.Workspace, reservationCost(a)
 		s := &e.service.shares
-		s.grant(now, s.account(a.Workspace), r.granted)
+		s.grant(now, s.account(a.Workspace), r.grantedCost)
 	}
 }
 
-func cost(a Ask) float64 {
+func reservationCost(a Reservation) float64 {
 	r := Request{Prompt: a.Prompt, Output: a.Output}
 	return r.Cost()
 }
 
-// limit is the decision about a request on a target: LimitNone lets it in.
-func (c *Core) limit(now time.Time, e *engine, a Ask, r *run) Limit {
+// admissionLimit decides about a request on a target: LimitNone admits it.
+func (c *Core) admissionLimit(now time.Time, e *engine, a Reservation, r *run) Limit {
 	switch {
 	case !c.healthy(now, e):
 		return LimitFailing
@@ -147,72 +146,73 @@
 	case !e.hasSlot():
 		return LimitSlots
 	case !c.spareOnly(now, e, a):
-		return c.limitOfTime(now, e, a, r)
-	case e.taken() >= spareTaken || e.backlog(now) > spareWait:
+		return c.latencyLimit(now, e, a, r)
+	case e.taken() >= maxSpareUtilization || e.backlog(now) > maxSpareBacklog:
 		return LimitSpare
-	case !e.service.shares.maySpare(now, a.Workspace, cost(a), e.service.rateOf(now)):
+	case !e.service.shares.mayUseSpare(now, a.Workspace, reservationCost(a), e.service.rateOf(now)):
 		return LimitShare
 	}
 	return LimitNone
 }
 
-// limitOfTime holds a request to its objective.
-func (c *Core) limitOfTime(now time.Time, e *engine, a Ask, r *run) Limit {
-	if e.service.model && e.alone(r) > a.Left {
+// latencyLimit checks a request against its latency objective.
+func (c *Core) latencyLimit(now time.Time, e *engine, a Reservation, r *run) Limit {
+	if e.service.servesModel && e.alone(r) > a.Remaining {
 		return LimitPrompt
 	}
 	wait := e.expect(now, r).Sub(now)
-	most := time.Duration(c.headroom(now, e, a) * float64(a.Left))
-	if wait > most && e.backlog(now) <= spareWait {
-		most = a.Left // its own work alone takes longer than that
+	maxWait := time.Duration(c.usableTimeFraction(now, e, a) * float64(a.Remaining))
+	if wait > maxWait && e.backlog(now) <= maxSpareBacklog {
+		maxWait = a.Remaining // its own prefill alone takes longer than that
 	}
-	if wait > most {
+	if wait > maxWait {
 		return LimitTime
 	}
 	return LimitNone
 }
 
-// headroom is the part of the time that is left which a request may use up. A
-// workspace that has had its share leaves the rest of the time to those that have
-// had less: where the targets give less than their stated rate, all are within
-// their shares and the engines are full, and without it those who ask most have
-// most (trunk reservation).
-func (c *Core) headroom(now time.Time, e *engine, a Ask) float64 {
-	if e.service.rate <= 0 || !e.service.model || a.Begun {
+// usableTimeFraction is the fraction of the remaining time that a request may use up. A
+// workspace that has used its share leaves the rest of the time to those that have used less.
+// Otherwise, when the targets deliver less than their stated rate, so that all workspaces are
+// within their shares and the engines are full, those that ask for most would get most (trunk
+// reservation).
+func (c *Core) usableTimeFraction(now time.Time, e *engine, a Reservation) float64 {
+	if e.service.rate <= 0 || !e.service.servesModel || a.PreviouslyPlaced {
 		return 1
 	}
-	return 1 - reserved*min(1, e.service.shareUsed(now, a.Workspace))
+	return 1 - reservedTimeFraction*min(1, e.service.shareUsed(now, a.Workspace))
 }
 
-// reserved is the part of the time that a workspace at its share leaves to others.
-const reserved = 0.45
+// reservedTimeFraction is the fraction of the time that a workspace at its share leaves to
+// others.
+const reservedTimeFraction = 0.45
 
-// healthy tells whether a target takes requests as far as its failures go. Where
-// all targets of a service fail alike, none is passed over: that would leave
-// nothing, and fewer targets for the requests that succeed.
+// healthy reports whether a target's failure rate allows it to take requests. If all targets of
+// a service fail alike, none is skipped: that would leave no target, or fewer targets for the
+// requests that succeed.
 func (c *Core) healthy(now time.Time, e *engine) bool {
-	usual := e.service.failures(now, e)
-	if e.health.share(now) <= usual+failsMore {
+	usualRate := e.service.meanFailureRate(now, e)
+	if e.health.share(now) <= usualRate+excessFailureRate {
 		return true
 	}
 	return e.health.open(now)
 }
 
-// failsMore is how much larger a part of its requests a target must fail than the
-// others of its service to be passed over.
-const failsMore = 0.2
+// excessFailureRate is by how much the failure rate of a target must exceed that of the other
+// targets of its service for it to be skipped.
+const excessFailureRate = 0.2
 
-// failures is the mean part of requests that failed of late at the other targets.
-func (s *service) failures(now time.Time, but *engine) float64 {
+// meanFailureRate is the mean recent failure rate of the other targets.
+func (s *service) meanFailureRate(now time.Time, except *engine) float64 {
 	sum, n := 0.0, 0
-	for _, e := range s.order {
+	for _, e := range s.sortedEngines {
 		switch {
-		case e == but:
+		case e == except:
 			continue
 		case e.owned:
 			sum += e.health.share(now)
 		case now.Sub(e.heard) <= stale:
-			sum += e.told.Failures
+			sum += e.told.FailureRate
 		}
 		n++
 	}
@@ -222,59 +222,59 @@
 	return sum / float64(n)
 }
 
-// spareOnly tells whether a request gets only what is spare.
-func (c *Core) spareOnly(now time.Time, e *engine, a Ask) bool {
-	if !e.service.model || a.Begun {
+// spareOnly reports whether a request gets spare capacity only.
+func (c *Core) spareOnly(now time.Time, e *engine, a Reservation) bool {
+	if !e.service.servesModel || a.PreviouslyPlaced {
 		return false
 	}
-	return a.Late || !e.service.shares.within(now, a.Workspace, cost(a), e.service.rateOf(now))
+	return a.Late || !e.service.shares.withinShare(now, a.Workspace, reservationCost(a), e.service.rateOf(now))
 }
 
-// hasSlot tells whether the target has a place. A plain one may have a few
-// waiting, since its answers are short.
+// hasSlot reports whether the target has a free slot. A plain target may have a few requests
+// queued, since its answers are short.
 func (e *engine) hasSlot() bool {
-	most := float64(e.Slots) * (1 - slotReserve)
-	if !e.service.model {
-		most = float64(e.Slots) * (1 + queueShare)
+	maxRuns := float64(e.Slots) * (1 - slotReserve)
+	if !e.service.servesModel {
+		maxRuns = float64(e.Slots) * (1 + plainQueueRatio)
 	}
-	return float64(len(e.runs)) < most
+	return float64(len(e.runs)) < maxRuns
 }
 
-// marked takes in the first byte of an answer.
-func (c *Core) marked(now time.Time, from ident.Daemon, m Mark) {
+// handleFirstByte records that the first byte of an answer has arrived.
+func (c *Core) handleFirstByte(now time.Time, from ident.Daemon, m FirstByteNotice) {
 	if r := c.runs[runKey{from, m.ID}]; r != nil {
-		r.target.first(now, r, m.First)
+		r.target.first(now, r, m.Elapsed)
 		c.releaseBehind(now, r)
 	}
 }
 
-// ended takes in that a request has left its target.
-func (c *Core) ended(now time.Time, from ident.Daemon, end End) {
-	key := runKey{from, end.ID}
+// handleRelease records that a request has left its target.
+func (c *Core) handleRelease(now time.Time, from ident.Daemon, release Release) {
+	key := runKey{from, release.ID}
 	r := c.runs[key]
 	if r == nil {
 		return
 	}
 	delete(c.runs, key)
-	if a := r.target.service.shares.accounts[r.workspace]; a != nil && end.unused() {
-		a.unused.add(now, r.granted)
+	if a := r.target.service.shares.accounts[r.workspace]; a != nil && release.unusedGrant() {
+		a.unusedGrants.add(now, r.grantedCost)
 	}
-	r.target.streamed(now, r, end)
-	r.target.remove(now, r, end.Elapsed)
+	r.target.streamed(now, r, release)
+	r.target.remove(now, r, release.Elapsed)
 	c.releaseBehind(now, r)
-	if end.Elapsed > 0 {
-		r.target.health.ended(now, end.Failed)
+	if release.Elapsed > 0 {
+		r.target.health.ended(now, release.Failed)
 	}
 }
 
-// seen takes in, at the ingress, how an attempt ended: a target that refuses
-// connections is passed over at once and not when its owner tells.
-func (e *engine) seen(now time.Time, result Result) {
+// recordOutcome records at the ingress how an attempt ended, so that a target that refuses
+// connections is skipped at once and not only when its owner reports it.
+func (e *engine) recordOutcome(now time.Time, result Result) {
 	if e.owned || result.Elapsed == 0 {
-		return // its owner's view is the same
+		return // handleRelease records it in the same state
 	}
 	e.health.ended(now, result.Failed)
 }
 
-// shut tells whether an ingress passes a target over.
-func (e *engine) shut(now time.Time) bool { return now.Before(e.health.closed) }
+// suspended reports whether an ingress skips a target.
+func (e *engine) suspended(now time.Time) bool { return now.Before(e.health.closed) }
--- a/internal/booking/report.go
+++ b/internal/booking/report.go
@@ -9,145 +9,150 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// Sharing is how a service is divided among workspaces, as this daemon sees it. Rates are
-// in units of Request.Cost a second.
-type Sharing struct {
+// ShareReport describes how a service is divided among workspaces, as this daemon sees it.
+// Rates are in units of Request.Cost per second.
+type ShareReport struct {
 	Service ident.Service
-	// Stated is the rate that the targets are said to give, Observed what they were seen
-	// to give.
+	// Stated is the configured rate of the targets, Observed the rate that they were seen to
+	// reach.
 	Stated, Observed float64
-	// Level is what a workspace of weight one may have, Behind the least that one that
-	// lacks has, and KeptBack the least that one has which daemons keep back for want of
-	// processor time; zero: there is none.
-	Level, Behind, KeptBack float64
-	// Most are the workspaces that ask for most.
-	Most []WorkspaceUse
-	// Own are the workspaces that asked this daemon for most since the call before.
-	Own []WorkspaceOwn
-	// Targets are those that this daemon owns.
-	Targets TargetsUse
+	// Level is the fair share of a workspace of weight 1. MinUnderserved is the least that an
+	// underserved workspace gets, and MinShed the least that one gets whose requests daemons
+	// refuse for lack of processor time; zero means that there is none.
+	Level, MinUnderserved, MinShed float64
+	// TopWorkspaces are the workspaces with the highest demand.
+	TopWorkspaces []WorkspaceDemand
+	// Decisions are those of this daemon since the previous call, for the workspaces that asked
+	// it for most.
+	Decisions []WorkspaceDecisions
+	// OwnedTargets describes the targets that this daemon owns.
+	OwnedTargets TargetUtilization
 }
 
-// WorkspaceOwn is what one daemon decided about a workspace, in units of Request.Cost. Each
-// figure counts once in the fleet but for Refused, so that daemons' figures add up.
-type WorkspaceOwn struct {
+// WorkspaceDecisions is what one daemon decided about a workspace, in units of Request.Cost.
+// Each value except Refused counts a request once in the fleet, so that the values of the
+// daemons add up.
+type WorkspaceDecisions struct {
 	Workspace ident.Workspace `json:"workspace"`
-	// Shed is what it refused for want of processor time, Unheard what it refused since no
-	// owner's answer came in time, and Granted what it granted as an owner.
-	Shed    int `json:"shed,omitempty"`
-	Unheard int `json:"unheard,omitempty"`
-	Granted int `json:"granted,omitempty"`
-	// Refused is what it refused as an owner, by Limit. A request counts at each owner that
-	// was asked.
+	// Shed is what the daemon refused for lack of processor time, Unanswered what it refused
+	// because no owner replied in time, and Granted what it granted as an owner.
+	Shed       int `json:"shed,omitempty"`
+	Unanswered int `json:"unheard,omitempty"`
+	Granted    int `json:"granted,omitempty"`
+	// Refused is what it refused as an owner, by Limit. A request counts at each owner that was
+	// asked.
 	Refused map[string]int `json:"refused,omitempty"`
 }
 
 // total is what the workspace asked the daemon for.
-func (w *WorkspaceOwn) total() int {
-	sum := w.Shed + w.Unheard + w.Granted
+func (w *WorkspaceDecisions) total() int {
+	sum := w.Shed + w.Unanswered + w.Granted
 	for _, refused := range w.Refused {
 		sum += refused
 	}
 	return sum
 }
 
-// TargetsUse is how far the targets that one daemon owns are used, in the mean.
-type TargetsUse struct {
+// TargetUtilization is the mean utilization of the targets that one daemon owns.
+type TargetUtilization struct {
 	Owned int `json:"owned"`
-	// Taken is the part of the slots, Use how near they are to what they may be used for.
-	Taken float64 `json:"taken"`
-	Use   float64 `json:"use"`
+	// SlotUtilization is the fraction of the slots in use, Utilization the load relative to the
+	// intended maximum.
+	SlotUtilization float64 `json:"taken"`
+	Utilization     float64 `json:"use"`
 }
 
-// WorkspaceUse is what a workspace asked for of late, what of that daemons refused for want
-// of processor time, and what owners granted. What no daemon has read is in none of them.
-type WorkspaceUse struct {
+// WorkspaceDemand is the recent demand of a workspace, the part of it that daemons refused for
+// lack of processor time, and what owners granted. Requests that no daemon has read are not
+// included.
+type WorkspaceDemand struct {
 	Workspace ident.Workspace `json:"workspace"`
 	Asked     int             `json:"asked"`
 	Shed      int             `json:"shed"`
 	Granted   int             `json:"granted"`
-	// Unused is what this daemon granted of late as an owner and no target has run.
+	// Unused is what this daemon recently granted as an owner and no target has run.
 	Unused int `json:"unused"`
 }
 
 const (
-	// mostTold bounds Sharing.Most: those that ask for most decide the level.
-	mostTold = 4
-	// ownTold bounds Sharing.Own.
-	ownTold = 8
-	// levelOld is the age from which on a level is computed for the report. A daemon that
-	// only refuses for want of processor time decides by none.
-	levelOld = tellEvery
+	// maxTopWorkspaces bounds ShareReport.TopWorkspaces: the highest demands determine the
+	// level.
+	maxTopWorkspaces = 4
+	// maxDecisions bounds ShareReport.Decisions.
+	maxDecisions = 8
+	// maxLevelAge is the age beyond which a level is recomputed for the report. A daemon that
+	// only refuses for lack of processor time does not compute it for its decisions.
+	maxLevelAge = memberPublishInterval
 )
 
-// Sharing returns the services of which some workspace lacks. What this daemon itself did
-// counts from the call before.
-func (c *Core) Sharing(now time.Time) (list []Sharing) {
+// ShareReports returns the services with an underserved workspace. Decisions of this daemon are
+// counted from the previous call on.
+func (c *Core) ShareReports(now time.Time) (list []ShareReport) {
 	for name, s := range c.services {
-		own := s.shares.takeOwn()
-		if !s.model || s.rate <= 0 {
+		own := s.shares.takeDecisions()
+		if !s.servesModel || s.rate <= 0 {
 			continue
 		}
-		if now.Sub(s.shares.levelAt) > levelOld {
+		if now.Sub(s.shares.levelAt) > maxLevelAge {
 			s.shares.refresh(now, s.rate, s.capacity.rate)
 		}
-		if math.IsInf(s.shares.behind, 1) {
+		if math.IsInf(s.shares.minUnderserved, 1) {
 			continue
 		}
-		list = append(list, Sharing{
+		list = append(list, ShareReport{
 			Service: name, Stated: s.rate, Observed: s.capacity.rate,
-			Level: perSecond(s.shares.level), Behind: perSecond(s.shares.behind), KeptBack: perSecond(s.shares.keptBack),
-			Most: s.shares.most(now), Own: own, Targets: s.targetsUse(now),
+			Level: perSecond(s.shares.level), MinUnderserved: perSecond(s.shares.minUnderserved), MinShed: perSecond(s.shares.minShed),
+			TopWorkspaces: s.shares.topWorkspaces(now), Decisions: own, OwnedTargets: s.targetUtilization(now),
 		})
 	}
 	return list
 }
 
-// targetsUse is how far the targets that this daemon owns are used.
-func (s *service) targetsUse(now time.Time) (u TargetsUse) {
-	for _, e := range s.order {
+// targetUtilization returns the mean utilization of the targets that this daemon owns.
+func (s *service) targetUtilization(now time.Time) (u TargetUtilization) {
+	for _, e := range s.sortedEngines {
 		if e.owned {
 			u.Owned++
-			u.Taken += e.taken()
-			u.Use += e.use(now)
+			u.SlotUtilization += e.taken()
+			u.Utilization += e.use(now)
 		}
 	}
 	if u.Owned > 0 {
-		u.Taken = hundredths(u.Taken / float64(u.Owned))
-		u.Use = hundredths(u.Use / float64(u.Owned))
+		u.SlotUtilization = roundHundredths(u.SlotUtilization / float64(u.Owned))
+		u.Utilization = roundHundredths(u.Utilization / float64(u.Owned))
 	}
 	return u
 }
 
-func hundredths(x float64) float64 { return math.Round(100*x) / 100 }
+func roundHundredths(x float64) float64 { return math.Round(100*x) / 100 }
 
 // tally is what a daemon has decided about a workspace, in units of Request.Cost.
 type tally struct {
-	shed, unheard, granted float64
-	refused                [len(limitNames)]float64
+	shed, unanswered, granted float64
+	refused                   [len(limitNames)]float64
 }
 
-// countUnheard counts a refused request of which no owner's answer was read. Where no owner
-// was sent it either, it counts in no workspace's demand.
-func (c *Core) countUnheard(r *request) {
-	if s := c.services[r.Service]; s != nil && r.tried > 0 && !r.answered {
-		s.shares.account(r.Workspace).tally.unheard += r.Cost()
+// countUnanswered counts a refused request for which no owner's reply arrived. If it was not
+// sent to an owner either, it is in no workspace's demand.
+func (c *Core) countUnanswered(r *request) {
+	if s := c.services[r.Service]; s != nil && r.ownersAsked > 0 && !r.anyReply {
+		s.shares.account(r.Workspace).tally.unanswered += r.Cost()
 	}
 }
 
-// decided counts a decision of an owner about an ask.
-func (t *tally) decided(a Ask, l Limit) {
+// record counts an owner's decision about a reservation.
+func (t *tally) record(a Reservation, l Limit) {
 	switch {
 	case l != LimitNone:
-		t.refused[l] += cost(a)
-	case !a.Begun:
-		t.granted += cost(a)
+		t.refused[l] += reservationCost(a)
+	case !a.PreviouslyPlaced:
+		t.granted += reservationCost(a)
 	}
 }
 
-// of names a tally's figures.
-func (t *tally) of(name ident.Workspace) WorkspaceOwn {
-	own := WorkspaceOwn{Workspace: name, Shed: int(t.shed), Unheard: int(t.unheard), Granted: int(t.granted)}
+// decisions returns the values of a tally for the report.
+func (t *tally) decisions(name ident.Workspace) WorkspaceDecisions {
+	own := WorkspaceDecisions{Workspace: name, Shed: int(t.shed), Unanswered: int(t.unanswered), Granted: int(t.granted)}
 	for l, refused := range t.refused {
 		if refused == 0 {
 			continue
@@ -160,40 +165,41 @@
 	return own
 }
 
-// takeOwn returns the tallies of the workspaces that asked this daemon for most, in order,
-// and starts all anew.
-func (s *shares) takeOwn() (list []WorkspaceOwn) {
+// takeDecisions returns the tallies of the workspaces that asked this daemon for most, in
+// descending order, and resets all tallies.
+func (s *shares) takeDecisions() (list []WorkspaceDecisions) {
 	for name, a := range s.accounts {
 		if a.tally != (tally{}) {
-			list = append(list, a.tally.of(name))
+			list = append(list, a.tally.decisions(name))
 			a.tally = tally{}
 		}
 	}
-	slices.SortFunc(list, func(a, b WorkspaceOwn) int {
+	slices.SortFunc(list, func(a, b WorkspaceDecisions) int {
 		return cmp.Or(cmp.Compare(b.total(), a.total()), cmp.Compare(a.Workspace, b.Workspace))
 	})
-	return list[:min(len(list), ownTold)]
+	return list[:min(len(list), maxDecisions)]
 }
 
-// most returns the workspaces that ask for most, in order.
-func (s *shares) most(now time.Time) (list []WorkspaceUse) {
+// topWorkspaces returns the workspaces with the highest demand, in descending order.
+func (s *shares) topWorkspaces(now time.Time) (list []WorkspaceDemand) {
 	for name, a := range s.accounts {
 		sum := a.sums(now)
-		list = append(list, WorkspaceUse{
+		list = append(list, WorkspaceDemand{
 			Workspace: name, Asked: int(perSecond(sum.asked)), Shed: int(perSecond(sum.shed)), Granted: int(perSecond(sum.granted)),
-			Unused: int(perSecond(a.unused.now(now))),
+			Unused: int(perSecond(a.unusedGrants.now(now))),
 		})
 	}
-	slices.SortFunc(list, func(a, b WorkspaceUse) int {
+	slices.SortFunc(list, func(a, b WorkspaceDemand) int {
 		return cmp.Or(cmp.Compare(b.Asked, a.Asked), cmp.Compare(a.Workspace, b.Workspace))
 	})
-	return list[:min(len(list), mostTold)]
+	return list[:min(len(list), maxTopWorkspaces)]
 }
 
-// perSecond turns a sum that fades into a rate; an infinite one is none.
+// perSecond converts a decaying sum to a rate; an infinite sum means that there is none and
+// gives zero.
 func perSecond(sum float64) float64 {
 	if math.IsInf(sum, 1) {
 		return 0
 	}
-	return math.Round(sum / fade.Seconds())
+	return math.Round(sum / decayTime.Seconds())
 }
--- a/internal/booking/run.go
+++ b/internal/booking/run.go
@@ -11,34 +11,39 @@
 	ingress ident.Daemon
 	id      uint64
 	target  *engine
-	// work is what is to be read, in tokens at the pace of an empty context.
-	work float64
-	// fetch is the time that copying its beginning from another target takes, before
-	// the rest is read.
-	fetch time.Duration
-	// memory is what it fills beyond its shared parts when it has ended, in tokens.
+	// prefillWork is the work to read the prompt, in tokens at the speed of an empty context.
+	prefillWork float64
+	// fetchTime is the time to copy the cached prefix from another target, before the rest is
+	// read.
+	fetchTime time.Duration
+	// memory is the number of tokens that the request occupies beyond its shared parts when it
+	// ends.
 	memory int
-	shared []Part
-	// own is the last part of its prompt, with the memory that stays when it has ended.
-	own Part
-	at  time.Time
-	// expected is when the first byte should come.
-	expected time.Time
-	read     bool
-	// firstAt is when its first byte came, readBefore what the target had read by then.
-	firstAt    time.Time
-	readBefore time.Duration
-	// behind is the request that it is held back for; nil: none.
-	behind *run
-	// until is when the request is forgotten if nothing is heard of it.
-	until time.Time
-	// workspace was granted so much for it by this owner; zero: nothing.
-	workspace ident.Workspace
-	granted   float64
+	shared []PromptPart
+	// ownPart is the last part of its prompt, with the memory that stays occupied after its
+	// end.
+	ownPart PromptPart
+	addedAt time.Time
+	// expected is when the first byte should arrive.
+	expected    time.Time
+	prefillDone bool
+	// firstByteAt is when the first byte arrived, prefillBefore the target's total prefill time
+	// until then.
+	firstByteAt   time.Time
+	prefillBefore time.Duration
+	// heldBehind is the run that the request is held back for; nil if there is none.
+	heldBehind *run
+	// expiresAt is when the run is dropped if nothing more is heard about it.
+	expiresAt time.Time
+	// workspace was granted grantedCost for the request by this owner; zero if nothing was
+	// granted.
+	workspace   ident.Workspace
+	grantedCost float64
 }
 
-// memoryOf returns the shared parts of a request, and what it fills beyond them.
-func memoryOf(a *Ask) (shared []Part, own int) {
+// memoryNeeds returns the shared parts of a request, and the number of tokens that it occupies
+// beyond them.
+func memoryNeeds(a *Reservation) (shared []PromptPart, own int) {
 	own = a.Prompt + a.Output
 	if len(a.Parts) < 2 {
 		return nil, own
--- a/internal/booking/shares.go
+++ b/internal/booking/shares.go
@@ -8,43 +8,44 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// levelEvery is how long a computed level holds: demands move over seconds, and
-// each computation looks at every workspace and at what each daemon told of it.
-const levelEvery = 50 * time.Millisecond
+// levelInterval is how long a computed level is used: demand changes over seconds, and each
+// computation visits every workspace and every daemon's sums for it.
+const levelInterval = 50 * time.Millisecond
 
 // shares divides the rate of a service among its workspaces.
 type shares struct {
 	accounts map[ident.Workspace]*account
-	// level is the fair sum per weight that no workspace needs to exceed while
-	// another lacks; infinite where there is enough for all.
+	// level is the fair sum per unit of weight, which no workspace should exceed while another
+	// one is underserved; infinite if the capacity suffices for all.
 	level   float64
 	levelAt time.Time
-	// behind is the least granted sum per weight among the workspaces that ask for
-	// more than the level, and keptBack that among those of them that daemons keep back
-	// for want of processor time; infinite where there is none.
-	behind, keptBack float64
-	// fleet tells that what others told is the fleet's sum, this daemon's included.
-	fleet bool
-	// part is the part of the targets that this daemon owns, and news how old on average
-	// what others told is.
-	part float64
-	news time.Duration
+	// minUnderserved is the least granted sum per unit of weight among the workspaces that ask
+	// for more than the level, and minShed the least among those of them that daemons shed for
+	// lack of processor time; infinite if there is none.
+	minUnderserved, minShed float64
+	// fleetSums reports that the sums received are totals of the fleet, including this
+	// daemon's.
+	fleetSums bool
+	// ownedFraction is the fraction of the targets that this daemon owns, and reportAge the
+	// average age of the sums received from others.
+	ownedFraction float64
+	reportAge     time.Duration
 }
 
 func newShares() shares {
-	return shares{accounts: map[ident.Workspace]*account{}, level: math.Inf(1), behind: math.Inf(1), keptBack: math.Inf(1), news: newsDirect}
+	return shares{accounts: map[ident.Workspace]*account{}, level: math.Inf(1), minUnderserved: math.Inf(1), minShed: math.Inf(1), reportAge: newsDirect}
 }
 
 func (s *shares) account(ws ident.Workspace) *account {
 	a := s.accounts[ws]
 	if a == nil {
-		a = &account{weight: 1, others: map[ident.Daemon]*fading{}}
+		a = &account{weight: 1, others: map[ident.Daemon]*decayingSums{}}
 		s.accounts[ws] = a
 	}
 	return a
 }
 
-// configure keeps the accounts of these workspaces.
+// configure creates the accounts of the given workspaces and deletes all others.
 func (s *shares) configure(list []Workspace) {
 	kept := make(map[ident.Workspace]bool, len(list))
 	for _, w := range list {
@@ -58,94 +59,95 @@
 	}
 }
 
-// within tells whether a workspace may have so much more and stay within its
-// share. Room is the part above the fair level that it may reach: sums of other
-// daemons are some hundred ms old, and requests are of unequal size.
-func (s *shares) within(now time.Time, ws ident.Workspace, cost float64, rate rates) bool {
+// withinShare reports whether a workspace may be granted a further cost and stay within its
+// share. It may exceed the fair level by shareTolerance, since the sums of other daemons are
+// some hundred ms old and requests differ in size.
+func (s *shares) withinShare(now time.Time, ws ident.Workspace, cost float64, rate rates) bool {
 	if rate.stated <= 0 {
 		return true
 	}
 	s.refresh(now, rate.stated, rate.observed)
 	a := s.account(ws)
-	return s.reached(now, a)+cost/2 <= a.weight*s.level*room
+	return s.reached(now, a)+cost/2 <= a.weight*s.level*shareTolerance
 }
 
-// used returns how much of its share a workspace has had: one is all of it.
-func (s *shares) used(now time.Time, ws ident.Workspace, rate rates) float64 {
+// shareUsed returns how much of its share a workspace has used; 1 is all of it.
+func (s *shares) shareUsed(now time.Time, ws ident.Workspace, rate rates) float64 {
 	s.refresh(now, rate.stated, rate.observed)
 	a := s.account(ws)
 	return s.reached(now, a) / (a.weight * s.level)
 }
 
-// maySpare tells whether a workspace above its share may have what is spare. That
-// is shared too: one that is far ahead of another that lacks waits until the other
-// has caught up.
-func (s *shares) maySpare(now time.Time, ws ident.Workspace, cost float64, rate rates) bool {
+// mayUseSpare reports whether a workspace above its share may use spare capacity. Spare
+// capacity is shared too: a workspace that is far ahead of an underserved one waits until that
+// one has caught up.
+func (s *shares) mayUseSpare(now time.Time, ws ident.Workspace, cost float64, rate rates) bool {
 	if rate.stated <= 0 {
 		return true
 	}
 	s.refresh(now, rate.stated, rate.observed)
 	a := s.account(ws)
-	return s.reached(now, a)+cost/2 <= a.weight*max(s.level, min(spareLead*s.behind, keptBackLead*s.keptBack))
+	return s.reached(now, a)+cost/2 <= a.weight*max(s.level, min(maxSpareLead*s.minUnderserved, maxShedLead*s.minShed))
 }
 
-// spareLead is how far a workspace may be ahead of the least served one that lacks
-// and still get what is spare, and keptBackLead over one that daemons keep back. Far below two,
-// since each daemon sees what the others granted some hundred ms late, and one that is kept back
-// may get less from one second to the next.
+// maxSpareLead is the ratio up to which a workspace that uses spare capacity may be ahead of
+// the least served workspace that is underserved, and maxShedLead the ratio for one that
+// daemons shed. Both are far below two, since each daemon sees the others' grants some hundred
+// ms late, and the grants of a shed workspace may drop from one second to the next.
 const (
-	spareLead    = 1.5
-	keptBackLead = 1.3
+	maxSpareLead = 1.5
+	maxShedLead  = 1.3
 )
 
-// room is how far above its fair level a workspace may be and still count as
-// within its share.
-const room = 1.15
+// shareTolerance is the factor by which a workspace may exceed its fair level and still count
+// as within its share.
+const shareTolerance = 1.15
 
-// rates are what the targets of a service give, as stated and as observed; a stated one of
-// zero is not known, and no workspace is held to a share.
+// rates are the stated and observed capacity of the targets of a service. If the stated rate is
+// zero it is unknown, and workspaces are not limited to shares.
 type rates struct{ stated, observed float64 }
 
-// refresh computes the level: what filling up the stated rate gives, and of the observed
-// one as much more as keeps those ahead near those that daemons keep back.
+// refresh computes the level by water-filling the stated rate. If the observed rate is higher,
+// the level rises as far as workspaces ahead stay near those that daemons shed.
 func (s *shares) refresh(now time.Time, stated, observed float64) {
-	if now.Sub(s.levelAt) < levelEvery && !s.levelAt.IsZero() {
+	if now.Sub(s.levelAt) < levelInterval && !s.levelAt.IsZero() {
 		return
 	}
 	s.levelAt = now
 	for _, a := range s.accounts {
-		a.addUp(now, s.fleet)
+		a.sumOthers(now, s.fleetSums)
 	}
-	s.level = s.fill(now, stated)
-	s.findBehind(now)
+	s.level = s.waterFill(now, stated)
+	s.findUnderserved(now)
 	if observed > stated {
-		s.level = max(s.level, min(s.fill(now, observed), observedLead*s.keptBack))
+		s.level = max(s.level, min(s.waterFill(now, observed), maxObservedLead*s.minShed))
 	}
 	s.liftAll(now)
 }
 
 const (
-	// observedLead is how far a workspace may be ahead of the least served one that a
-	// daemon keeps back, by what targets were seen to give beyond the stated rate.
+	// maxObservedLead is the ratio up to which a workspace may be ahead of the least served one
+	// that a daemon sheds, when the observed capacity exceeds the stated rate.
 	//
-	// Load pattern: the callers of one hot workspace all reach one small VM, which has the
-	// processor time for a fraction of what they ask for, while the other hot ones fill
-	// the engines, and get more than twice what the hot one does. With the room above the
-	// level it is keptBackLead: sums are up to 0.75 s old and those ahead take
-	// turns at being the best served, so that it has to be well below two.
+	// Load pattern: the callers of one hot workspace all reach one small VM, which has
+	// processor time for a fraction of their requests, while the other hot workspaces fill the
+	// engines and get more than twice as much. Together with shareTolerance the limit is
+	// maxShedLead: sums are up to 0.75 s old and the workspaces ahead alternate as the best
+	// served one, so that it has to be well below two.
 	//
-	// It binds for such workspaces alone. Those that lack because the targets that keep
-	// their prompts are full gain nothing where others get less at other targets.
-	observedLead = keptBackLead / room
-	// keptBackFrom is the part of what a workspace asks for from which on daemons that
-	// refuse it for want of processor time keep it back. Daemons that refuse nothing else
-	// refuse a few in a hundred while a burst of new connections lasts.
-	keptBackFrom = 0.05
+	// It applies to shed workspaces only. Those that are underserved because the targets that
+	// cache their prompts are full gain nothing if others get less at other targets.
+	maxObservedLead = maxShedLead / shareTolerance
+	// minShedFraction is the fraction of its demand that daemons must refuse for lack of
+	// processor time for a workspace to count as shed. Daemons that otherwise refuse nothing
+	// shed a few percent during a burst of new connections.
+	minShedFraction = 0.05
 )
 
-// fill fills a rate up: workspaces that ask for less than the level get what they ask, and
-// the rest is divided by weight. Infinite: there is enough for all.
-func (s *shares) fill(now time.Time, rate float64) float64 {
+// waterFill computes the max-min fair level for a rate: workspaces that ask for less than the
+// level get what they ask for, and the rest is divided by weight. Infinite means that the rate
+// suffices for all.
+func (s *shares) waterFill(now time.Time, rate float64) float64 {
 	type demand struct{ asked, weight float64 }
 	var demands []demand
 	weights, total := 0.0, 0.0
@@ -156,9 +158,9 @@
 			total += asked
 		}
 	}
-	// A faded sum of a constant rate is the rate times the time constant.
-	left := rate * fade.Seconds()
-	if total <= left {
+	// The decaying sum of a constant rate is the rate times the time constant.
+	remaining := rate * decayTime.Seconds()
+	if total <= remaining {
 		return math.Inf(1)
 	}
 	slices.SortFunc(demands, func(a, b demand) int {
@@ -168,33 +170,33 @@
 		return 1
 	})
 	for _, d := range demands {
-		if d.asked/d.weight >= left/weights {
-			return left / weights
+		if d.asked/d.weight >= remaining/weights {
+			return remaining / weights
 		}
-		left -= d.asked
+		remaining -= d.asked
 		weights -= d.weight
 	}
 	return math.Inf(1)
 }
 
-// findBehind finds the least served workspace that lacks, and the least served one that
-// daemons keep back.
-func (s *shares) findBehind(now time.Time) {
-	s.behind, s.keptBack = math.Inf(1), math.Inf(1)
+// findUnderserved finds the least served workspace that is underserved, and the least served
+// one that daemons shed.
+func (s *shares) findUnderserved(now time.Time) {
+	s.minUnderserved, s.minShed = math.Inf(1), math.Inf(1)
 	for _, a := range s.accounts {
 		sum := a.sums(now)
-		if sum.asked <= a.weight*s.level*room {
+		if sum.asked <= a.weight*s.level*shareTolerance {
 			continue
 		}
-		s.behind = min(s.behind, sum.granted/a.weight)
-		if sum.shed >= keptBackFrom*sum.asked {
-			s.keptBack = min(s.keptBack, sum.granted/a.weight)
+		s.minUnderserved = min(s.minUnderserved, sum.granted/a.weight)
+		if sum.shed >= minShedFraction*sum.asked {
+			s.minShed = min(s.minShed, sum.granted/a.weight)
 		}
 	}
 }
 
-// granted is what was granted of late, over all workspaces and daemons.
-func (s *shares) granted(now time.Time) float64 {
+// totalGranted returns the recent grants of all daemons to all workspaces.
+func (s *shares) totalGranted(now time.Time) float64 {
 	sum := 0.0
 	for _, a := range s.accounts {
 		sum += a.sums(now).granted
--- a/internal/booking/sim_load_test.go
+++ b/internal/booking/sim_load_test.go
@@ -40,7 +40,7 @@
 		tokens := 1 + int(float64(own)*(0.5+rng.Float64()))
 		return booking.Request{
 			Prompt: shared + tokens, Output: output,
-			Parts: []booking.Part{{ID: id, Tokens: shared}, {ID: rng.Uint64(), Tokens: tokens}},
+			Parts: []booking.PromptPart{{ID: id, Tokens: shared}, {ID: rng.Uint64(), Tokens: tokens}},
 		}
 	}
 }
@@ -52,11 +52,11 @@
 		return
 	}
 	again := &job{Request: j.Request, again: true}
-	patience := j.Due.Sub(j.arrived)
+	patience := j.Deadline.Sub(j.arrived)
 	s.after(s.comesBack(), func() {
 		s.serial++
 		again.ID = ident.Request(fmt.Sprintf("r%07d", s.serial))
-		again.arrived, again.Due = s.now, s.now.Add(patience)
+		again.arrived, again.Deadline = s.now, s.now.Add(patience)
 		d := s.daemons[s.rng.IntN(len(s.daemons))]
 		d.jobs[again.ID] = again
 		d.core.Submit(s.now, again.Request)
--- a/internal/booking/sim_policy_test.go
+++ b/internal/booking/sim_policy_test.go
@@ -48,7 +48,7 @@
 			best, first = e, at
 		}
 	}
-	if best == nil || first.Add(simOverhead+s.hop).After(j.Due) {
+	if best == nil || first.Add(simOverhead+s.hop).After(j.Deadline) {
 		return ""
 	}
 	return best.spec.Name
--- a/internal/booking/sim_test.go
+++ b/internal/booking/sim_test.go
@@ -120,7 +120,7 @@
 		got: map[ident.Workspace]*tally{}, leaving: map[ident.Daemon]bool{},
 		cut: func(ident.Daemon, ident.Daemon) bool { return false },
 	}
-	s.service = booking.Service{Name: "pool", Model: true}
+	s.service = booking.Service{Name: "pool", ServesModel: true}
 	for i := range engines {
 		spec := booking.Target{Name: ident.Target(fmt.Sprintf("engine-%02d", i)), Zone: zones[i%len(zones)], Slots: simSlots, Memory: simMemory}
 		s.engines[spec.Name] = &engine{spec: spec, rate: simRate, parts: map[uint64]bool{}, reading: map[uint64]bool{}}
@@ -153,7 +153,7 @@
 				peers = append(peers, booking.Peer{ID: other.id, Incarnation: 1, Zone: other.zone, Leaving: s.leaving[other.id]})
 			}
 		}
-		d.core.Peers(s.now, peers)
+		d.core.SetPeers(s.now, peers)
 		d.core.Configure(s.now, []booking.Service{s.service})
 		s.carryOut(d)
 	}
@@ -205,7 +205,7 @@
 	s.serial++
 	r.ID = ident.Request(fmt.Sprintf("r%07d", s.serial))
 	r.Service = "pool"
-	r.Due = s.now.Add(objective)
+	r.Deadline = s.now.Add(objective)
 	d.jobs[r.ID] = &job{Request: r, arrived: s.now}
 	s.got[r.Workspace].asked++
 	if s.policy != nil {
@@ -217,14 +217,14 @@
 }
 
 func (s *sim) carryOut(d *daemon) {
-	for _, effect := range d.core.Take() {
+	for _, effect := range d.core.TakeEffects() {
 		switch e := effect.(type) {
 		case booking.Dispatch:
 			j := d.jobs[e.Request]
 			if s.placed != nil {
 				s.placed(j)
 			}
-			j.source = e.Basis.Source
+			j.source = e.Basis.FetchSource
 			s.dispatch(d, j, e.Target)
 		case booking.Refuse:
 			j := d.jobs[e.Request]
@@ -299,14 +299,14 @@
 			return
 		}
 		if s.policy == nil {
-			d.core.First(s.now, j.ID, s.now.Sub(j.began))
+			d.core.FirstByte(s.now, j.ID, s.now.Sub(j.began))
 			s.carryOut(d)
 		}
 		s.received(j)
 	})
 	s.after(e.free.Sub(s.now)+simOverhead+time.Duration(j.Output)*simStep, func() {
 		e.leave()
-		s.finish(d, j, booking.Result{Elapsed: s.now.Sub(j.began), Pause: simStep}, true)
+		s.finish(d, j, booking.Result{Elapsed: s.now.Sub(j.began), EventInterval: simStep}, true)
 	})
 }
 
@@ -331,7 +331,7 @@
 		}
 	}
 	s.copied += tokens
-	return simTransfer + time.Duration(tokens)*s.service.Fetch
+	return simTransfer + time.Duration(tokens)*s.service.FetchPerToken
 }
 
 func (s *sim) anyHolds(part uint64) bool {
@@ -345,7 +345,7 @@
 
 func (s *sim) received(j *job) {
 	t := s.got[j.Workspace]
-	if j.again || s.now.After(j.Due) {
+	if j.again || s.now.After(j.Deadline) {
 		t.late++
 		return
 	}
--- a/internal/booking/slowdown.go
+++ b/internal/booking/slowdown.go
@@ -82,11 +82,11 @@
 }
 
 // streamed takes in that a stream has ended.
-func (e *engine) streamed(now time.Time, r *run, end End) {
-	if end.Pause <= 0 || r.firstAt.IsZero() || !now.After(r.firstAt) {
+func (e *engine) streamed(now time.Time, r *run, end Release) {
+	if end.EventInterval <= 0 || r.firstByteAt.IsZero() || !now.After(r.firstByteAt) {
 		return
 	}
-	lasted := now.Sub(r.firstAt)
-	part := (e.readTotal - r.readBefore).Seconds() / lasted.Seconds()
-	e.service.slowdown.observe(part, end.Pause)
+	lasted := now.Sub(r.firstByteAt)
+	part := (e.readTotal - r.prefillBefore).Seconds() / lasted.Seconds()
+	e.service.slowdown.observe(part, end.EventInterval)
 }
--- a/internal/booking/sums.go
+++ b/internal/booking/sums.go
@@ -7,101 +7,103 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// fade is the time constant of what was asked and granted. Shares are judged over
-// some seconds: a shorter memory would let a workspace that comes in waves have
-// more than its share, a longer one would hold against it what is over.
-const fade = 2 * time.Second
-
-// faded is a sum that fades with time.
-type faded struct {
-	value float64
-	at    time.Time
+// decayTime is the time constant of the sums of demand and grants. Shares are judged over a few
+// seconds: with a shorter time a workspace whose requests come in waves would get more than its
+// share, with a longer one past use would be held against it.
+const decayTime = 2 * time.Second
+
+// decayingSum is a sum that decays exponentially.
+type decayingSum struct {
+	value   float64
+	updated time.Time
 }
 
-func (f *faded) add(now time.Time, x float64) { f.addOver(now, x, fade) }
+func (f *decayingSum) add(now time.Time, x float64) { f.addWithDecay(now, x, decayTime) }
 
-func (f *faded) now(now time.Time) float64 { return f.over(now, fade) }
+func (f *decayingSum) now(now time.Time) float64 { return f.decayed(now, decayTime) }
 
-// addOver adds to a sum with a time constant of its own.
-func (f *faded) addOver(now time.Time, x float64, constant time.Duration) {
-	f.value = f.over(now, constant) + x
-	f.at = now
+// addWithDecay adds to a sum that has a time constant other than decayTime.
+func (f *decayingSum) addWithDecay(now time.Time, x float64, timeConstant time.Duration) {
+	f.value = f.decayed(now, timeConstant) + x
+	f.updated = now
 }
 
-// over is what is left of a sum with a time constant of its own.
-func (f *faded) over(now time.Time, constant time.Duration) float64 {
+// decayed returns the value of a sum that has a time constant other than decayTime.
+func (f *decayingSum) decayed(now time.Time, timeConstant time.Duration) float64 {
 	if f.value == 0 {
 		return 0
 	}
-	return f.value * math.Exp(-max(0, now.Sub(f.at)).Seconds()/constant.Seconds())
+	return f.value * math.Exp(-max(0, now.Sub(f.updated)).Seconds()/timeConstant.Seconds())
 }
 
-// sums are what the callers of a workspace asked for of late, what of it a daemon refused
-// for want of processor time, and what owners granted. They fade.
+// sums are the recent demand of a workspace, the part of it that daemons refused for lack of
+// processor time, and what owners granted. They decay.
 type sums struct{ asked, shed, granted float64 }
 
-// plus adds up.
 func (s sums) plus(t sums) sums {
 	return sums{asked: s.asked + t.asked, shed: s.shed + t.shed, granted: s.granted + t.granted}
 }
 
-// without takes off, down to nothing.
-func (s sums) without(t sums) sums {
+// minus subtracts, with zero as the lower bound.
+func (s sums) minus(t sums) sums {
 	return sums{asked: max(0, s.asked-t.asked), shed: max(0, s.shed-t.shed), granted: max(0, s.granted-t.granted)}
 }
 
-// fading are sums as time goes on.
-type fading struct{ asked, shed, granted faded }
+// decayingSums are sums that decay as time passes.
+type decayingSums struct{ asked, shed, granted decayingSum }
 
-// fadingFrom returns sums that fade from a moment on.
-func fadingFrom(at time.Time, s sums) fading {
-	return fading{asked: faded{s.asked, at}, shed: faded{s.shed, at}, granted: faded{s.granted, at}}
+// newDecayingSums returns sums that decay from a given time on.
+func newDecayingSums(at time.Time, s sums) decayingSums {
+	return decayingSums{asked: decayingSum{s.asked, at}, shed: decayingSum{s.shed, at}, granted: decayingSum{s.granted, at}}
 }
 
-func (f *fading) now(now time.Time) sums {
+func (f *decayingSums) now(now time.Time) sums {
 	return sums{asked: f.asked.now(now), shed: f.shed.now(now), granted: f.granted.now(now)}
 }
 
-// account is what is known of one workspace's use of a service.
+// account is what is known about one workspace's use of a service.
 type account struct {
 	weight float64
-	// own is what this daemon's callers asked for, and what this daemon granted as owner.
-	own fading
-	// unsaid is what this daemon granted of late, over the age of news, and lift what the
-	// workspace is taken to have been granted while it asked for less (estimate.go).
-	unsaid, lift faded
-	// unused is what of the grants came to nothing.
-	unused faded
-	// tally is what this daemon has decided since Sharing was last called.
+	// own is the demand of this daemon's callers, and what this daemon granted as an owner.
+	own decayingSums
+	// unpublished is what this daemon granted recently, decaying with the age of the other
+	// daemons' sums, and presumedGrants what the workspace is presumed to have been granted
+	// while it asked for less (estimate.go).
+	unpublished, presumedGrants decayingSum
+	// unusedGrants is the part of the grants that no target has run.
+	unusedGrants decayingSum
+	// tally is what this daemon has decided since the last call of ShareReports.
 	tally tally
-	// others are the same sums of each other daemon, as last told, and all is what
-	// they add up to since the last refresh.
-	others map[ident.Daemon]*fading
-	all    fading
-	// sent are the values that were last told, by their scope; they fade alike where
-	// they are known.
-	sent [ScopeFleet + 1]fading
+	// others are the sums that each other daemon last published, and othersTotal is their total
+	// as of the last refresh.
+	others      map[ident.Daemon]*decayingSums
+	othersTotal decayingSums
+	// published are the values that were last published, by scope; they decay here as they do
+	// at the receivers.
+	published [ScopeFleet + 1]decayingSums
 }
 
-// toldHolds is how long a told sum stays as it is before it fades: until the next word is
-// due. The sum of a steady rate is steady; faded from the moment that it was told, what
-// others ask for and are granted would seem lower than it is, and more so by way of hubs.
-const toldHolds = tellEvery + tellEvery/5
+// publishedHold is how long a published sum stays constant before it decays: until the next one
+// is due. The sum of a steady rate is steady. If it decayed from the time of publication on,
+// the demand and the grants of others would be underestimated, and more so by way of hubs.
+const publishedHold = memberPublishInterval + memberPublishInterval/5
 
-func toldNow(now time.Time, s sums) fading { return fadingFrom(now.Add(toldHolds), s) }
+func publishedSums(now time.Time, s sums) decayingSums {
+	return newDecayingSums(now.Add(publishedHold), s)
+}
 
-// sums returns the fleet's sums. Those of others are as of the last refresh.
-func (a *account) sums(now time.Time) sums { return a.own.now(now).plus(a.all.now(now)) }
+// sums returns the sums of the fleet. Those of other daemons are as of the last refresh.
+func (a *account) sums(now time.Time) sums { return a.own.now(now).plus(a.othersTotal.now(now)) }
 
-// addUp sums up what the other daemons told. Of the fleet's sums, as a hub tells them,
-// this daemon's own part is taken off as it was last told.
-func (a *account) addUp(now time.Time, fleet bool) {
-	var all sums
+// sumOthers adds up what the other daemons published. From the fleet's totals, which a hub
+// publishes, it subtracts this daemon's own part as last published.
+func (a *account) sumOthers(now time.Time, fleet bool) {
+	var total sums
 	for _, t := range a.others {
-		all = all.plus(t.now(now))
+		total = total.plus(t.now(now))
 	}
 	if fleet {
-		all = all.without(a.sent[ScopeOwn].now(now))
+		total = total.minus(a.published[ScopeOwn].now(now))
 	}
-	a.all = fadingFrom(now, all)
+	a.othersTotal = newDecayingSums(now, total)
 }
--- a/internal/booking/types.go
+++ b/internal/booking/types.go
@@ -7,37 +7,38 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-// Part is a part of a prompt that an engine may keep.
-type Part struct {
+// PromptPart is a part of a prompt that an engine may cache.
+type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
 
-// Request is what decisions need to know of a request.
+// Request holds what placement decisions need to know about a request.
 type Request struct {
 	ID        ident.Request
 	Service   ident.Service
 	Workspace ident.Workspace
-	// Prompt and Output are tokens, zero for a plain service. Parts are those of
-	// the prompt, the first one first; the last belongs to the request alone.
+	// Prompt and Output are numbers of tokens, zero for a plain service. Parts are the parts of
+	// the prompt in order; the last one is not shared with any other request.
 	Prompt, Output int
-	Parts          []Part
-	// Due is when the first byte of the answer has to be there.
-	Due time.Time
-	// Late tells that an answer can't be in time any more and gets what is spare.
+	Parts          []PromptPart
+	// Deadline is when the first byte of the answer is due.
+	Deadline time.Time
+	// Late reports that the answer cannot meet its deadline any more, so that the request gets
+	// spare capacity only.
 	Late bool
 	// Avoid lists targets that a further attempt must not use.
 	Avoid []ident.Target
-	// Begun tells that an earlier attempt was placed: the request has counted in
-	// its workspace's share, and what was done for it is lost if it is refused now.
-	Begun bool
-	// Known tells that owners were asked for the request before: a place came to
-	// nothing, since the target could not be reached.
-	Known bool
+	// PreviouslyPlaced reports that an earlier attempt was placed: the request is already
+	// counted in its workspace's share, and the work done for it is lost if it is refused now.
+	PreviouslyPlaced bool
+	// OwnerContacted reports that an owner has received this request before, in a placement
+	// that failed because the target could not be reached.
+	OwnerContacted bool
 }
 
-// Cost is what a request counts against its workspace: tokens, of which a
-// generated one counts twice; one for a plain service.
+// Cost is what a request counts against its workspace's share: tokens, with a generated one
+// counting twice; 1 for a plain service.
 func (r *Request) Cost() float64 {
 	if r.Prompt == 0 {
 		return 1
@@ -45,43 +46,43 @@
 	return Tokens(r.Prompt, r.Output)
 }
 
-// Tokens is what a prompt and an answer count against their workspace.
+// Tokens returns what a prompt and an answer count against their workspace's share.
 func Tokens(prompt, output int) float64 { return float64(prompt + outputWeight*output) }
 
-// outputWeight is what a generated token counts against one read: about the
-// inverse of how many more of the latter an engine does in the same time.
+// outputWeight is the cost of a generated token relative to a prompt token: about the inverse
+// of the ratio of the rates at which an engine processes them.
 const outputWeight = 2
 
-// Workspace is a customer and its weight.
+// Workspace is a customer and its weight in the division of a service.
 type Workspace struct {
 	Name   ident.Workspace
 	Weight float64
 }
 
-// Target is one back end of a service.
+// Target is one backend of a service.
 type Target struct {
 	Name ident.Target
 	Zone ident.Zone
-	// Slots is how many requests it runs at once.
+	// Slots is how many requests the target runs concurrently.
 	Slots int
-	// Memory is what it keeps, in tokens; zero for a plain service.
+	// Memory is how many tokens the target can hold; zero for a plain service.
 	Memory int
-	// Born tells a target that was started again from its predecessor.
-	Born int64
+	// Generation distinguishes a restarted target from its predecessor.
+	Generation int64
 }
 
-// Service is what decisions need to know of a service.
+// Service holds what placement decisions need to know about a service.
 type Service struct {
 	Name ident.Service
-	// Model tells that the targets read prompts.
-	Model      bool
-	Targets    []Target
-	Workspaces []Workspace
-	// Fetch is the time to copy one kept token from another target; zero: targets do
-	// not copy from each other.
-	Fetch time.Duration
-	// Rate is what all targets together give, in units of Cost a second; zero:
-	// not known, and no workspace is held to a share.
+	// ServesModel reports that the targets are inference engines, which prefill prompts.
+	ServesModel bool
+	Targets     []Target
+	Workspaces  []Workspace
+	// FetchPerToken is the time to copy one cached token from another target; zero means that
+	// targets do not copy from each other.
+	FetchPerToken time.Duration
+	// Rate is the total capacity of the targets, in units of Cost per second; zero means that
+	// it is unknown and workspaces are not limited to shares.
 	Rate float64
 }
 
@@ -93,166 +94,170 @@
 	Leaving     bool
 }
 
-// Ask asks the owner of a target for a place.
-type Ask struct {
-	// ID grows with each ask of an ingress's incarnation.
+// Reservation asks the owner of a target to admit a request.
+type Reservation struct {
+	// ID increases with each reservation of an ingress's incarnation.
 	ID        uint64
 	Service   ident.Service
 	Target    ident.Target
 	Workspace ident.Workspace
 	Prompt    int
 	Output    int
-	Parts     []Part
-	// Left is the time to Due.
-	Left time.Duration
-	Late bool
-	// Taken tells that the request runs there already: the owner only notes it.
-	Taken bool
-	// Read tells of a taken one that its first byte has come: its prompt has been read.
-	Read bool
-	// Begun tells that an earlier attempt was placed.
-	Begun bool
-	// First tells that no other owner was asked for the request before: this one
-	// counts what its workspace asks for, and knows whether it comes back.
-	First bool
-	// Here is how many tokens of the prompt's beginning the target keeps by what the
-	// ingress has sent there, for an owner that knows little of it yet.
-	Here int
-	// Elsewhere is how many tokens of the prompt's beginning another target keeps,
-	// from which they can be copied.
-	Elsewhere int
+	Parts     []PromptPart
+	// Remaining is the time until the deadline.
+	Remaining time.Duration
+	Late      bool
+	// Running reports that the target already runs the request: the owner only records it.
+	Running bool
+	// PrefillDone reports that the first byte of a running request has arrived, so that its
+	// prompt has been read.
+	PrefillDone bool
+	// PreviouslyPlaced reports that an earlier attempt was placed.
+	PreviouslyPlaced bool
+	// FirstContact reports that no other owner has received the request before. The owner that
+	// gets this one counts the demand of the workspace and detects retries by the caller.
+	FirstContact bool
+	// CachedHint is how many tokens of the prompt's prefix the target has cached according to
+	// what the ingress has sent there, for an owner that is new to the target.
+	CachedHint int
+	// CachedElsewhere is how many tokens of the prompt's prefix another target has cached, from
+	// which they can be copied.
+	CachedElsewhere int
 }
 
-// Reply answers an ask.
+// Reply answers a reservation.
 type Reply struct {
 	ID uint64
 	OK bool
 	// Wait is the expected time to the first byte.
 	Wait time.Duration
-	// Back tells that the request was refused before and comes back, so that its
-	// answer is late already.
-	Back bool
-	// Kept is how many tokens of the prompt's beginning the target keeps.
-	Kept int
-	// Limit is what kept the owner from taking the request, and Used how much of its share
-	// the workspace has had then; one is all of it.
-	Limit Limit
-	Used  float64
-	// Alone is, with LimitPrompt, the time to the first byte of the prompt alone.
-	Alone time.Duration
-	// Hold is for how long at most the request is to be held back, until the owner tells
-	// that it is to go on; zero: it is to go at once.
+	// CallerRetry reports that the request was refused before and the caller has retried it, so
+	// that its answer is already late.
+	CallerRetry bool
+	// CachedTokens is how many tokens of the prompt's prefix the target has cached.
+	CachedTokens int
+	// Limit is why the owner refused the request, and ShareUsed how much of its share the
+	// workspace had used by then; 1 is all of it.
+	Limit     Limit
+	ShareUsed float64
+	// UnloadedWait is set with LimitPrompt: the time to the first byte if the target had
+	// nothing else to do.
+	UnloadedWait time.Duration
+	// Hold is the longest time to hold the request back while waiting for the owner's signal to
+	// proceed; zero means to dispatch it at once.
 	Hold time.Duration
 }
 
-// Mark tells the owner that the first byte of an answer has come.
-type Mark struct {
+// FirstByteNotice tells the owner that the first byte of an answer has arrived.
+type FirstByteNotice struct {
 	ID uint64
-	// First runs from dispatch to the first byte.
-	First time.Duration
+	// Elapsed runs from dispatch to the first byte.
+	Elapsed time.Duration
 }
 
-// End tells the owner that a request has left its target.
-type End struct {
+// Release tells the owner that a request has left its target.
+type Release struct {
 	ID uint64
-	// Elapsed runs from dispatch to the end; zero: it was not dispatched.
+	// Elapsed runs from dispatch to the end; zero means that the request was not dispatched.
 	Elapsed time.Duration
-	// Failed tells that the target or the way to it failed, NotRun that it did not
-	// run the request.
+	// Failed reports that the target or the connection to it failed, NotRun that the target did
+	// not run the request.
 	Failed, NotRun bool
-	// Pause is the mean time between the events of the answer; zero: not known.
-	Pause time.Duration
+	// EventInterval is the mean time between the events of the answer; zero means unknown.
+	EventInterval time.Duration
 }
 
-// unused tells that the target has not run the request: what was granted for it served nobody.
-func (e *End) unused() bool { return e.Elapsed == 0 || e.NotRun }
+// unusedGrant reports that the target has not run the request, so that what was granted for it
+// was not used.
+func (r *Release) unusedGrant() bool { return r.Elapsed == 0 || r.NotRun }
 
-// Usage is what the callers of the sender, or of all for whom it speaks, asked for of
-// late, what of it was refused for want of a daemon's processor time, and what was granted
-// by owners, for one workspace: sums that fade (see sums.go).
+// Usage is one workspace's recent demand, the part of it that daemons refused for lack of
+// processor time, and what owners granted, for the callers of the sender or of all daemons for
+// which it reports. The values are decaying sums (see sums.go).
 type Usage struct {
 	Service              ident.Service
 	Workspace            ident.Workspace
 	Asked, Shed, Granted float64
 }
 
-// Load is what the sender knows of a target that it owns.
+// Load is what the sender knows about a target that it owns.
 type Load struct {
 	Service ident.Service
 	Target  ident.Target
-	// Wait is the time until a new prompt would be begun, Taken the part of the
-	// slots in use, Failures the part of requests that failed of late.
-	Wait            time.Duration
-	Taken, Failures float64
-	// Use is how near the target is to what it may be used for; one is as near as it
-	// should be.
-	Use float64
+	// Wait is the time until a new prompt would be started, SlotUtilization the fraction of the
+	// slots in use, FailureRate the fraction of recent requests that failed.
+	Wait                         time.Duration
+	SlotUtilization, FailureRate float64
+	// Utilization is the load of the target relative to its intended maximum, which is 1.
+	Utilization float64
 }
 
-// Message is everything that one Core tells another in one go. Incarnation is the
-// sender's; a message of an older incarnation is dropped.
+// Message carries everything that one Core sends to another at a time. Incarnation is that of
+// the sender; a message of an older incarnation is dropped.
 type Message struct {
-	Incarnation uint64
-	Asks        []Ask
-	Replies     []Reply
-	Marks       []Mark
-	Ends        []End
-	// Scope is what Usage stands for.
+	Incarnation  uint64
+	Reservations []Reservation
+	Replies      []Reply
+	FirstBytes   []FirstByteNotice
+	Releases     []Release
+	// Scope is the set of daemons that Usage covers.
 	Scope Scope
 	Usage []Usage
 	Loads []Load
-	// Ready are requests of the one that gets the message that need not be held back any
-	// longer, by the numbers of their asks.
+	// Ready lists requests of the receiver that need not be held back any longer, by the IDs of
+	// their reservations.
 	Ready []uint64
 }
 
-// Empty tells that there is nothing in the message.
+// Empty reports whether the message has no content.
 func (m *Message) Empty() bool {
-	return len(m.Asks)+len(m.Replies)+len(m.Marks)+len(m.Ends)+len(m.Usage)+len(m.Loads)+len(m.Ready) == 0
+	return len(m.Reservations)+len(m.Replies)+len(m.FirstBytes)+len(m.Releases)+len(m.Usage)+len(m.Loads)+len(m.Ready) == 0
 }
 
-// Result tells how an attempt ended.
+// Result describes how an attempt ended.
 type Result struct {
-	// Elapsed runs from dispatch to the end; zero: it was not dispatched.
+	// Elapsed runs from dispatch to the end; zero means that the request was not dispatched.
 	Elapsed        time.Duration
 	Failed, NotRun bool
-	// Pause is the mean time between the events of the answer; zero: not known.
-	Pause time.Duration
+	// EventInterval is the mean time between the events of the answer; zero means unknown.
+	EventInterval time.Duration
 }
 
-// Effect is something that the caller of the Core has to do.
+// Effect is an action that the caller of the Core has to carry out.
 type Effect interface{ effect() }
 
 // Dispatch sends a request to a target.
 type Dispatch struct {
 	Request ident.Request
 	Target  ident.Target
-	// Basis tells on what the decision stands, for the log.
+	// Basis explains the decision, for the log.
 	Basis Basis
 }
 
-// Basis is what a placement was decided by.
+// Basis is what a placement decision was based on.
 type Basis struct {
-	// By is "home" with its number or "emptiest" where the owner granted, "blind"
-	// where no owner answered.
-	By string
-	// Expected is the expected time to the first byte; zero: not known.
+	// SelectedBy is "home" with its number or "emptiest" where the owner admitted the request,
+	// "blind" where no owner replied.
+	SelectedBy string
+	// Expected is the expected time to the first byte; zero means unknown.
 	Expected time.Duration
-	// Asks counts the owners asked.
-	Asks int
-	// Limit is what kept the owner of the target with the shortest wait from taking a refused
-	// request, and Used how much of its share the workspace had had; one is all of it.
-	Limit Limit
-	Used  float64
-	// Alone is, with LimitPrompt, the time to the first byte of the prompt alone.
-	Alone time.Duration
-	// Back tells that the request was refused before and has come back.
-	Back bool
-	// Source is the target from which the beginning of the prompt is to be copied;
-	// empty: none.
-	Source ident.Target
-	// Held tells that it was held back until the target had read what it shares with
-	// another one.
+	// OwnersAsked counts the owners that were asked.
+	OwnersAsked int
+	// Limit is why a refused request was not admitted by the owner of the target with the
+	// shortest wait, and ShareUsed how much of its share the workspace had used; 1 is all of
+	// it.
+	Limit     Limit
+	ShareUsed float64
+	// UnloadedWait is set with LimitPrompt: the time to the first byte if the target had
+	// nothing else to do.
+	UnloadedWait time.Duration
+	// CallerRetry reports that the request was refused before and the caller has retried it.
+	CallerRetry bool
+	// FetchSource is the target from which the prompt's prefix is copied; empty if there is
+	// none.
+	FetchSource ident.Target
+	// Held reports that the request was held back until the target had read the prefix that it
+	// shares with another request.
 	Held bool
 }
 
@@ -260,7 +265,7 @@
 type Refuse struct {
 	Request ident.Request
 	Failure *resultcode.Failure
-	// Basis tells on what the decision stands: Expected is the shortest wait that was told.
+	// Basis explains the decision; its Expected is the shortest wait that an owner reported.
 	Basis Basis
 }
 
--- a/internal/control/bookings.go
+++ b/internal/control/bookings.go
@@ -45,14 +45,14 @@
 // Run handles events until ctx ends. Requests that still wait then are refused as
 // not run.
 func (b *Bookings) Run(ctx context.Context) {
-	b.run(ctx, b.core.Due, b.core.Tick, b.carryOut)
+	b.run(ctx, b.core.NextTick, b.core.Tick, b.carryOut)
 	for id := range b.waiters {
 		b.place(id, Placement{Failure: resultcode.Fail(resultcode.Stopping, "")})
 	}
 }
 
 func (b *Bookings) carryOut() {
-	for _, effect := range b.core.Take() {
+	for _, effect := range b.core.TakeEffects() {
 		switch e := effect.(type) {
 		case booking.Dispatch:
 			b.place(e.Request, Placement{Target: e.Target, Basis: e.Basis})
@@ -108,7 +108,7 @@
 
 // First reports that the first byte of an answer has come.
 func (b *Bookings) First(id ident.Request, took time.Duration) {
-	b.do(func(now time.Time) { b.core.First(now, id, took) })
+	b.do(func(now time.Time) { b.core.FirstByte(now, id, took) })
 }
 
 // Finish reports how the attempt of a placed request ended.
@@ -118,7 +118,7 @@
 
 // Wanted counts what a workspace asked for without a place being looked for.
 func (b *Bookings) Wanted(service ident.Service, workspace ident.Workspace, cost float64) {
-	b.do(func(now time.Time) { b.core.Wanted(now, service, workspace, cost) })
+	b.do(func(now time.Time) { b.core.RecordShed(now, service, workspace, cost) })
 }
 
 // Configure puts new services in force.
@@ -133,7 +133,7 @@
 
 // Peers replaces the list of other live daemons.
 func (b *Bookings) Peers(peers []booking.Peer) {
-	b.do(func(now time.Time) { b.core.Peers(now, peers) })
+	b.do(func(now time.Time) { b.core.SetPeers(now, peers) })
 }
 
 // LinkUp tells that a link to a peer is up.
--- a/internal/daemon/sharing_bench_test.go
+++ b/internal/daemon/sharing_bench_test.go
@@ -66,7 +66,7 @@
 			peers = append(peers, booking.Peer{ID: m.ID, Incarnation: m.Incarnation, Zone: m.Zone})
 		}
 	}
-	c.Peers(now, peers)
+	c.SetPeers(now, peers)
 	// Sums that are told for a later time do not fade until then.
 	later := now.Add(1000 * time.Hour)
 	for _, p := range peers {
@@ -86,9 +86,9 @@
 	for b.Loop() {
 		now = now.Add(sharingEvery)
 		for _, w := range service.Workspaces {
-			c.Wanted(now, service.Name, w.Name, 98765)
+			c.RecordShed(now, service.Name, w.Name, 98765)
 		}
-		for _, sharing := range c.Sharing(now) {
+		for _, sharing := range c.ShareReports(now) {
 			event.ServiceShared.Log(log, sharingFields(sharing, 0.95)...)
 		}
 	}
@@ -97,7 +97,7 @@
 }
 
 func benchService() booking.Service {
-	s := booking.Service{Name: "redactor", Model: true, Rate: 2100000}
+	s := booking.Service{Name: "redactor", ServesModel: true, Rate: 2100000}
 	for i := range benchTargets {
 		s.Targets = append(s.Targets, booking.Target{Name: ident.Target(fmt.Sprintf("target-%02d", i)), Zone: benchZones[i%len(benchZones)], Slots: 32, Memory: 444000})
 	}
--- a/internal/daemon/sharing_test.go
+++ b/internal/daemon/sharing_test.go
@@ -21,9 +21,9 @@
 	c := booking.New(booking.Config{Self: "a", Incarnation: 1, Zone: benchZones[0]}, rand.New(rand.NewPCG(1, 1)))
 	service := benchService()
 	c.Configure(now, []booking.Service{service})
-	c.Wanted(now, service.Name, service.Workspaces[0].Name, 50e6)
+	c.RecordShed(now, service.Name, service.Workspaces[0].Name, 50e6)
 	var out bytes.Buffer
-	for _, b := range c.Sharing(now) {
+	for _, b := range c.ShareReports(now) {
 		event.ServiceShared.Log(slog.New(slog.NewJSONHandler(&out, nil)), sharingFields(b, 0.95)...)
 	}
 	var line map[string]any
--- a/internal/daemon/site.go
+++ b/internal/daemon/site.go
@@ -140,7 +140,7 @@
 	}
 	var services []booking.Service
 	for _, spec := range table.Services {
-		service := booking.Service{Name: spec.Name, Model: spec.Model, Fetch: spec.Fetch, Workspaces: workspaces}
+		service := booking.Service{Name: spec.Name, ServesModel: spec.Model, FetchPerToken: spec.Fetch, Workspaces: workspaces}
 		if spec.Model {
 			service.Rate = table.Limits.TokensPerSecond
 		}
@@ -153,7 +153,7 @@
 				slots = max(spec.Slots, defaultSlots)
 			}
 			service.Targets = append(service.Targets, booking.Target{
-				Name: e.Identity, Zone: e.Zone, Slots: slots, Memory: spec.Memory, Born: e.Born,
+				Name: e.Identity, Zone: e.Zone, Slots: slots, Memory: spec.Memory, Generation: e.Born,
 			})
 		}
 		services = append(services, service)
@@ -297,8 +297,8 @@
 
 // logSharing tells by what shares this daemon decides, where some workspace lacks.
 func (s *site) logSharing() {
-	var list []booking.Sharing
-	s.p.Loop.Inspect(func(c *booking.Core) { list = c.Sharing(time.Now()) })
+	var list []booking.ShareReport
+	s.p.Loop.Inspect(func(c *booking.Core) { list = c.ShareReports(time.Now()) })
 	sheds := float64(s.p.Load.shed.Load()) / shedUnit
 	for _, b := range list {
 		event.ServiceShared.Log(s.p.Log, sharingFields(b, sheds)...)
@@ -307,11 +307,11 @@
 
 // sharingFields are those of a line about shares, on a daemon that refuses such a part of
 // new requests.
-func sharingFields(b booking.Sharing, sheds float64) []any {
+func sharingFields(b booking.ShareReport, sheds float64) []any {
 	return []any{
 		"service", b.Service, "stated", b.Stated, "observed", math.Round(b.Observed),
-		"level", b.Level, "behind", b.Behind, "kept_back", b.KeptBack, "most", b.Most,
-		"sheds", sheds, "own", b.Own, "targets", b.Targets,
+		"level", b.Level, "behind", b.MinUnderserved, "kept_back", b.MinShed, "most", b.TopWorkspaces,
+		"sheds", sheds, "own", b.Decisions, "targets", b.OwnedTargets,
 	}
 }
 
--- a/internal/explain/sharing.go
+++ b/internal/explain/sharing.go
@@ -15,11 +15,11 @@
 
 // sharing is a line about how a service is shared among workspaces.
 type sharing struct {
-	Level   float64                `json:"level"`
-	Most    []booking.WorkspaceUse `json:"most"`
-	Sheds   float64                `json:"sheds"`
-	Own     []booking.WorkspaceOwn `json:"own"`
-	Targets booking.TargetsUse     `json:"targets"`
+	Level   float64                      `json:"level"`
+	Most    []booking.WorkspaceDemand    `json:"most"`
+	Sheds   float64                      `json:"sheds"`
+	Own     []booking.WorkspaceDecisions `json:"own"`
+	Targets booking.TargetUtilization    `json:"targets"`
 }
 
 // sharing reads the line's fields.
@@ -63,7 +63,7 @@
 // sentences say how the service was shared, in tokens a second over the fleet, and what the
 // daemon that wrote the line did since the one before.
 func (s *sharing) sentences() []string {
-	best := booking.WorkspaceUse{}
+	best := booking.WorkspaceDemand{}
 	for _, w := range s.Most {
 		if got(w) > got(best) {
 			best = w
@@ -74,7 +74,7 @@
 		said = append(said, indent+s.fleet(w, best))
 	}
 	said = append(said, fmt.Sprintf("%sthis daemon refuses %.0f%% of new requests for want of processor time; its %d targets have %.0f%% of their slots taken",
-		indent, 100*s.Sheds, s.Targets.Owned, 100*s.Targets.Taken))
+		indent, 100*s.Sheds, s.Targets.Owned, 100*s.Targets.SlotUtilization))
 	for _, w := range s.Own {
 		said = append(said, fmt.Sprintf("%shere %s was granted %d and refused %s", indent, w.Workspace, w.Granted, refusals(w)))
 	}
@@ -82,11 +82,11 @@
 }
 
 // got is what a workspace was granted and targets ran, as far as the daemon knows.
-func got(w booking.WorkspaceUse) int { return max(0, w.Granted-w.Unused) }
+func got(w booking.WorkspaceDemand) int { return max(0, w.Granted-w.Unused) }
 
 // fleet says what a workspace asked for and got, and how near that is to half of what the
 // best served one got.
-func (s *sharing) fleet(w, best booking.WorkspaceUse) string {
+func (s *sharing) fleet(w, best booking.WorkspaceDemand) string {
 	text := fmt.Sprintf("%s asked for %d, %d of it refused for want of processor time, and got %d", w.Workspace, w.Asked, w.Shed, got(w))
 	if w.Workspace == best.Workspace || w.Asked == 0 || got(best) == 0 {
 		return text
@@ -99,10 +99,10 @@
 }
 
 // refusals lists what the daemon refused a workspace, by cause.
-func refusals(w booking.WorkspaceOwn) string {
+func refusals(w booking.WorkspaceDecisions) string {
 	list := []string{fmt.Sprintf("%d for want of processor time", w.Shed)}
-	if w.Unheard > 0 {
-		list = append(list, fmt.Sprintf("%d since no owner answered in time", w.Unheard))
+	if w.Unanswered > 0 {
+		list = append(list, fmt.Sprintf("%d since no owner answered in time", w.Unanswered))
 	}
 	var names []string
 	for name := range w.Refused {
--- a/internal/fleet/bookings.go
+++ b/internal/fleet/bookings.go
@@ -20,10 +20,10 @@
 // every other row is kept.
 func (o *outbox) mergeBookings(m *booking.Message) {
 	q := &o.queued.Bookings
-	q.Asks = append(q.Asks, m.Asks...)
+	q.Reservations = append(q.Reservations, m.Reservations...)
 	q.Replies = append(q.Replies, m.Replies...)
-	q.Marks = append(q.Marks, m.Marks...)
-	q.Ends = append(q.Ends, m.Ends...)
+	q.FirstBytes = append(q.FirstBytes, m.FirstBytes...)
+	q.Releases = append(q.Releases, m.Releases...)
 	if len(m.Usage)+len(m.Loads) > 0 {
 		q.Scope = m.Scope
 	}
@@ -40,17 +40,17 @@
 		return nil
 	}
 	out := &fleetv1.Bookings{Scope: uint32(m.Scope), Ready: m.Ready}
-	for _, a := range m.Asks {
+	for _, a := range m.Reservations {
 		out.Asks = append(out.Asks, e.ask(f, a))
 	}
 	for _, r := range m.Replies {
-		out.Replies = append(out.Replies, &fleetv1.BookingReply{Id: r.ID, Ok: r.OK, Wait: toTime(r.Wait), Back: r.Back, Kept: uint32(r.Kept), Hold: toTime(r.Hold), Limit: uint32(r.Limit), Used: uint32(math.Round(shareUnit * min(r.Used, mostUsed))), Alone: toTime(r.Alone)})
+		out.Replies = append(out.Replies, &fleetv1.BookingReply{Id: r.ID, Ok: r.OK, Wait: toTime(r.Wait), Back: r.CallerRetry, Kept: uint32(r.CachedTokens), Hold: toTime(r.Hold), Limit: uint32(r.Limit), Used: uint32(math.Round(shareUnit * min(r.ShareUsed, mostUsed))), Alone: toTime(r.UnloadedWait)})
 	}
-	for _, k := range m.Marks {
-		out.Marks = append(out.Marks, &fleetv1.BookingMark{Id: k.ID, First: toTime(k.First)})
+	for _, k := range m.FirstBytes {
+		out.Marks = append(out.Marks, &fleetv1.BookingMark{Id: k.ID, First: toTime(k.Elapsed)})
 	}
-	for _, d := range m.Ends {
-		out.Ends = append(out.Ends, &fleetv1.BookingEnd{Id: d.ID, Elapsed: toTime(d.Elapsed), Failed: d.Failed, NotRun: d.NotRun, Pause: toTime(d.Pause)})
+	for _, d := range m.Releases {
+		out.Ends = append(out.Ends, &fleetv1.BookingEnd{Id: d.ID, Elapsed: toTime(d.Elapsed), Failed: d.Failed, NotRun: d.NotRun, Pause: toTime(d.EventInterval)})
 	}
 	for _, u := range m.Usage {
 		out.Usage = append(out.Usage, &fleetv1.BookingUsage{
@@ -61,8 +61,8 @@
 	for _, l := range m.Loads {
 		out.Loads = append(out.Loads, &fleetv1.BookingLoad{
 			Target: e.pair(f, l.Service, string(l.Target)), Wait: toTime(l.Wait),
-			Taken: uint32(math.Round(shareUnit * l.Taken)), Failures: uint32(math.Round(shareUnit * l.Failures)),
-			Use: uint32(math.Round(shareUnit * l.Use)),
+			Taken: uint32(math.Round(shareUnit * l.SlotUtilization)), Failures: uint32(math.Round(shareUnit * l.FailureRate)),
+			Use: uint32(math.Round(shareUnit * l.Utilization)),
 		})
 	}
 	return out
@@ -71,11 +71,11 @@
 // toUnits rounds a sum to whole units of the service.
 func toUnits(sum float64) uint64 { return uint64(math.Round(max(0, sum))) }
 
-func (e *encoder) ask(f *fleetv1.Frame, a booking.Ask) *fleetv1.BookingAsk {
+func (e *encoder) ask(f *fleetv1.Frame, a booking.Reservation) *fleetv1.BookingAsk {
 	out := &fleetv1.BookingAsk{
 		Id: a.ID, Target: e.pair(f, a.Service, string(a.Target)), Workspace: e.name(f, string(a.Workspace)),
 		Prompt: uint32(a.Prompt), Output: uint32(a.Output),
-		Left: int64(a.Left / timeUnit), Late: a.Late, Taken: a.Taken, Begun: a.Begun, Read: a.Read, First: a.First, Here: uint32(a.Here), Elsewhere: uint32(a.Elsewhere),
+		Left: int64(a.Remaining / timeUnit), Late: a.Late, Taken: a.Running, Begun: a.PreviouslyPlaced, Read: a.PrefillDone, First: a.FirstContact, Here: uint32(a.CachedHint), Elsewhere: uint32(a.CachedElsewhere),
 	}
 	for _, p := range a.Parts {
 		out.Parts = append(out.Parts, p.ID)
@@ -97,17 +97,17 @@
 		if err != nil {
 			return err
 		}
-		out.Asks = append(out.Asks, ask)
+		out.Reservations = append(out.Reservations, ask)
 	}
 	for _, r := range in.GetReplies() {
-		out.Replies = append(out.Replies, booking.Reply{ID: r.GetId(), OK: r.GetOk(), Wait: fromTime(r.GetWait()), Back: r.GetBack(), Kept: int(r.GetKept()), Hold: fromTime(r.GetHold()), Limit: booking.Limit(min(r.GetLimit(), math.MaxUint8)), Used: float64(r.GetUsed()) / shareUnit, Alone: fromTime(r.GetAlone())})
+		out.Replies = append(out.Replies, booking.Reply{ID: r.GetId(), OK: r.GetOk(), Wait: fromTime(r.GetWait()), CallerRetry: r.GetBack(), CachedTokens: int(r.GetKept()), Hold: fromTime(r.GetHold()), Limit: booking.Limit(min(r.GetLimit(), math.MaxUint8)), ShareUsed: float64(r.GetUsed()) / shareUnit, UnloadedWait: fromTime(r.GetAlone())})
 	}
 	for _, k := range in.GetMarks() {
-		out.Marks = append(out.Marks, booking.Mark{ID: k.GetId(), First: fromTime(k.GetFirst())})
+		out.FirstBytes = append(out.FirstBytes, booking.FirstByteNotice{ID: k.GetId(), Elapsed: fromTime(k.GetFirst())})
 	}
 	for _, e := range in.GetEnds() {
-		out.Ends = append(out.Ends, booking.End{
-			ID: e.GetId(), Elapsed: fromTime(e.GetElapsed()), Failed: e.GetFailed(), NotRun: e.GetNotRun(), Pause: fromTime(e.GetPause()),
+		out.Releases = append(out.Releases, booking.Release{
+			ID: e.GetId(), Elapsed: fromTime(e.GetElapsed()), Failed: e.GetFailed(), NotRun: e.GetNotRun(), EventInterval: fromTime(e.GetPause()),
 		})
 	}
 	return d.sums(in, out)
@@ -131,33 +131,33 @@
 		}
 		out.Loads = append(out.Loads, booking.Load{
 			Service: p.service, Target: ident.Target(p.name), Wait: fromTime(l.GetWait()),
-			Taken: float64(l.GetTaken()) / shareUnit, Failures: float64(l.GetFailures()) / shareUnit,
-			Use: float64(l.GetUse()) / shareUnit,
+			SlotUtilization: float64(l.GetTaken()) / shareUnit, FailureRate: float64(l.GetFailures()) / shareUnit,
+			Utilization: float64(l.GetUse()) / shareUnit,
 		})
 	}
 	return nil
 }
 
-func (d *decoder) ask(a *fleetv1.BookingAsk) (booking.Ask, error) {
+func (d *decoder) ask(a *fleetv1.BookingAsk) (booking.Reservation, error) {
 	p, err := d.pair(a.GetTarget())
 	if err != nil {
-		return booking.Ask{}, err
+		return booking.Reservation{}, err
 	}
 	if int(a.GetWorkspace()) >= len(d.names) {
-		return booking.Ask{}, errIndex
+		return booking.Reservation{}, errIndex
 	}
 	if len(a.GetParts()) != len(a.GetPartTokens()) {
-		return booking.Ask{}, errColumns
+		return booking.Reservation{}, errColumns
 	}
-	out := booking.Ask{
+	out := booking.Reservation{
 		ID: a.GetId(), Service: p.service, Target: ident.Target(p.name),
 		Workspace: ident.Workspace(d.names[a.GetWorkspace()]),
 		Prompt:    int(a.GetPrompt()), Output: int(a.GetOutput()),
-		Left: time.Duration(a.GetLeft()) * timeUnit, Late: a.GetLate(), Taken: a.GetTaken(), Begun: a.GetBegun(), Read: a.GetRead(), First: a.GetFirst(),
-		Here: int(a.GetHere()), Elsewhere: int(a.GetElsewhere()),
+		Remaining: time.Duration(a.GetLeft()) * timeUnit, Late: a.GetLate(), Running: a.GetTaken(), PreviouslyPlaced: a.GetBegun(), PrefillDone: a.GetRead(), FirstContact: a.GetFirst(),
+		CachedHint: int(a.GetHere()), CachedElsewhere: int(a.GetElsewhere()),
 	}
 	for i, id := range a.GetParts() {
-		out.Parts = append(out.Parts, booking.Part{ID: id, Tokens: int(a.GetPartTokens()[i])})
+		out.Parts = append(out.Parts, booking.PromptPart{ID: id, Tokens: int(a.GetPartTokens()[i])})
 	}
 	return out, nil
 }
--- a/internal/fleet/bookings_test.go
+++ b/internal/fleet/bookings_test.go
@@ -16,19 +16,19 @@
 
 func bookings() booking.Message {
 	return booking.Message{
-		Asks: []booking.Ask{
+		Reservations: []booking.Reservation{
 			{ID: 7, Service: "pool", Target: "e1", Workspace: "club", Prompt: 6000, Output: 300,
-				Parts: []booking.Part{{ID: 0xabcdef01, Tokens: 500}, {ID: 2, Tokens: 5500}}, Left: 250 * time.Millisecond, Late: true, First: true,
-				Here: 500, Elsewhere: 450},
-			{ID: 8, Service: "app", Target: "a1", Workspace: "club", Left: -time.Second, Taken: true, Read: true, Begun: true},
+				Parts: []booking.PromptPart{{ID: 0xabcdef01, Tokens: 500}, {ID: 2, Tokens: 5500}}, Remaining: 250 * time.Millisecond, Late: true, FirstContact: true,
+				CachedHint: 500, CachedElsewhere: 450},
+			{ID: 8, Service: "app", Target: "a1", Workspace: "club", Remaining: -time.Second, Running: true, PrefillDone: true, PreviouslyPlaced: true},
 		},
-		Replies: []booking.Reply{{ID: 3, OK: true, Wait: 70 * time.Millisecond, Kept: 500, Hold: 45 * time.Millisecond}, {ID: 4, Back: true, Limit: booking.LimitSpare, Used: 1.25}},
-		Marks:   []booking.Mark{{ID: 3, First: 71 * time.Millisecond}},
-		Ends:    []booking.End{{ID: 3, Elapsed: time.Second, Failed: true, Pause: 20 * time.Millisecond}, {ID: 5, NotRun: true}},
-		Scope:   booking.ScopeZone,
-		Usage:   []booking.Usage{{Service: "pool", Workspace: "club", Asked: 12345, Shed: 2345, Granted: 6789}},
-		Loads:   []booking.Load{{Service: "pool", Target: "e1", Wait: 20 * time.Millisecond, Taken: 0.5, Failures: 0.125, Use: 1.25}},
-		Ready:   []uint64{3, 9},
+		Replies:    []booking.Reply{{ID: 3, OK: true, Wait: 70 * time.Millisecond, CachedTokens: 500, Hold: 45 * time.Millisecond}, {ID: 4, CallerRetry: true, Limit: booking.LimitSpare, ShareUsed: 1.25}},
+		FirstBytes: []booking.FirstByteNotice{{ID: 3, Elapsed: 71 * time.Millisecond}},
+		Releases:   []booking.Release{{ID: 3, Elapsed: time.Second, Failed: true, EventInterval: 20 * time.Millisecond}, {ID: 5, NotRun: true}},
+		Scope:      booking.ScopeZone,
+		Usage:      []booking.Usage{{Service: "pool", Workspace: "club", Asked: 12345, Shed: 2345, Granted: 6789}},
+		Loads:      []booking.Load{{Service: "pool", Target: "e1", Wait: 20 * time.Millisecond, SlotUtilization: 0.5, FailureRate: 0.125, Utilization: 1.25}},
+		Ready:      []uint64{3, 9},
 	}
 }
 
@@ -75,8 +75,8 @@
 	}
 	b, ok := o.take()
 	is.True(ok)
-	is.Equal(len(b.message.Bookings.Asks), 6)
-	is.Equal(len(b.message.Bookings.Ends), 6)
+	is.Equal(len(b.message.Bookings.Reservations), 6)
+	is.Equal(len(b.message.Bookings.Releases), 6)
 	is.Equal(len(b.message.Bookings.Usage), 1)
 	is.Equal(b.message.Bookings.Usage[0].Asked, 2.0)
 	is.Equal(len(b.message.Bookings.Loads), 1)
@@ -99,8 +99,8 @@
 		for b.Loop() {
 			size(one)
 		}
-		b.ReportMetric(size(booking.Message{Asks: one.Asks[:1]})+size(booking.Message{Replies: one.Replies[:1]})+
-			size(booking.Message{Marks: one.Marks})+size(booking.Message{Ends: one.Ends[:1]}), "B/request")
+		b.ReportMetric(size(booking.Message{Reservations: one.Reservations[:1]})+size(booking.Message{Replies: one.Replies[:1]})+
+			size(booking.Message{FirstBytes: one.FirstBytes})+size(booking.Message{Releases: one.Releases[:1]}), "B/request")
 	})
 	for _, n := range []int{10, 30, 100, 300} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
@@ -109,7 +109,7 @@
 				m.Usage = append(m.Usage, booking.Usage{Service: "pool", Workspace: ident.Workspace(fmt.Sprint("w", i)), Asked: 150000, Granted: 90000})
 			}
 			for i := range 4 {
-				m.Loads = append(m.Loads, booking.Load{Service: "pool", Target: ident.Target(fmt.Sprint("t", i)), Wait: 50 * time.Millisecond, Taken: 0.5, Use: 0.8})
+				m.Loads = append(m.Loads, booking.Load{Service: "pool", Target: ident.Target(fmt.Sprint("t", i)), Wait: 50 * time.Millisecond, SlotUtilization: 0.5, Utilization: 0.8})
 			}
 			for b.Loop() {
 				size(m)
--- a/internal/fleet/outbox.go
+++ b/internal/fleet/outbox.go
@@ -56,14 +56,14 @@
 		return false
 	}
 	o.merge(m)
-	o.signal(len(m.Grants)+len(m.Preempts)+len(m.Bookings.Asks)+len(m.Bookings.Replies) > 0)
+	o.signal(len(m.Grants)+len(m.Preempts)+len(m.Bookings.Reservations)+len(m.Bookings.Replies) > 0)
 	return true
 }
 
 // queued counts the rows of a message of which each one must arrive.
 func queued(m *scheduler.Message) int {
 	b := &m.Bookings
-	return len(m.Grants) + len(m.Releases) + len(b.Asks) + len(b.Replies) + len(b.Marks) + len(b.Ends)
+	return len(m.Grants) + len(m.Releases) + len(b.Reservations) + len(b.Replies) + len(b.FirstBytes) + len(b.Releases)
 }
 
 func (o *outbox) merge(m *scheduler.Message) {
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -98,7 +98,7 @@
 // where there is none, or where it has left since the request was placed: its address may
 // be another service's by now.
 func (s *Server) source(j *job, to registry.Entry) string {
-	id := j.trace.basis.Source
+	id := j.trace.basis.FetchSource
 	if id == "" {
 		return ""
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -46,7 +46,7 @@
 	// one of the answer; zero: not stated.
 	PromptTokens, OutputTokens int
 	// Parts are those of the prompt, the first one first.
-	Parts []booking.Part
+	Parts []booking.PromptPart
 }
 
 // Forward is what a target is told beside the caller's own headers.
--- a/internal/gateway/respond.go
+++ b/internal/gateway/respond.go
@@ -156,9 +156,9 @@
 	} else {
 		args = []any{
 			"request", j.call.Attempt, "route", j.route.Name, "service", j.service.Name, "workspace", j.workspace,
-			"routes_version", j.version, "target", j.trace.target, "by", j.trace.basis.By, "asked", j.trace.basis.Asks,
-			"expected_ms", j.trace.basis.Expected.Milliseconds(), "late", j.plan.Late, "back", j.trace.basis.Back, "source", j.trace.basis.Source, "held", j.trace.basis.Held,
-			"limit", j.trace.basis.Limit.String(), "share_used", math.Round(100*j.trace.basis.Used) / 100, "alone_ms", j.trace.basis.Alone.Milliseconds(),
+			"routes_version", j.version, "target", j.trace.target, "by", j.trace.basis.SelectedBy, "asked", j.trace.basis.OwnersAsked,
+			"expected_ms", j.trace.basis.Expected.Milliseconds(), "late", j.plan.Late, "back", j.trace.basis.CallerRetry, "source", j.trace.basis.FetchSource, "held", j.trace.basis.Held,
+			"limit", j.trace.basis.Limit.String(), "share_used", math.Round(100*j.trace.basis.ShareUsed) / 100, "alone_ms", j.trace.basis.UnloadedWait.Milliseconds(),
 			"tokens", j.call.PromptTokens, "due_ms", j.plan.Due.Sub(j.arrived).Milliseconds(),
 			"waited_ms", j.trace.waited.Milliseconds(), "first_ms", j.trace.first.Milliseconds(),
 			"total_ms", time.Since(j.arrived).Milliseconds(), "left_ms", time.Until(j.until).Milliseconds(), "caller", r.RemoteAddr, "sends", j.trace.sends, "runs", j.trace.runs,
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -113,13 +113,13 @@
 	asked := time.Now()
 	request := booking.Request{
 		ID: j.id, Service: j.service.Name, Workspace: j.workspace,
-		Due: j.plan.Due, Late: j.plan.Late, Begun: j.trace.sends > 0, Known: j.trace.sends+j.trace.unsent > 0, Avoid: j.trace.avoid,
+		Deadline: j.plan.Due, Late: j.plan.Late, PreviouslyPlaced: j.trace.sends > 0, OwnerContacted: j.trace.sends+j.trace.unsent > 0, Avoid: j.trace.avoid,
 	}
 	if j.service.Model {
 		request.Prompt, request.Output, request.Parts = j.call.PromptTokens, j.call.OutputTokens, j.call.Parts
 	}
-	if request.Begun {
-		request.Due = j.until
+	if request.PreviouslyPlaced {
+		request.Deadline = j.until
 	}
 	ctx, span := s.Tracing.Start(ctx, telemetry.SpanPlace)
 	placed := s.Placer.Place(ctx, request)
@@ -159,7 +159,7 @@
 // report tells the scheduler and the metrics how an attempt ended.
 func (s *Server) report(j *job, entry registry.Entry, r result, elapsed time.Duration) {
 	notRun := r.failure != nil && r.failure.Code.Outcome == resultcode.NotRun
-	s.Placer.Finish(j.id, booking.Result{Elapsed: elapsed, Failed: r.targetFailed, NotRun: notRun, Pause: r.pause(elapsed)})
+	s.Placer.Finish(j.id, booking.Result{Elapsed: elapsed, Failed: r.targetFailed, NotRun: notRun, EventInterval: r.pause(elapsed)})
 	if r.sent {
 		j.trace.sends++
 		if !notRun {
