--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -77,7 +77,7 @@
 }
 
 func (l *Loop) carryOut() {
-	for _, effect := range l.core.Take() {
+	for _, effect := range l.core.TakeEffects() {
 		switch e := effect.(type) {
 		case scheduler.Dispatch:
 			l.place(e.Request, Placed{Target: e.Target, Stopped: l.stops[e.Request]})
@@ -196,7 +196,7 @@
 
 // Reset tells that messages to or from a peer may have been lost.
 func (l *Loop) Reset(id ident.Daemon) {
-	l.do(func(time.Time) { l.core.Reset(id) })
+	l.do(func(time.Time) { l.core.ResyncPeer(id) })
 }
 
 // TargetHealth reports what was learnt about a target.
@@ -207,7 +207,7 @@
 // TargetCache hands over the answer of an owned target to a poll for its cache
 // events.
 func (l *Loop) TargetCache(service ident.Service, target ident.Target, page placement.CachePage) {
-	l.do(func(now time.Time) { l.core.TargetCache(now, service, target, page) })
+	l.do(func(now time.Time) { l.core.ApplyCachePage(now, service, target, page) })
 }
 
 // Leave begins a planned stop.
--- a/internal/daemon/cache.go
+++ b/internal/daemon/cache.go
@@ -90,7 +90,7 @@
 	now := time.Now()
 	p.wake(now)
 	p.loop.Inspect(func(c *scheduler.Core) {
-		owned := c.Owned()
+		owned := c.OwnedTargets()
 		for _, s := range p.store.Snapshot().Services() {
 			if s.Document.Kind != document.Model {
 				continue
@@ -98,7 +98,7 @@
 			for _, t := range s.Document.Targets {
 				key := probed{s.Document.Service, t.Name}
 				if owned[key.service][key.target] && !p.isQuiet(key) {
-					all = append(all, cachePoll{key, t.Address, c.CacheNext(key.service, key.target)})
+					all = append(all, cachePoll{key, t.Address, c.CacheCursor(key.service, key.target)})
 				}
 			}
 		}
--- a/internal/daemon/follow.go
+++ b/internal/daemon/follow.go
@@ -172,7 +172,7 @@
 	ctx, cancel := context.WithTimeout(ctx, p.interval)
 	defer cancel()
 	owned := map[ident.Service]map[ident.Target]bool{}
-	p.loop.Inspect(func(c *scheduler.Core) { owned = c.Owned() })
+	p.loop.Inspect(func(c *scheduler.Core) { owned = c.OwnedTargets() })
 	var probes sync.WaitGroup
 	for _, s := range p.store.Snapshot().Services() {
 		for _, t := range s.Document.Targets {
--- a/internal/daemon/gauges.go
+++ b/internal/daemon/gauges.go
@@ -35,7 +35,7 @@
 		for _, load := range c.Loads() {
 			rows = append(rows, telemetry.ServiceGauges{
 				Service: load.Service, Waiting: load.Waiting, Running: load.Running,
-				Slots: load.Slots, InUse: load.InUse, Gap: load.Gap,
+				Slots: load.Slots, InUse: load.InUse, Gap: load.FairnessGap,
 			})
 		}
 	})
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -40,7 +40,7 @@
 
 func (f *orderFollower) wanted() []order.Wanted {
 	owned := map[ident.Service]map[ident.Target]bool{}
-	f.loop.Inspect(func(c *scheduler.Core) { owned = c.Owned() })
+	f.loop.Inspect(func(c *scheduler.Core) { owned = c.OwnedTargets() })
 	var wanted []order.Wanted
 	for _, s := range f.store.Snapshot().Services() {
 		for _, w := range order.FromDocument(s.Document, s.Revision) {
--- a/internal/daemon/services.go
+++ b/internal/daemon/services.go
@@ -26,12 +26,12 @@
 			queue = doc.Limits.Queue
 		}
 		service.Workspaces = append(service.Workspaces, scheduler.Workspace{
-			Name:       ws.Name,
-			Weight:     ws.Weight,
-			Queue:      queue,
-			Concurrent: ws.Limits.Concurrent,
-			Rate:       ws.Limits.RequestsPerSecond,
-			Targets:    ws.Targets,
+			Name:             ws.Name,
+			Weight:           ws.Weight,
+			QueueLimit:       queue,
+			ConcurrencyLimit: ws.Limits.Concurrent,
+			RateLimit:        ws.Limits.RequestsPerSecond,
+			Targets:          ws.Targets,
 		})
 	}
 	for _, t := range doc.Targets {
--- a/internal/fleet/codec.go
+++ b/internal/fleet/codec.go
@@ -104,15 +104,15 @@
 	e.demand(f, m.Demand)
 	e.grants(f, m.Grants)
 	e.releases(f, m.Releases)
-	f.Parts = e.parts(f, m.Parts)
-	f.Sums = e.parts(f, m.Sums)
+	f.Parts = e.parts(f, m.ServedTotals)
+	f.Sums = e.parts(f, m.Aggregates)
 	e.limits(f, m.Limits)
-	e.news(f, m.News)
-	if m.HeldValid {
-		f.Held = &fleetv1.Held{GrantStep: steps(m.Held), Seen: m.HeldSeen}
+	e.news(f, m.HealthUpdates)
+	if m.HeldGrantsValid {
+		f.Held = &fleetv1.Held{GrantStep: steps(m.HeldGrants), Seen: m.HeldGrantsSeen}
 	}
-	if len(m.Preempts) > 0 {
-		f.PreemptStep = steps(m.Preempts)
+	if len(m.PreemptGrants) > 0 {
+		f.PreemptStep = steps(m.PreemptGrants)
 	}
 	f.Bookings = e.bookings(f, &m.Bookings)
 }
@@ -126,7 +126,7 @@
 	for _, d := range rows {
 		f.Demands.Pair = append(f.Demands.Pair, e.pair(f, d.Service, string(d.Workspace)))
 		f.Demands.Waiting = append(f.Demands.Waiting, d.Waiting)
-		f.Demands.SeenStep = append(f.Demands.SeenStep, step.down(d.Seen))
+		f.Demands.SeenStep = append(f.Demands.SeenStep, step.down(d.SeenGrant))
 		f.Demands.Urgent = append(f.Demands.Urgent, d.Urgent)
 	}
 	if !slices.ContainsFunc(rows, func(d scheduler.Demand) bool { return d.Urgent > 0 }) {
@@ -144,7 +144,7 @@
 		f.Grants.IdStep = append(f.Grants.IdStep, step.down(g.ID))
 		f.Grants.Pair = append(f.Grants.Pair, e.pair(f, g.Service, string(g.Workspace)))
 		f.Grants.Target = append(f.Grants.Target, e.name(f, string(g.Target)))
-		f.Grants.Spare = append(f.Grants.Spare, g.Spare)
+		f.Grants.Spare = append(f.Grants.Spare, g.SpareCapacity)
 	}
 	f.Grants.Cached = cached(rows)
 }
@@ -160,12 +160,12 @@
 		out.Flags = append(out.Flags, releaseFlags(r))
 		out.Served = append(out.Served, toServed(r.Result.Served))
 		out.Elapsed = append(out.Elapsed, toTime(r.Result.Elapsed))
-		out.First = append(out.First, toTime(r.Result.First))
+		out.First = append(out.First, toTime(r.Result.FirstByte))
 	}
 	f.Releases = out
 }
 
-func (e *encoder) parts(f *fleetv1.Frame, rows []scheduler.Part) *fleetv1.Parts {
+func (e *encoder) parts(f *fleetv1.Frame, rows []scheduler.ServedTotal) *fleetv1.Parts {
 	if len(rows) == 0 {
 		return nil
 	}
@@ -177,7 +177,7 @@
 	return out
 }
 
-func (e *encoder) news(f *fleetv1.Frame, rows []scheduler.TargetNews) {
+func (e *encoder) news(f *fleetv1.Frame, rows []scheduler.TargetHealthUpdate) {
 	if len(rows) == 0 {
 		return
 	}
@@ -236,11 +236,11 @@
 		}
 	}
 	if h := f.GetHeld(); h != nil {
-		m.HeldValid, m.HeldSeen = true, h.GetSeen()
-		m.Held = values(h.GetGrantStep())
+		m.HeldGrantsValid, m.HeldGrantsSeen = true, h.GetSeen()
+		m.HeldGrants = values(h.GetGrantStep())
 	}
-	m.Preempts = values(f.GetPreemptStep())
-	ok = m.HeldValid || !m.Bookings.Empty() || len(m.Demand)+len(m.Grants)+len(m.Releases)+len(m.Parts)+len(m.Sums)+len(m.Limits)+len(m.News)+len(m.Preempts) > 0
+	m.PreemptGrants = values(f.GetPreemptStep())
+	ok = m.HeldGrantsValid || !m.Bookings.Empty() || len(m.Demand)+len(m.Grants)+len(m.Releases)+len(m.ServedTotals)+len(m.Aggregates)+len(m.Limits)+len(m.HealthUpdates)+len(m.PreemptGrants) > 0
 	return m, ok, nil
 }
 
@@ -292,7 +292,7 @@
 		}
 		row := scheduler.Demand{
 			Service: p.service, Workspace: ident.Workspace(p.name),
-			Waiting: in.Waiting[i], Seen: step.up(in.SeenStep[i]),
+			Waiting: in.Waiting[i], SeenGrant: step.up(in.SeenStep[i]),
 		}
 		if len(in.GetUrgent()) > 0 {
 			row.Urgent = in.Urgent[i]
@@ -322,10 +322,10 @@
 		}
 		m.Grants = append(m.Grants, scheduler.Grant{
 			ID: step.up(s), Service: p.service, Workspace: ident.Workspace(p.name),
-			Target: ident.Target(d.names[in.Target[i]]), Spare: in.Spare[i],
+			Target: ident.Target(d.names[in.Target[i]]), SpareCapacity: in.Spare[i],
 		})
 		if len(in.GetCached()) > 0 {
-			m.Grants[len(m.Grants)-1].Cached = readMarks(in.Cached[i])
+			m.Grants[len(m.Grants)-1].CachedPrefixes = readMarks(in.Cached[i])
 		}
 	}
 	return nil
@@ -344,7 +344,7 @@
 			Result: scheduler.Result{
 				Served:    float64(in.Served[i]) / servedUnit,
 				Elapsed:   time.Duration(in.Elapsed[i]) * timeUnit,
-				First:     time.Duration(in.First[i]) * timeUnit,
+				FirstByte: time.Duration(in.First[i]) * timeUnit,
 				Failed:    in.Flags[i]&releaseFailed != 0,
 				NotRun:    in.Flags[i]&releaseNotRun != 0,
 				Preempted: in.Flags[i]&releasePreempted != 0,
@@ -355,14 +355,14 @@
 }
 
 func (d *decoder) parts(f *fleetv1.Frame, m *scheduler.Message) (err error) {
-	if m.Parts, err = d.readParts(f.GetParts()); err != nil {
+	if m.ServedTotals, err = d.readParts(f.GetParts()); err != nil {
 		return err
 	}
-	m.Sums, err = d.readParts(f.GetSums())
+	m.Aggregates, err = d.readParts(f.GetSums())
 	return err
 }
 
-func (d *decoder) readParts(in *fleetv1.Parts) (rows []scheduler.Part, err error) {
+func (d *decoder) readParts(in *fleetv1.Parts) (rows []scheduler.ServedTotal, err error) {
 	if len(in.GetServed()) != len(in.GetPair()) {
 		return nil, errColumns
 	}
@@ -371,7 +371,7 @@
 		if err != nil {
 			return nil, err
 		}
-		rows = append(rows, scheduler.Part{
+		rows = append(rows, scheduler.ServedTotal{
 			Service: p.service, Workspace: ident.Workspace(p.name),
 			Served: float64(in.Served[i]) / servedUnit,
 		})
@@ -393,7 +393,7 @@
 		if !known {
 			continue // a newer daemon may know more kinds
 		}
-		m.News = append(m.News, scheduler.TargetNews{
+		m.HealthUpdates = append(m.HealthUpdates, scheduler.TargetHealthUpdate{
 			Service: p.service, Target: ident.Target(p.name), Health: h,
 		})
 	}
--- a/internal/fleet/codec_bench_test.go
+++ b/internal/fleet/codec_bench_test.go
@@ -18,8 +18,8 @@
 	var m scheduler.Message
 	for i := range workspaces {
 		name := ident.Workspace(fmt.Sprintf("workspace-%04d", i))
-		m.Demand = append(m.Demand, scheduler.Demand{Service: "lm-pool", Workspace: name, Waiting: uint32(i % 50), Seen: 1 << 20})
-		m.Parts = append(m.Parts, scheduler.Part{Service: "lm-pool", Workspace: name, Served: float64(1<<24 + i*1000)})
+		m.Demand = append(m.Demand, scheduler.Demand{Service: "lm-pool", Workspace: name, Waiting: uint32(i % 50), SeenGrant: 1 << 20})
+		m.ServedTotals = append(m.ServedTotals, scheduler.ServedTotal{Service: "lm-pool", Workspace: name, Served: float64(1<<24 + i*1000)})
 	}
 	return m
 }
@@ -64,7 +64,7 @@
 		b.Run(fmt.Sprintf("workspaces=%d", workspaces), func(b *testing.B) {
 			var m scheduler.Message
 			for i := range workspaces {
-				m.Limits = append(m.Limits, scheduler.Limit{
+				m.Limits = append(m.Limits, scheduler.LimitUsage{
 					Service: "lm-pool", Workspace: ident.Workspace(fmt.Sprintf("workspace-%04d", i)),
 					News: limit.News{Arrivals: 16 * 30, Accepted: 1<<20 + uint64(i), Wanted: 40, InFlight: 30},
 				})
--- a/internal/fleet/codec_limits.go
+++ b/internal/fleet/codec_limits.go
@@ -9,7 +9,7 @@
 	"github.com/savorystall/savorystall/internal/scheduler"
 )
 
-func (e *encoder) limits(f *fleetv1.Frame, rows []scheduler.Limit) {
+func (e *encoder) limits(f *fleetv1.Frame, rows []scheduler.LimitUsage) {
 	if len(rows) == 0 {
 		return
 	}
@@ -46,7 +46,7 @@
 		if err != nil {
 			return err
 		}
-		m.Limits = append(m.Limits, scheduler.Limit{
+		m.Limits = append(m.Limits, scheduler.LimitUsage{
 			Service: p.service, Workspace: ident.Workspace(p.name),
 			News: limit.News{
 				Arrivals: at(in.Arrivals, i), Accepted: at(in.Accepted, i),
--- a/internal/fleet/codec_test.go
+++ b/internal/fleet/codec_test.go
@@ -36,37 +36,37 @@
 	for range rapid.IntRange(0, 3).Draw(t, "rows") {
 		m.Demand = append(m.Demand, scheduler.Demand{
 			Service: service.Draw(t, "s"), Workspace: workspace.Draw(t, "w"),
-			Waiting: rapid.Uint32().Draw(t, "waiting"), Seen: grant.Draw(t, "seen"),
+			Waiting: rapid.Uint32().Draw(t, "waiting"), SeenGrant: grant.Draw(t, "seen"),
 		})
 		m.Grants = append(m.Grants, scheduler.Grant{
 			ID: grant.Draw(t, "id"), Service: service.Draw(t, "s"),
 			Workspace: workspace.Draw(t, "w"), Target: target.Draw(t, "t"),
-			Cached: rapid.SampledFrom([][]uint16{nil, {7}, {1, 65535}}).Draw(t, "cached"),
+			CachedPrefixes: rapid.SampledFrom([][]uint16{nil, {7}, {1, 65535}}).Draw(t, "cached"),
 		})
 		m.Releases = append(m.Releases, scheduler.Release{
 			Grant: grant.Draw(t, "grant"), Unused: rapid.Bool().Draw(t, "unused"),
 			Result: scheduler.Result{
-				Served: units.Draw(t, "served"), Elapsed: wait.Draw(t, "elapsed"), First: wait.Draw(t, "first"),
+				Served: units.Draw(t, "served"), Elapsed: wait.Draw(t, "elapsed"), FirstByte: wait.Draw(t, "first"),
 				Failed: rapid.Bool().Draw(t, "failed"), NotRun: rapid.Bool().Draw(t, "not run"),
 				Preempted: rapid.Bool().Draw(t, "preempted"),
 			},
 		})
-		m.Parts = append(m.Parts, scheduler.Part{Service: service.Draw(t, "s"), Workspace: workspace.Draw(t, "w"), Served: units.Draw(t, "served")})
-		m.Sums = append(m.Sums, scheduler.Part{Service: service.Draw(t, "s"), Workspace: workspace.Draw(t, "w"), Served: units.Draw(t, "sum")})
-		m.Limits = append(m.Limits, scheduler.Limit{
+		m.ServedTotals = append(m.ServedTotals, scheduler.ServedTotal{Service: service.Draw(t, "s"), Workspace: workspace.Draw(t, "w"), Served: units.Draw(t, "served")})
+		m.Aggregates = append(m.Aggregates, scheduler.ServedTotal{Service: service.Draw(t, "s"), Workspace: workspace.Draw(t, "w"), Served: units.Draw(t, "sum")})
+		m.Limits = append(m.Limits, scheduler.LimitUsage{
 			Service: service.Draw(t, "s"), Workspace: workspace.Draw(t, "w"),
 			News: limit.News{
 				Arrivals: rapid.Uint32().Draw(t, "arrivals"), Accepted: rapid.Uint64().Draw(t, "accepted"),
 				Wanted: rapid.Uint32Range(0, 1).Draw(t, "wanted"), InFlight: rapid.Uint32Range(0, 1).Draw(t, "in flight"),
 			},
 		})
-		m.News = append(m.News, scheduler.TargetNews{Service: service.Draw(t, "s"), Target: target.Draw(t, "t"), Health: health.Draw(t, "health")})
-		m.Held = append(m.Held, grant.Draw(t, "held"))
-		m.Preempts = append(m.Preempts, grant.Draw(t, "preempt"))
+		m.HealthUpdates = append(m.HealthUpdates, scheduler.TargetHealthUpdate{Service: service.Draw(t, "s"), Target: target.Draw(t, "t"), Health: health.Draw(t, "health")})
+		m.HeldGrants = append(m.HeldGrants, grant.Draw(t, "held"))
+		m.PreemptGrants = append(m.PreemptGrants, grant.Draw(t, "preempt"))
 	}
-	m.HeldValid = len(m.Held) > 0
-	if m.HeldValid {
-		m.HeldSeen = grant.Draw(t, "seen")
+	m.HeldGrantsValid = len(m.HeldGrants) > 0
+	if m.HeldGrantsValid {
+		m.HeldGrantsSeen = grant.Draw(t, "seen")
 	}
 	return m
 }
@@ -122,7 +122,7 @@
 	is := is.New(t)
 	o := newOutbox(3)
 	news := func(h scheduler.Health) scheduler.Message {
-		return scheduler.Message{News: []scheduler.TargetNews{{Service: "s", Target: "t", Health: h}}}
+		return scheduler.Message{HealthUpdates: []scheduler.TargetHealthUpdate{{Service: "s", Target: "t", Health: h}}}
 	}
 	for _, h := range []scheduler.Health{scheduler.HealthLeaving, scheduler.HealthFailed, scheduler.HealthFailed} {
 		m := news(h)
@@ -130,7 +130,7 @@
 	}
 	b, ok := o.take()
 	is.True(ok)
-	is.Equal(len(b.message.News), 2)
+	is.Equal(len(b.message.HealthUpdates), 2)
 	_, ok = o.take()
 	is.True(!ok)
 	full := scheduler.Message{Grants: make([]scheduler.Grant, 3)}
--- a/internal/fleet/columns.go
+++ b/internal/fleet/columns.go
@@ -41,12 +41,12 @@
 
 // cached is the column of the marks; none where no grant has any.
 func cached(rows []scheduler.Grant) [][]byte {
-	if !slices.ContainsFunc(rows, func(g scheduler.Grant) bool { return len(g.Cached) > 0 }) {
+	if !slices.ContainsFunc(rows, func(g scheduler.Grant) bool { return len(g.CachedPrefixes) > 0 }) {
 		return nil
 	}
 	column := make([][]byte, len(rows))
 	for i, g := range rows {
-		column[i] = marks(g.Cached)
+		column[i] = marks(g.CachedPrefixes)
 	}
 	return column
 }
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -148,10 +148,10 @@
 	const count = 300
 	for i := range uint64(count) {
 		b.Send("a", scheduler.Message{
-			Grants:   []scheduler.Grant{{ID: i + 1, Service: "lm-pool", Workspace: "club-nord", Target: ident.Target(fmt.Sprint("e", i%12))}},
-			Releases: []scheduler.Release{{Grant: i, Result: scheduler.Result{Served: 12.5, Elapsed: time.Second, First: time.Millisecond}}},
-			Demand:   []scheduler.Demand{{Service: "lm-pool", Workspace: "club-nord", Waiting: uint32(i), Seen: i}},
-			Preempts: []uint64{i},
+			Grants:        []scheduler.Grant{{ID: i + 1, Service: "lm-pool", Workspace: "club-nord", Target: ident.Target(fmt.Sprint("e", i%12))}},
+			Releases:      []scheduler.Release{{Grant: i, Result: scheduler.Result{Served: 12.5, Elapsed: time.Second, FirstByte: time.Millisecond}}},
+			Demand:        []scheduler.Demand{{Service: "lm-pool", Workspace: "club-nord", Waiting: uint32(i), SeenGrant: i}},
+			PreemptGrants: []uint64{i},
 		})
 	}
 	var grants []scheduler.Grant
@@ -165,7 +165,7 @@
 				return false
 			}
 			grants, releases = append(grants, m.Grants...), append(releases, m.Releases...)
-			preempts = append(preempts, m.Preempts...)
+			preempts = append(preempts, m.PreemptGrants...)
 			demand = m.Demand[len(m.Demand)-1]
 		}
 		return len(grants) == count
@@ -176,7 +176,7 @@
 		is.Equal(releases[i].Grant, i)
 		is.Equal(preempts[i], i)
 	}
-	is.Equal(releases[0].Result, scheduler.Result{Served: 12.5, Elapsed: time.Second, First: time.Millisecond})
+	is.Equal(releases[0].Result, scheduler.Result{Served: 12.5, Elapsed: time.Second, FirstByte: time.Millisecond})
 	is.Equal(demand.Waiting, uint32(count-1)) // the newest demand stands
 	is.True(a.Traffic().StreamReceived > a.Traffic().PayloadReceived)
 }
--- a/internal/fleet/outbox.go
+++ b/internal/fleet/outbox.go
@@ -56,7 +56,7 @@
 		return false
 	}
 	o.merge(m)
-	o.signal(len(m.Grants)+len(m.Preempts)+len(m.Bookings.Reservations)+len(m.Bookings.Replies) > 0)
+	o.signal(len(m.Grants)+len(m.PreemptGrants)+len(m.Bookings.Reservations)+len(m.Bookings.Replies) > 0)
 	return true
 }
 
@@ -71,36 +71,36 @@
 	for _, d := range m.Demand {
 		q.Demand = newest(q.Demand, o.demands, pair{d.Service, string(d.Workspace)}, d)
 	}
-	for _, p := range m.Parts {
-		q.Parts = newest(q.Parts, o.parts, pair{p.Service, string(p.Workspace)}, p)
+	for _, p := range m.ServedTotals {
+		q.ServedTotals = newest(q.ServedTotals, o.parts, pair{p.Service, string(p.Workspace)}, p)
 	}
-	for _, p := range m.Sums {
-		q.Sums = newest(q.Sums, o.sums, pair{p.Service, string(p.Workspace)}, p)
+	for _, p := range m.Aggregates {
+		q.Aggregates = newest(q.Aggregates, o.sums, pair{p.Service, string(p.Workspace)}, p)
 	}
 	for _, l := range m.Limits {
 		q.Limits = newest(q.Limits, o.limits, pair{l.Service, string(l.Workspace)}, l)
 	}
-	for _, n := range m.News {
+	for _, n := range m.HealthUpdates {
 		o.addNews(n)
 	}
 	q.Grants = append(q.Grants, m.Grants...)
 	q.Releases = append(q.Releases, m.Releases...)
-	q.Preempts = append(q.Preempts, m.Preempts...)
+	q.PreemptGrants = append(q.PreemptGrants, m.PreemptGrants...)
 	o.mergeBookings(&m.Bookings)
-	if m.HeldValid {
-		q.Held, q.HeldSeen, q.HeldValid = m.Held, m.HeldSeen, true
+	if m.HeldGrantsValid {
+		q.HeldGrants, q.HeldGrantsSeen, q.HeldGrantsValid = m.HeldGrants, m.HeldGrantsSeen, true
 	}
 }
 
 // addNews keeps the order of different news of a target: of "leaving" followed
 // by "failed" both have to arrive, or the target would get new work again.
-func (o *outbox) addNews(n scheduler.TargetNews) {
+func (o *outbox) addNews(n scheduler.TargetHealthUpdate) {
 	key := pair{n.Service, string(n.Target)}
-	if i, ok := o.news[key]; ok && o.queued.News[i] == n {
+	if i, ok := o.news[key]; ok && o.queued.HealthUpdates[i] == n {
 		return
 	}
-	o.news[key] = len(o.queued.News)
-	o.queued.News = append(o.queued.News, n)
+	o.news[key] = len(o.queued.HealthUpdates)
+	o.queued.HealthUpdates = append(o.queued.HealthUpdates, n)
 }
 
 func newest[T any](rows []T, at map[pair]int, key pair, row T) []T {
--- a/internal/ingress/place.go
+++ b/internal/ingress/place.go
@@ -42,7 +42,7 @@
 		last := s.try(ctx, j, placed, hold)
 		if last.Preempted {
 			tried.stopped(last)
-			request.Stops, request.Earlier = j.stops, j.earlier
+			request.Preemptions, request.PriorServed = j.stops, j.earlier
 			continue
 		}
 		total := tried.add(last)
@@ -178,7 +178,7 @@
 	s.Placer.Finish(j.w.request, scheduler.Result{
 		Served:    served,
 		Elapsed:   result.Elapsed,
-		First:     result.First,
+		FirstByte: result.First,
 		Failed:    result.TargetFailed,
 		NotRun:    result.Outcome == resultcode.NotRun,
 		Preempted: result.Preempted,
--- a/internal/scheduler/cache.go
+++ b/internal/scheduler/cache.go
@@ -7,85 +7,86 @@
 	"github.com/savorystall/savorystall/internal/placement"
 )
 
-// Engines publish what their prefix caches hold. The owner of a target polls it;
-// the ingress chooses which request goes there. What the owner knows travels with
-// its grants, so that it costs no message and reaches those who can use it.
+// Inference engines publish events about the contents of their prefix caches. The
+// owner of a target polls these events, but the ingress chooses which request goes
+// to the target. The owner therefore sends its knowledge along with grants, which
+// costs no extra message and reaches the daemons that can use it.
 
 const (
-	// summaryEvery is how often an ingress is told of one target. Slots that an
-	// ingress uses again for 2 s bring it about as often.
-	summaryEvery = time.Second
-	// summaryRate bounds the bytes of all summaries, in a second; summaryBurst is
-	// what may be sent at once. An eighth of the control budget of 4 KB/s: where
-	// grants come faster than that pays for, some go without.
-	summaryRate  = 512
-	summaryBurst = 2048
-	// markBytes is the size of a mark.
-	markBytes = 2
+	// summaryInterval is the minimum interval between summaries of one target to one
+	// ingress. Slots that an ingress reuses for 2 s lead to about the same rate.
+	summaryInterval = time.Second
+	// summaryBytesPerSecond bounds the rate of all summaries, and summaryBurstBytes
+	// the bytes that may be sent at once. The rate is an eighth of the control budget
+	// of 4 KB/s. If grants are issued faster than that allows, some carry no summary.
+	summaryBytesPerSecond = 512
+	summaryBurstBytes     = 2048
+	// fingerprintBytes is the size of a prefix fingerprint.
+	fingerprintBytes = 2
 )
 
-// summaries is the budget of the summaries sent.
-type summaries struct {
-	left float64
-	at   time.Time
+// summaryBudget is a token bucket, in bytes, for the summaries sent.
+type summaryBudget struct {
+	available float64
+	updated   time.Time
 }
 
-func (s *summaries) take(now time.Time, bytes int) bool {
-	if s.at.IsZero() {
-		s.left = summaryBurst
+func (s *summaryBudget) take(now time.Time, bytes int) bool {
+	if s.updated.IsZero() {
+		s.available = summaryBurstBytes
 	} else {
-		s.left = min(summaryBurst, s.left+summaryRate*now.Sub(s.at).Seconds())
+		s.available = min(summaryBurstBytes, s.available+summaryBytesPerSecond*now.Sub(s.updated).Seconds())
 	}
-	s.at = now
-	if s.left < float64(bytes) {
+	s.updated = now
+	if s.available < float64(bytes) {
 		return false
 	}
-	s.left -= float64(bytes)
+	s.available -= float64(bytes)
 	return true
 }
 
-// TargetCache takes in the answer of an owned target to a poll for its cache
-// events after CacheNext.
-func (c *Core) TargetCache(now time.Time, service ident.Service, name ident.Target, page placement.CachePage) {
+// ApplyCachePage records an owned target's response to a poll for the cache events
+// after CacheCursor.
+func (c *Core) ApplyCachePage(now time.Time, service ident.Service, name ident.Target, page placement.CachePage) {
 	if s := c.services[service]; s != nil {
-		s.places.CachePage(now, name, page)
+		s.placement.CachePage(now, name, page)
 	}
 }
 
-// CacheNext returns the number after which a target's cache events are to be
-// asked for.
-func (c *Core) CacheNext(service ident.Service, name ident.Target) uint64 {
+// CacheCursor returns the sequence number after which a target's cache events are
+// to be polled.
+func (c *Core) CacheCursor(service ident.Service, name ident.Target) uint64 {
 	if s := c.services[service]; s != nil {
-		return s.places.CacheNext(name)
+		return s.placement.CacheNext(name)
 	}
 	return 0
 }
 
-// summary returns what goes with a grant of the target to an ingress.
-func (c *Core) summary(now time.Time, t *target, ingress ident.Daemon) []uint16 {
-	if now.Sub(t.told[ingress]) < summaryEvery {
+// cacheSummary returns the cache summary to send with a grant of the target.
+func (c *Core) cacheSummary(now time.Time, t *target, ingress ident.Daemon) []uint16 {
+	if now.Sub(t.summarySent[ingress]) < summaryInterval {
 		return nil
 	}
-	marks := t.service.places.CacheSummary(now, t.Name)
-	if len(marks) == 0 || !c.summaries.take(now, markBytes*len(marks)) {
+	fingerprints := t.service.placement.CacheSummary(now, t.Name)
+	if len(fingerprints) == 0 || !c.summaryBudget.take(now, fingerprintBytes*len(fingerprints)) {
 		return nil
 	}
-	t.told[ingress] = now
-	return marks
+	t.summarySent[ingress] = now
+	return fingerprints
 }
 
-// takeSummary takes in what came with a grant.
-func (c *Core) takeSummary(now time.Time, g Grant) {
-	if s := c.services[g.Service]; s != nil && len(g.Cached) > 0 {
-		s.places.CacheSaid(now, g.Target, g.Cached)
+// applySummary records the cache summary that came with a grant.
+func (c *Core) applySummary(now time.Time, g Grant) {
+	if s := c.services[g.Service]; s != nil && len(g.CachedPrefixes) > 0 {
+		s.placement.CacheSaid(now, g.Target, g.CachedPrefixes)
 	}
 }
 
-// forgetTold forgets what a daemon that is gone was told.
-func (c *Core) forgetTold(id ident.Daemon) {
+// forgetSummaries discards the times of the summaries sent to a departed daemon.
+func (c *Core) forgetSummaries(id ident.Daemon) {
 	for _, s := range c.services {
 		for _, t := range s.targets {
-			delete(t.told, id)
+			delete(t.summarySent, id)
 		}
 	}
 }
--- a/internal/scheduler/clock_test.go
+++ b/internal/scheduler/clock_test.go
@@ -9,11 +9,10 @@
 	"github.com/savorystall/savorystall/internal/scheduler"
 )
 
-// A daemon under load stops with a panic, and all its callers lose their
-// answers. A tick had waited in its channel while requests were taken in, so
-// that its time was a second before theirs, and the age of the first waiting
-// request came out negative.
-func TestTickThatIsOlderThanARequestDoesNoHarm(t *testing.T) {
+// A tick delayed in its channel while requests are accepted can carry a time one
+// second before theirs. The age of the first waiting request was then negative, and
+// the daemon panicked, so that all its callers lost their responses.
+func TestTickOlderThanRequestIsHarmless(t *testing.T) {
 	is := is.New(t)
 	c := newCore("d2", "z2")
 	c.Peers(start, []scheduler.Peer{{ID: "d1", Incarnation: 1, Zone: "z1"}})
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -15,52 +15,53 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-// Config holds what a Core needs to know of its daemon, and its intervals.
+// Config identifies the daemon of a Core and sets its intervals.
 type Config struct {
 	Self        ident.Daemon
 	Incarnation uint64
 	Zone        ident.Zone
-	// Spill is how long the oldest request of a workspace waits before owners
-	// in other zones are shown its demand. Default 20 ms: above one exchange
-	// within a zone, so that a free local slot is found first, and far below
-	// the time of a request.
-	Spill time.Duration
-	// Exchange is the interval of demand updates and of service parts.
-	// Default 1 s, the shortest that stays within 4 KB/s of control
-	// (docs/design/fair-share.md).
-	Exchange time.Duration
-	// Slice is how long an ingress may go on using a grant of another daemon for
-	// further requests of the same workspace. Default 2 s: short requests then
-	// cost one grant and one release together, and a slot that was given for a
-	// short one is decided about again before long.
-	Slice time.Duration
-	// Linger is how long an ingress may keep a grant idle for the next request,
-	// where its owner has slots to spare. Default 100 ms: calls that come ten a
-	// second or more then mostly find one, and no slot idles for longer than a
-	// tenth of the exchange.
-	Linger time.Duration
-	// Held is the interval at which the grants in use are listed to their
-	// owners. Default 2 s: a slot whose release was lost idles for no longer.
-	Held time.Duration
-	// ReduceAbove is the number of daemons above which service parts are added
-	// up within zones before they travel on (see reduce.go). Default 24.
+	// SpillDelay is how long the oldest request of a workspace waits before its
+	// demand is sent to owners in other zones. The default is 20 ms: longer than
+	// one exchange within a zone, so that a free local slot is found first, and much
+	// shorter than a request.
+	SpillDelay time.Duration
+	// ExchangeInterval is the interval of demand updates and of served totals. The
+	// default is 1 s, the shortest interval that stays within 4 KB/s of control
+	// traffic (docs/design/fair-share.md).
+	ExchangeInterval time.Duration
+	// GrantReuseWindow is how long an ingress may reuse a grant of another daemon
+	// for further requests of the same workspace. The default is 2 s: short requests
+	// then share the cost of one grant and one release, and a slot granted for a
+	// short request is reassigned before long.
+	GrantReuseWindow time.Duration
+	// IdleGrantTimeout is how long an ingress may keep a grant idle for the next
+	// request if its owner has spare capacity. The default is 100 ms: with ten or
+	// more calls per second, most calls find a grant, and no slot idles for longer
+	// than a tenth of the exchange interval.
+	IdleGrantTimeout time.Duration
+	// HeldGrantsInterval is the interval at which owners receive the list of their
+	// grants in use. The default is 2 s, so a slot whose release message was lost
+	// idles for no longer than that.
+	HeldGrantsInterval time.Duration
+	// ReduceAbove is the number of daemons above which served totals are aggregated
+	// within zones before they are forwarded (see reduce.go). The default is 24.
 	ReduceAbove int
 }
 
 const (
-	defaultSpill    = 20 * time.Millisecond
-	defaultExchange = time.Second
-	defaultSlice    = 2 * time.Second
-	defaultLinger   = 100 * time.Millisecond
-	defaultHeld     = 2 * time.Second
+	defaultSpillDelay         = 20 * time.Millisecond
+	defaultExchangeInterval   = time.Second
+	defaultGrantReuseWindow   = 2 * time.Second
+	defaultIdleGrantTimeout   = 100 * time.Millisecond
+	defaultHeldGrantsInterval = 2 * time.Second
 )
 
 func (c Config) withDefaults() Config {
-	c.Spill = cmp.Or(c.Spill, defaultSpill)
-	c.Exchange = cmp.Or(c.Exchange, defaultExchange)
-	c.Slice = cmp.Or(c.Slice, defaultSlice)
-	c.Linger = cmp.Or(c.Linger, defaultLinger)
-	c.Held = cmp.Or(c.Held, defaultHeld)
+	c.SpillDelay = cmp.Or(c.SpillDelay, defaultSpillDelay)
+	c.ExchangeInterval = cmp.Or(c.ExchangeInterval, defaultExchangeInterval)
+	c.GrantReuseWindow = cmp.Or(c.GrantReuseWindow, defaultGrantReuseWindow)
+	c.IdleGrantTimeout = cmp.Or(c.IdleGrantTimeout, defaultIdleGrantTimeout)
+	c.HeldGrantsInterval = cmp.Or(c.HeldGrantsInterval, defaultHeldGrantsInterval)
 	c.ReduceAbove = cmp.Or(c.ReduceAbove, defaultReduceAbove)
 	return c
 }
@@ -73,67 +74,69 @@
 	leaving  bool
 	services map[ident.Service]*service
 	peers    map[ident.Daemon]*peer
-	// members are this daemon and its peers, as owners of targets.
+	// members holds this daemon and its peers as candidate owners of targets.
 	members  *membership.Owners
 	requests map[ident.Request]*request
-	// lastGrant is the id of the latest grant of this incarnation.
+	// lastGrant is the ID of the latest grant of this incarnation.
 	lastGrant uint64
-	// kept are the grants of other daemons that are kept idle for a moment.
-	kept         []keptGrant
-	grants       map[uint64]*grantOut
-	effects      []Effect
-	outbox       map[ident.Daemon]*Message
-	early        allowance
-	summaries    summaries
-	nextSettle   time.Time
-	nextExchange time.Time
-	nextHeld     time.Time
-	// hearUntil is when the own slots may be given away.
-	hearUntil time.Time
-	// fresh are the grants of the last exchange, by age.
-	fresh []freshGrant
-	// reduction is set while the fleet is large enough for the reduced
-	// exchange, whose next round is due at nextRound.
+	// idleGrants are grants of other daemons that are kept idle for the next
+	// request.
+	idleGrants     []idleGrant
+	grants         map[uint64]*issuedGrant
+	effects        []Effect
+	outbox         map[ident.Daemon]*Message
+	earlySends     tokenBucket
+	summaryBudget  summaryBudget
+	nextWithdraw   time.Time
+	nextExchange   time.Time
+	nextHeldGrants time.Time
+	// withholdUntil is when the daemon may start to grant its own slots.
+	withholdUntil time.Time
+	// recentGrants are the grants of the last exchange interval, oldest first.
+	recentGrants []freshGrant
+	// reduction is set while the fleet is large enough for the reduced exchange,
+	// whose next round is due at nextRound.
 	reduction *reduction
 	nextRound time.Time
-	// fullSettled is when totals that are seen first count again after a change
-	// back to the full exchange.
-	fullSettled time.Time
-	// gone is when each daemon was last seen among the peers.
-	gone map[ident.Daemon]time.Time
+	// baselineUntil applies after a switch back to the full exchange: until then, a
+	// total received for the first time is only a baseline and is not counted.
+	baselineUntil time.Time
+	// departed records when each departed daemon left the list of peers.
+	departed map[ident.Daemon]time.Time
 }
 
-// service is the state of one service, as ingress and as owner.
+// service is the state of one service, for both the ingress and the owner role.
 type service struct {
 	name       ident.Service
 	meanCost   float64
 	workspaces map[ident.Workspace]*workspace
-	// order lists the workspaces by name, so that no decision hangs on the
-	// order of a map.
-	order []*workspace
-	// active lists those with work anywhere, or with owners who believe so.
+	// sortedWorkspaces lists the workspaces by name, so that no decision depends on
+	// map iteration order.
+	sortedWorkspaces []*workspace
+	// active lists the workspaces with work anywhere, or with owners that still
+	// assume so.
 	active  []*workspace
 	targets map[ident.Target]*target
-	// owned lists the targets that this daemon grants, by name.
+	// owned lists the targets whose slots this daemon grants, by name.
 	owned []*target
-	// owners is the set of daemons that own targets.
+	// owners is the set of daemons that own targets of the service.
 	owners map[ident.Daemon]bool
 	ledger *fairshare.Ledger
-	// sums are what this daemon adds up for its zone.
-	sums      map[ident.Workspace]*sum
-	admission *admission.Controller
-	places    *places
-	// cost and rate are the mean cost of a request and its mean cost a second,
-	// over the requests of this ingress.
-	cost, rate average
-	// preemption tells that streams may be stopped, freeing lists the slots that
-	// are asked back, and allowance bounds them.
-	preemption bool
-	freeing    []freeing
-	allowance  preemption.Budget
+	// aggregates holds the totals that this daemon aggregates for its zone.
+	aggregates map[ident.Workspace]*sum
+	admission  *admission.Controller
+	placement  *places
+	// requestCost is the mean cost of a request, and slotRate its mean cost per
+	// second, over the requests of this ingress.
+	requestCost, slotRate movingAverage
+	// preemptionEnabled reports whether streams may be stopped. pendingPreemptions
+	// lists the slots requested back, and preemptionBudget bounds their number.
+	preemptionEnabled  bool
+	pendingPreemptions []freeing
+	preemptionBudget   preemption.Budget
 }
 
-// waiting counts the requests of all workspaces that wait here.
+// waiting counts the requests of all workspaces that wait at this daemon.
 func (s *service) waiting() int {
 	n := 0
 	for _, w := range s.active {
@@ -142,8 +145,8 @@
 	return n
 }
 
-// activate puts the workspace on the list of active ones. Thousands have no
-// work at a time, and no decision or tick looks at those.
+// activate adds the workspace to the list of active ones. At any time thousands
+// of workspaces have no work, and no decision or tick visits those.
 func (s *service) activate(w *workspace) {
 	if !w.active {
 		w.active = true
@@ -151,10 +154,10 @@
 	}
 }
 
-// prune takes the quiet workspaces off the list of active ones.
+// prune removes quiet workspaces from the list of active ones.
 func (s *service) prune() {
 	s.active = slices.DeleteFunc(s.active, func(w *workspace) bool {
-		if s.workspaces[w.Name] == w && !w.quiet() {
+		if s.workspaces[w.Name] == w && !w.isQuiet() {
 			return false
 		}
 		w.active = false
@@ -169,95 +172,98 @@
 type target struct {
 	Target
 	service *service
-	// grants are the slots in use that this daemon gave away.
-	grants map[uint64]*grantOut
-	// told is when each ingress last had a summary of the target's cache.
-	told map[ident.Daemon]time.Time
+	// grants holds the grants of the target that this daemon issued and that are
+	// still in use.
+	grants map[uint64]*issuedGrant
+	// summarySent is when each ingress last received a summary of the target's
+	// cache.
+	summarySent map[ident.Daemon]time.Time
 }
 
-// grantOut is a grant as its owner remembers it.
-type grantOut struct {
+// issuedGrant is the owner's record of a grant.
+type issuedGrant struct {
 	Grant
 	ingress ident.Daemon
 	target  *target
-	sent    time.Time
-	// asked tells that the slot was asked back.
-	asked bool
+	sentAt  time.Time
+	// preemptRequested is set once the owner has requested the slot back.
+	preemptRequested bool
 }
 
 // request is a request that waits or runs at this ingress.
 type request struct {
 	Request
 	arrived time.Time
-	// running is set once the request was bound to a grant.
+	// running is set once the request is bound to a grant.
 	running bool
-	// declined is set once the request has turned down a target it avoids.
+	// declined is set once the request has declined a target that it avoids.
 	declined bool
 	owner    ident.Daemon
 	grant    Grant
-	// granted is when the grant was first used.
-	granted time.Time
-	// charged is what the ledger was charged so far.
+	// grantedAt is when the grant was first used.
+	grantedAt time.Time
+	// charged is the cost charged to the ledger so far.
 	charged float64
-	// asked tells that the owner asked the grant's slot back, stopping that the
-	// attempt is being stopped.
-	asked, stopping bool
+	// preemptRequested is set once the owner has requested the grant's slot back,
+	// stopping while the attempt is being stopped.
+	preemptRequested, stopping bool
 }
 
 // peer is the state kept about another daemon.
 type peer struct {
 	Peer
-	// heard is when its last message came, parts when the last with service
-	// parts, and interval how long after the one before (zero: it was the first).
-	heard, parts time.Time
-	interval     time.Duration
-	// seenGrant is the highest grant received from the peer's incarnation.
-	seenGrant uint64
-	// full asks for all demand and all parts at the next exchange.
-	full bool
-	// retell asks for all parts and sums that concern the peer at the next
-	// exchange: it has come to add up for others.
-	retell bool
-	// lists is how many lists of the held grants are still to be sent although
-	// there may be none to list.
-	lists int
+	// lastMessage is when the peer's last message arrived, lastTotals when the last
+	// one with served totals arrived, and totalsInterval the time between that one
+	// and the previous one with totals (zero if it was the first).
+	lastMessage, lastTotals time.Time
+	totalsInterval          time.Duration
+	// lastSeenGrant is the highest grant received from the peer's incarnation.
+	lastSeenGrant uint64
+	// needsFullUpdate requests all demand and all totals at the next exchange.
+	needsFullUpdate bool
+	// needsTotals requests all totals and aggregates that concern the peer at the
+	// next exchange, because it has become an aggregator.
+	needsTotals bool
+	// heldListsDue is how many lists of held grants still have to be sent even if
+	// they are empty.
+	heldListsDue int
 }
 
 // New returns a Core without services and peers.
 func New(cfg Config, rng *rand.Rand) *Core {
 	return &Core{
-		cfg:      cfg.withDefaults(),
-		rng:      rng,
-		services: map[ident.Service]*service{},
-		peers:    map[ident.Daemon]*peer{},
-		requests: map[ident.Request]*request{},
-		grants:   map[uint64]*grantOut{},
-		outbox:   map[ident.Daemon]*Message{},
-		gone:     map[ident.Daemon]time.Time{},
-		early:    allowance{left: earlyMessages},
+		cfg:        cfg.withDefaults(),
+		rng:        rng,
+		services:   map[ident.Service]*service{},
+		peers:      map[ident.Daemon]*peer{},
+		requests:   map[ident.Request]*request{},
+		grants:     map[uint64]*issuedGrant{},
+		outbox:     map[ident.Daemon]*Message{},
+		departed:   map[ident.Daemon]time.Time{},
+		earlySends: tokenBucket{tokens: earlySendBurst},
 	}
 }
 
-// Configure puts a new set of services in force. Waiting requests of a service
-// or workspace that is gone are refused; running ones go on.
+// Configure replaces the set of services. Waiting requests of a removed service
+// or workspace are refused; running requests continue.
 func (c *Core) Configure(now time.Time, services []Service) {
-	kept := make(map[ident.Service]*service, len(services))
+	configured := make(map[ident.Service]*service, len(services))
 	for _, spec := range services {
 		s := c.services[spec.Name]
 		if s == nil {
 			s = c.newService(spec.Name)
 		}
 		c.configureService(s, spec)
-		kept[spec.Name] = s
+		configured[spec.Name] = s
 	}
 	for name, s := range c.services {
-		if kept[name] == nil {
-			for _, w := range s.order {
+		if configured[name] == nil {
+			for _, w := range s.sortedWorkspaces {
 				c.refuseQueue(w, resultcode.Fail(resultcode.UnknownService, "service %s was removed", name))
 			}
 		}
 	}
-	c.services = kept
+	c.services = configured
 	c.assignOwners()
 	c.assignAll(now)
 }
@@ -269,15 +275,15 @@
 		targets:    map[ident.Target]*target{},
 		ledger:     fairshare.New(fairshare.Config{Self: c.cfg.Self, Incarnation: c.cfg.Incarnation}),
 		admission:  c.newAdmission(),
-		places:     newPlaces(c.cfg.Zone, c.rng),
+		placement:  newPlaces(c.cfg.Zone, c.rng),
 	}
 }
 
 func (c *Core) configureService(s *service, spec Service) {
 	s.meanCost = spec.MeanCost
-	s.preemption = spec.Preemption
+	s.preemptionEnabled = spec.Preemption
 	workspaces := make(map[ident.Workspace]*workspace, len(spec.Workspaces))
-	s.order = s.order[:0]
+	s.sortedWorkspaces = s.sortedWorkspaces[:0]
 	for _, ws := range spec.Workspaces {
 		w := s.workspaces[ws.Name]
 		if w == nil {
@@ -287,16 +293,16 @@
 		w.configure(ws)
 		s.ledger.SetWeight(ws.Name, ws.Weight)
 		s.ledger.SetGroup(ws.Name, groupName(ws.Targets))
-		s.admission.SetLimits(ws.Name, admission.Limits{Weight: ws.Weight, Concurrent: ws.Concurrent, Rate: ws.Rate})
+		s.admission.SetLimits(ws.Name, admission.Limits{Weight: ws.Weight, Concurrent: ws.ConcurrencyLimit, Rate: ws.RateLimit})
 		workspaces[ws.Name] = w
-		s.order = append(s.order, w)
+		s.sortedWorkspaces = append(s.sortedWorkspaces, w)
 	}
-	sort.Slice(s.order, func(i, j int) bool { return s.order[i].Name < s.order[j].Name })
+	sort.Slice(s.sortedWorkspaces, func(i, j int) bool { return s.sortedWorkspaces[i].Name < s.sortedWorkspaces[j].Name })
 	for name, w := range s.workspaces {
 		if workspaces[name] == nil {
 			c.refuseQueue(w, resultcode.Fail(resultcode.Forbidden, "workspace %s was removed", name))
 			s.ledger.Remove(name)
-			delete(s.sums, name)
+			delete(s.aggregates, name)
 			s.admission.Remove(name)
 		}
 	}
@@ -306,13 +312,13 @@
 	for _, spec := range spec.Targets {
 		t := s.targets[spec.Name]
 		if t == nil {
-			t = &target{service: s, grants: map[uint64]*grantOut{}, told: map[ident.Daemon]time.Time{}}
+			t = &target{service: s, grants: map[uint64]*issuedGrant{}, summarySent: map[ident.Daemon]time.Time{}}
 		}
 		t.Target = spec
 		targets[spec.Name] = t
 	}
 	s.targets = targets
-	s.places.configure(spec)
+	s.placement.configure(spec)
 }
 
 func (c *Core) refuseQueue(w *workspace, failure *resultcode.Failure) {
@@ -322,8 +328,8 @@
 	}
 }
 
-// Leave begins a planned stop: the daemon owns no target from now on unless no
-// other daemon is left to own it.
+// Leave begins a planned shutdown: from now on the daemon owns no targets, unless
+// no other daemon is left to own them.
 func (c *Core) Leave(now time.Time) {
 	c.leaving = true
 	c.assignOwners()
@@ -331,8 +337,8 @@
 	c.assignAll(now)
 }
 
-// Take returns the effects since the last call and forgets them.
-func (c *Core) Take() []Effect {
+// TakeEffects returns the effects since the last call and clears them.
+func (c *Core) TakeEffects() []Effect {
 	peers := make([]ident.Daemon, 0, len(c.outbox))
 	for id := range c.outbox {
 		peers = append(peers, id)
@@ -349,10 +355,10 @@
 	return taken
 }
 
-// Waiting returns how many requests wait here, Running how many run.
+// Waiting returns how many requests wait at this daemon.
 func (c *Core) Waiting() int { return len(c.requests) - c.Running() }
 
-// Queued returns how many requests of the workspace wait here.
+// Queued returns how many requests of the workspace wait at this daemon.
 func (c *Core) Queued(service ident.Service, ws ident.Workspace) int {
 	s := c.services[service]
 	if s == nil || s.workspaces[ws] == nil {
@@ -374,7 +380,7 @@
 
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
-func (c *Core) message(to ident.Daemon) *Message {
+func (c *Core) messageTo(to ident.Daemon) *Message {
 	m := c.outbox[to]
 	if m == nil {
 		m = &Message{}
--- a/internal/scheduler/core_test.go
+++ b/internal/scheduler/core_test.go
@@ -20,8 +20,8 @@
 	c.Configure(start, []scheduler.Service{{
 		Name: "pool",
 		Workspaces: []scheduler.Workspace{
-			{Name: "a", Weight: 1, Queue: 3},
-			{Name: "b", Weight: 1, Queue: 3},
+			{Name: "a", Weight: 1, QueueLimit: 3},
+			{Name: "b", Weight: 1, QueueLimit: 3},
 		},
 		Targets:  []scheduler.Target{{Name: "t1", Zone: "z1", Slots: 1}},
 		MeanCost: 100,
@@ -35,7 +35,7 @@
 
 func dispatched(c *scheduler.Core) []ident.Request {
 	var ids []ident.Request
-	for _, e := range c.Take() {
+	for _, e := range c.TakeEffects() {
 		if d, ok := e.(scheduler.Dispatch); ok {
 			ids = append(ids, d.Request)
 		}
@@ -66,8 +66,8 @@
 	is.Equal(failure.Code, resultcode.QueueFull)
 }
 
-// A caller's request arrives at a daemon of another zone, which owns no target.
-// The owner must learn of it, grant its slot, and get the slot back at the end.
+// A request that arrives at a daemon of another zone, which owns no target, must be
+// announced to the owner and granted a slot, and the slot must be returned at the end.
 func TestRequestOfAnotherZoneIsGrantedOverMessages(t *testing.T) {
 	is := is.New(t)
 	owner, ingress := newCore("d1", "z1"), newCore("d2", "z2")
@@ -80,17 +80,17 @@
 	deliver(now, ingress, "d2", owner)
 	is.Equal(deliver(now, owner, "d1", ingress), 0)
 	is.Equal(dispatched(ingress), []ident.Request{"r1"})
-	now = now.Add(3 * time.Second) // past the time in which the grant may be used again
+	now = now.Add(3 * time.Second) // past the window in which the grant may be reused
 	ingress.Finish(now, "r1", scheduler.Result{Served: 90})
 	deliver(now, ingress, "d2", owner)
 	deliver(now, owner, "d1", ingress)
 	is.Equal(dispatched(ingress), []ident.Request{"r2"})
 }
 
-// A caller sends one request after the other through a daemon that owns no
-// target. Each must be shown to the owner at once; the second one looked as if
-// it had been shown already, and waited for the next exchange.
-func TestEachSingleRequestIsShownAtOnce(t *testing.T) {
+// Sequential requests through a daemon that owns no target must each be announced
+// to the owner at once. The second one was wrongly considered as already announced,
+// and waited for the next exchange.
+func TestEachSingleRequestIsAnnouncedImmediately(t *testing.T) {
 	is := is.New(t)
 	owner, ingress := newCore("d1", "z1"), newCore("d2", "z1")
 	owner.Peers(start, []scheduler.Peer{{ID: "d2", Incarnation: 1, Zone: "z1"}})
@@ -100,7 +100,7 @@
 		owner, ingress, ownerID, ingressID = ingress, owner, ingressID, ownerID
 	}
 	ingress.Tick(start) // the next exchange is not due within the test
-	ingress.Take()
+	ingress.TakeEffects()
 	for i := range 3 {
 		now := start.Add(time.Duration(i+1) * time.Millisecond)
 		id := ident.Request(fmt.Sprintf("r%d", i))
@@ -113,9 +113,9 @@
 	}
 }
 
-// A request has failed on the only target and is queued again, to avoid it. The
-// daemon that owns the target granted it, took it back and granted it again
-// without end: the process died of a stack overflow.
+// A request that failed on the only target is queued again with this target to
+// avoid. The daemon that owned the target granted and took back its slot in
+// endless recursion, and the process died of a stack overflow.
 func TestRequestThatAvoidsTheOnlyTargetStillRuns(t *testing.T) {
 	is := is.New(t)
 	c := newCore("d1", "z1")
@@ -125,30 +125,30 @@
 	is.Equal(dispatched(c), []ident.Request{"r1"})
 }
 
-// deliver passes the messages of one core to another and returns how many other
-// effects there were.
+// deliver passes the messages of one core to another and returns the number of
+// other effects.
 func deliver(now time.Time, from *scheduler.Core, id ident.Daemon, to *scheduler.Core) int {
-	others := 0
-	for _, e := range from.Take() {
+	otherEffects := 0
+	for _, e := range from.TakeEffects() {
 		if s, ok := e.(scheduler.Send); ok {
 			to.Receive(now, id, s.Message)
 			continue
 		}
-		others++
+		otherEffects++
 	}
-	return others
+	return otherEffects
 }
 
-// Short calls come one by one through a daemon that owns no target. The first
-// costs a round trip to the owner; the next ones find the slot kept, and it goes
-// back by itself once no call has come for a while.
-func TestSlotToSpareIsKeptForTheNextCall(t *testing.T) {
+// Short requests arrive one at a time through a daemon that owns no target. The
+// first one costs a round trip to the owner. The next ones must use the kept slot,
+// which is returned after a time without requests.
+func TestSpareSlotIsKeptForNextRequest(t *testing.T) {
 	is := is.New(t)
 	owner, ingress := newCore("d1", "z1"), newCore("d2", "z1")
 	for _, c := range []*scheduler.Core{owner, ingress} {
 		c.Configure(start, []scheduler.Service{{
 			Name:       "pool",
-			Workspaces: []scheduler.Workspace{{Name: "a", Weight: 1, Queue: 9}, {Name: "b", Weight: 1, Queue: 9}},
+			Workspaces: []scheduler.Workspace{{Name: "a", Weight: 1, QueueLimit: 9}, {Name: "b", Weight: 1, QueueLimit: 9}},
 			Targets:    []scheduler.Target{{Name: "t1", Zone: "z1", Slots: 4}},
 			MeanCost:   100,
 		}})
@@ -161,8 +161,8 @@
 	}
 	ingress.Tick(start)
 	owner.Tick(start)
-	owner.Take()
-	ingress.Take()
+	owner.TakeEffects()
+	ingress.TakeEffects()
 	now := start.Add(time.Millisecond)
 	is.True(ingress.Submit(now, request("r0", "a")) == nil)
 	deliver(now, ingress, ingressID, owner)
@@ -173,7 +173,7 @@
 		now = now.Add(10 * time.Millisecond)
 		next := fmt.Sprintf("r%d", i+1)
 		is.True(ingress.Submit(now, request(next, "a")) == nil)
-		effects := ingress.Take()
+		effects := ingress.TakeEffects()
 		is.Equal(len(effects), 1) // no message
 		is.Equal(effects[0].(scheduler.Dispatch).Request, ident.Request(next))
 	}
@@ -184,5 +184,5 @@
 	ingress.Tick(now)
 	deliver(now, ingress, ingressID, owner)
 	_, targets = owner.Status()
-	is.Equal(targets[0].Running, 0) // and given back
+	is.Equal(targets[0].Running, 0) // returned
 }
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -8,126 +8,132 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Owners have to know who waits, or their slots idle; told of every arrival,
-// hundreds of owners would get hundreds of messages for one request. So a first
-// request is shown to one owner, of the own zone where there is one, and to
-// twice as many after each reachStep that it still waits. A large queue is shown
-// to as many owners at once as it can use.
+// Owners must know where requests wait, or their slots idle. But if every arrival
+// were announced to all owners, hundreds of owners would receive hundreds of
+// messages for one request. A first request is therefore announced to a single
+// owner, in the daemon's own zone if there is one, and to twice as many after each
+// ownerDoublingInterval that it still waits. A long queue is announced at once to
+// as many owners as it can use.
 const (
-	firstReach = 1
-	reachStep  = 200 * time.Millisecond
-	// requestsPerOwner is how many waiting requests make it worth to show them
-	// to one more owner at once.
+	initialOwners         = 1
+	ownerDoublingInterval = 200 * time.Millisecond
+	// requestsPerOwner is the number of waiting requests that justifies announcing
+	// them to one more owner at once.
 	requestsPerOwner = 8
-	// settle is how long an owner may believe in demand that is gone. Acting on
-	// it costs a grant that comes back unused, which is less than a message for
-	// each short queue that comes and goes.
-	settle = time.Second
+	// demandWithdrawInterval is how long an owner may act on demand that no longer
+	// exists. Acting on it costs a grant that is returned unused, which is cheaper
+	// than a message for each short queue that fills and empties.
+	demandWithdrawInterval = time.Second
 )
 
-// cadence is how much a call of showDemand may say.
-type cadence int
+// updateTrigger is what caused a call of sendDemand. It determines which changes
+// are sent.
+type updateTrigger int
 
 const (
-	// onArrival and onTick say where a queue is no longer empty; onSettle also
-	// where it is empty again; onExchange also how long it is by now.
-	onArrival cadence = iota
+	// onArrival and onTick announce queues that are no longer empty. onWithdraw also
+	// withdraws the demand of queues that have become empty. onExchange also updates
+	// the lengths of queues.
+	onArrival updateTrigger = iota
 	onTick
-	onSettle
+	onWithdraw
 	onExchange
 )
 
 // demand counts the requests of a workspace that wait at one ingress.
 type demand struct{ waiting, urgent int }
 
-// less returns the demand after n grants, which take the urgent ones first.
-func (d demand) less(n int) demand {
+// minus returns the demand after n grants, which are used by urgent requests
+// first.
+func (d demand) minus(n int) demand {
 	return demand{waiting: max(0, d.waiting-n), urgent: max(0, d.urgent-n)}
 }
 
-// more returns the demand with n more requests that are not urgent.
-func (d demand) more(n int) demand { return demand{waiting: d.waiting + n, urgent: d.urgent} }
+// plus returns the demand with n more requests that are not urgent.
+func (d demand) plus(n int) demand { return demand{waiting: d.waiting + n, urgent: d.urgent} }
 
-// worth tells whether the demand differs enough from what is known of it.
-func (d demand) worth(known demand, at cadence) bool {
+// needsUpdate reports whether the demand differs enough from the known one to be
+// sent.
+func (d demand) needsUpdate(known demand, trigger updateTrigger) bool {
 	switch {
 	case known.waiting == 0 && d.waiting > 0, known.urgent == 0 && d.urgent > 0:
 		return true
 	case known.waiting > 0 && d.waiting == 0, known.urgent > 0 && d.urgent == 0:
-		return at >= onSettle
+		return trigger >= onWithdraw
 	}
-	return at == onExchange && (far(d.waiting, known.waiting) || far(d.urgent, known.urgent))
+	return trigger == onExchange && (differsSubstantially(d.waiting, known.waiting) || differsSubstantially(d.urgent, known.urgent))
 }
 
-// far tells whether two counts differ by more than a quarter. Counts only share
-// grants out among ingresses, in proportion.
-func far(a, b int) bool {
+// differsSubstantially reports whether two counts differ by more than a quarter.
+// Smaller differences are tolerable: counts only determine the proportions in
+// which grants are distributed among ingresses.
+func differsSubstantially(a, b int) bool {
 	const quarter = 4
 	return quarter*max(a-b, b-a) > max(a, b)
 }
 
-// reach is how many owners are shown n requests, the first of which has waited
-// for the time.
-func reach(n int, waited time.Duration) int {
-	doublings := min(int(max(waited, 0)/reachStep), 16)
-	return max(firstReach<<doublings, n/requestsPerOwner)
+// ownersToNotify returns how many owners are told about n requests, the first of
+// which has waited for the given time.
+func ownersToNotify(n int, waited time.Duration) int {
+	doublings := min(int(max(waited, 0)/ownerDoublingInterval), 16)
+	return max(initialOwners<<doublings, n/requestsPerOwner)
 }
 
-// showDemand tells the owners of targets how many requests wait.
-func (c *Core) showDemand(now time.Time, s *service, w *workspace, at cadence) {
-	if w.told && at == onTick {
+// sendDemand tells the owners of targets how many requests wait.
+func (c *Core) sendDemand(now time.Time, s *service, w *workspace, trigger updateTrigger) {
+	if w.demandUpToDate && trigger == onTick {
 		return
 	}
-	own := w.own()
-	near := reach(own.waiting, now.Sub(w.since))
-	nearUrgent := reach(own.urgent, now.Sub(w.urgentSince))
-	for i, p := range c.ownersFor(s, w) {
-		known := w.shown[p.ID]
+	own := w.ownDemand()
+	limit := ownersToNotify(own.waiting, now.Sub(w.nonEmptySince))
+	urgentLimit := ownersToNotify(own.urgent, now.Sub(w.urgentSince))
+	for i, p := range c.rankedOwners(s, w) {
+		known := w.sentDemand[p.ID]
 		value := own
-		if i >= near || p.Zone != c.cfg.Zone && now.Sub(w.since) < c.cfg.Spill {
+		if i >= limit || p.Zone != c.cfg.Zone && now.Sub(w.nonEmptySince) < c.cfg.SpillDelay {
 			value.waiting = min(own.waiting, known.waiting)
 		}
-		if i >= nearUrgent || value.waiting == 0 {
+		if i >= urgentLimit || value.waiting == 0 {
 			value.urgent = min(own.urgent, known.urgent)
 		}
-		if full := p.full && at == onExchange; !full && !value.worth(known, at) {
+		if forced := p.needsFullUpdate && trigger == onExchange; !forced && !value.needsUpdate(known, trigger) {
 			continue
 		}
-		if at == onArrival && !c.early.take() {
+		if trigger == onArrival && !c.earlySends.take() {
 			return
 		}
-		w.setShown(p.ID, value)
-		m := c.message(p.ID)
+		w.setSentDemand(p.ID, value)
+		m := c.messageTo(p.ID)
 		m.Demand = append(m.Demand, Demand{
 			Service:   s.name,
 			Workspace: w.Name,
 			Waiting:   uint32(value.waiting),
 			Urgent:    uint32(value.urgent),
-			Seen:      p.seenGrant,
+			SeenGrant: p.lastSeenGrant,
 		})
 	}
-	all := len(c.ownersFor(s, w))
-	w.told = own.waiting == 0 ||
-		near >= all && (own.urgent == 0 || nearUrgent >= all) && now.Sub(w.since) >= c.cfg.Spill
+	total := len(c.rankedOwners(s, w))
+	w.demandUpToDate = own.waiting == 0 ||
+		limit >= total && (own.urgent == 0 || urgentLimit >= total) && now.Sub(w.nonEmptySince) >= c.cfg.SpillDelay
 }
 
-// arrives keeps the times since when the queue is not empty. It is called before
-// a request is put into it.
-func (w *workspace) arrives(now time.Time) {
-	w.told = false
-	own := w.own()
+// noteArrival records since when the queue has not been empty. It is called before
+// a request is queued.
+func (w *workspace) noteArrival(now time.Time) {
+	w.demandUpToDate = false
+	own := w.ownDemand()
 	if own.waiting == 0 {
-		w.since = now
+		w.nonEmptySince = now
 	}
 	if own.urgent == 0 {
 		w.urgentSince = now
 	}
 }
 
-// ownersFor returns the peers that own targets of the service: those of the own
-// zone first, and each ingress in another order, so that the first requests of
-// many ingresses do not all go to one owner.
-func (c *Core) ownersFor(s *service, w *workspace) []*peer {
+// rankedOwners returns the peers that own targets of the service. Peers in the
+// daemon's own zone come first. The order differs between ingresses, so that the
+// first requests of many ingresses do not all go to one owner.
+func (c *Core) rankedOwners(s *service, w *workspace) []*peer {
 	if w.owners != nil {
 		return w.owners
 	}
@@ -159,31 +165,32 @@
 	return w.owners
 }
 
-// resetOwners lets each workspace find the owners again, after a change of targets
-// or peers. What a peer was shown that owns none any more stays noted, as the peer
-// keeps it too: should it own one again, it is told the difference.
+// resetOwners makes each workspace look up its owners again after a change of
+// targets or peers. The demand sent to a peer that no longer owns targets is kept,
+// because the peer keeps it too: if it owns a target again, it is sent only the
+// difference.
 func (c *Core) resetOwners(s *service) {
-	for _, w := range s.order {
-		w.owners, w.told = nil, false
+	for _, w := range s.sortedWorkspaces {
+		w.owners, w.demandUpToDate = nil, false
 		s.findHere(w)
 	}
 }
 
-// allowance bounds the messages that are sent ahead of the next tick: an idle
-// fleet answers at once, and a busy one sends what waits together.
-type allowance struct{ left float64 }
+// tokenBucket bounds the messages that are sent before the next tick: an idle
+// fleet responds at once, and a busy one batches its messages.
+type tokenBucket struct{ tokens float64 }
 
 const (
-	earlyMessages = 10
-	earlyPerTick  = 0.2
+	earlySendBurst    = 10
+	earlySendsPerTick = 0.2
 )
 
-func (a *allowance) refill() { a.left = min(earlyMessages, a.left+earlyPerTick) }
+func (a *tokenBucket) refill() { a.tokens = min(earlySendBurst, a.tokens+earlySendsPerTick) }
 
-func (a *allowance) take() bool {
-	if a.left < 1 {
+func (a *tokenBucket) take() bool {
+	if a.tokens < 1 {
 		return false
 	}
-	a.left--
+	a.tokens--
 	return true
 }
--- a/internal/scheduler/exchange.go
+++ b/internal/scheduler/exchange.go
@@ -8,177 +8,179 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// Receive handles a message of another daemon. A message of another
-// incarnation than the one known to be live is dropped: its grants would be
-// released to an owner that never made them.
+// Receive handles a message of another daemon. A message is dropped unless its
+// incarnation is the one known to be live: its grants would be released to an
+// owner that never issued them.
 func (c *Core) Receive(now time.Time, from ident.Daemon, m Message) {
 	p := c.peers[from]
 	if p == nil || p.Incarnation != m.Incarnation {
 		return
 	}
 	p.hears(now, m)
-	for _, part := range m.Parts {
-		c.takePart(now, p, part)
+	for _, total := range m.ServedTotals {
+		c.takePart(now, p, total)
 	}
-	for _, part := range m.Sums {
-		c.takeSum(now, p, part)
+	for _, total := range m.Aggregates {
+		c.takeSum(now, p, total)
 	}
 	for _, l := range m.Limits {
 		if s := c.services[l.Service]; s != nil {
 			s.admission.MergeLimitReport(now, from, l.Workspace, l.News)
 		}
 	}
-	for _, news := range m.News {
-		c.learn(now, news.Service, news.Target, news.Health)
+	for _, update := range m.HealthUpdates {
+		c.learn(now, update.Service, update.Target, update.Health)
 	}
 	for _, d := range m.Demand {
-		c.takeDemand(from, d)
+		c.applyDemand(from, d)
 	}
-	if m.HeldValid {
+	if m.HeldGrantsValid {
 		c.reconcile(now, from, m)
 	}
 	for _, rel := range m.Releases {
 		c.released(now, rel)
 	}
 	for _, g := range m.Grants {
-		p.lists = max(p.lists, 1)
-		p.seenGrant = max(p.seenGrant, g.ID)
-		c.accept(now, from, g)
+		p.heldListsDue = max(p.heldListsDue, 1)
+		p.lastSeenGrant = max(p.lastSeenGrant, g.ID)
+		c.acceptGrant(now, from, g)
 	}
-	for _, id := range m.Preempts {
+	for _, id := range m.PreemptGrants {
 		c.stop(now, from, id)
 	}
 	c.assignAll(now)
 }
 
-// takeDemand sets what an ingress has waiting, less the grants that it had not
-// seen when it counted.
-func (c *Core) takeDemand(from ident.Daemon, d Demand) {
+// applyDemand records the demand of an ingress, less the grants that the ingress
+// had not seen when it counted.
+func (c *Core) applyDemand(from ident.Daemon, d Demand) {
 	s := c.services[d.Service]
 	if s == nil || s.workspaces[d.Workspace] == nil {
 		return
 	}
 	w := s.workspaces[d.Workspace]
 	known := demand{waiting: int(d.Waiting), urgent: int(d.Urgent)}
-	w.setDemand(from, known.less(w.unseen(from, d.Seen)))
-	if w.remoteDemand() > 0 {
+	w.setIngressDemand(from, known.minus(w.unseenGrants(from, d.SeenGrant)))
+	if w.remoteWaiting() > 0 {
 		s.activate(w)
 	}
 }
 
-// unseenGrant is how long an ingress may leave a grant out of its lists before
-// the grant counts as lost with the link. It is two lists at the default
-// interval; a grant that arrives later all the same admits one request too much
-// for a while.
-const unseenGrant = 4 * time.Second
+// unseenGrantTimeout is how long an ingress may omit a grant from its lists before
+// the grant counts as lost with the connection. It is the time of two lists at the
+// default interval. If the grant arrives later all the same, one request too many
+// is admitted for a while.
+const unseenGrantTimeout = 4 * time.Second
 
-// reconcile frees the slots whose release was lost: the ingress lists what it
-// still holds among the grants that it has seen. A grant above those was lost
-// itself when it is old; without that, the slot would idle until the next grant
-// to the same ingress, which may be never.
+// reconcile frees the slots whose release message was lost. The ingress lists the
+// grants that it still holds among those that it has seen. A grant above those was
+// itself lost if it is old. Without this rule, its slot would idle until the next
+// grant to the same ingress, which may never come.
 func (c *Core) reconcile(now time.Time, from ident.Daemon, m Message) {
 	for id, g := range c.grants {
-		if g.ingress != from || slices.Contains(m.Held, id) {
+		if g.ingress != from || slices.Contains(m.HeldGrants, id) {
 			continue
 		}
 		switch {
-		case id <= m.HeldSeen:
+		case id <= m.HeldGrantsSeen:
 			c.dropGrant(id)
-		case now.Sub(g.sent) >= unseenGrant:
+		case now.Sub(g.sentAt) >= unseenGrantTimeout:
 			c.dropGrant(id)
-			// The request that it was for still waits there.
+			// The request that the grant was meant for still waits at the ingress.
 			if w := g.target.service.workspaces[g.Workspace]; w != nil {
-				w.setDemand(from, w.demand[from].more(1))
+				w.setIngressDemand(from, w.ingressDemand[from].plus(1))
 				g.target.service.activate(w)
 			}
 		}
 	}
 }
 
-// forgetAfter is how long the service parts of a daemon that is gone are kept.
-// One that returns before has the service of the meantime counted; keeping the
-// parts of each of hundreds of restarts a day would take all memory in the end.
-const forgetAfter = 10 * time.Minute
+// departedRetention is how long the served totals of a departed daemon are kept.
+// If the daemon returns within that time, the service that it delivered in the
+// meantime is counted. Keeping the totals forever would exhaust memory with
+// hundreds of restarts a day.
+const departedRetention = 10 * time.Minute
 
-func (c *Core) forgetGone(now time.Time) {
-	for id, since := range c.gone {
-		if now.Sub(since) < forgetAfter {
+func (c *Core) forgetDeparted(now time.Time) {
+	for id, since := range c.departed {
+		if now.Sub(since) < departedRetention {
 			continue
 		}
-		delete(c.gone, id)
+		delete(c.departed, id)
 		for _, s := range c.services {
 			s.ledger.Forget(id)
-			for _, u := range s.sums {
+			for _, u := range s.aggregates {
 				u.ForgetZonePeer(id)
 			}
 		}
 	}
 }
 
-// Tick does what is due: deadlines, demand, service parts and held grants.
+// Tick performs the work that is due: deadlines, demand, served totals and held
+// grants.
 func (c *Core) Tick(now time.Time) {
-	c.early.refill()
-	c.returnKept(now)
-	at := c.due(now)
+	c.earlySends.refill()
+	c.releaseExpiredIdleGrants(now)
+	trigger := c.dueTrigger(now)
 	for _, s := range c.services {
-		for _, w := range c.listed(s, at) {
-			c.expire(now, s, w)
-			c.showDemand(now, s, w, at)
+		for _, w := range c.workspacesToVisit(s, trigger) {
+			c.expireWaiting(now, s, w)
+			c.sendDemand(now, s, w, trigger)
 		}
-		if at == onExchange {
+		if trigger == onExchange {
 			c.sendLimits(now, s)
-			c.tune(s)
+			c.tuneLedger(s)
 		}
 		s.prune()
 	}
-	c.exchangeParts(now, at)
-	if at == onExchange {
-		c.forgetGone(now)
+	c.exchangeParts(now, trigger)
+	if trigger == onExchange {
+		c.forgetDeparted(now)
 		for _, p := range c.peers {
-			p.full, p.retell = false, false
+			p.needsFullUpdate, p.needsTotals = false, false
 		}
 	}
-	if !now.Before(c.nextHeld) {
-		c.nextHeld = now.Add(c.cfg.Held)
-		c.sendHeld()
+	if !now.Before(c.nextHeldGrants) {
+		c.nextHeldGrants = now.Add(c.cfg.HeldGrantsInterval)
+		c.sendHeldGrants()
 	}
 	c.assignAll(now)
 }
 
-// listed lists the workspaces that a tick has to look at: the active ones, or all
-// where a peer that lost messages may believe in the demand of any.
-func (c *Core) listed(s *service, at cadence) []*workspace {
-	if at != onExchange {
+// workspacesToVisit returns the workspaces that a tick has to process: the active
+// ones, or all if a peer that lost messages may assume demand of any workspace.
+func (c *Core) workspacesToVisit(s *service, trigger updateTrigger) []*workspace {
+	if trigger != onExchange {
 		return s.active
 	}
 	for _, p := range c.peers {
-		if p.full {
-			return s.order
+		if p.needsFullUpdate {
+			return s.sortedWorkspaces
 		}
 	}
 	return s.active
 }
 
-// due tells what the tick has to send.
-func (c *Core) due(now time.Time) cadence {
-	at := onTick
-	if !now.Before(c.nextSettle) {
-		c.nextSettle = now.Add(settle)
-		at = onSettle
+// dueTrigger returns the trigger for the updates due at this tick.
+func (c *Core) dueTrigger(now time.Time) updateTrigger {
+	trigger := onTick
+	if !now.Before(c.nextWithdraw) {
+		c.nextWithdraw = now.Add(demandWithdrawInterval)
+		trigger = onWithdraw
 	}
 	if !now.Before(c.nextExchange) {
-		c.nextExchange = now.Add(c.cfg.Exchange)
-		at = onExchange
+		c.nextExchange = now.Add(c.cfg.ExchangeInterval)
+		trigger = onExchange
 	}
-	return at
+	return trigger
 }
 
-// tune fits the ledger to what was measured since.
-func (c *Core) tune(s *service) {
+// tuneLedger adapts the ledger to the conditions measured since the last exchange.
+func (c *Core) tuneLedger(s *service) {
 	conditions := fairshare.Conditions{
 		Lag:      c.lag(),
-		SlotRate: s.rate.value,
-		MeanCost: s.cost.value,
+		SlotRate: s.slotRate.value,
+		MeanCost: s.requestCost.value,
 	}
 	for _, t := range s.targets {
 		if t.usable() {
@@ -193,84 +195,84 @@
 	s.ledger.Tune(conditions)
 }
 
-func (c *Core) sendParts(s *service) {
-	var all []Part
-	changed := s.parts(s.ledger.Changed())
+func (c *Core) sendTotals(s *service) {
+	var all []ServedTotal
+	changed := s.totals(s.ledger.Changed())
 	for id, p := range c.peers {
 		list := changed
-		if p.full || p.retell {
+		if p.needsFullUpdate || p.needsTotals {
 			if all == nil {
-				all = s.allParts()
+				all = s.allTotals()
 			}
 			list = all
 		}
 		if len(list) == 0 {
 			continue
 		}
-		m := c.message(id)
-		if len(m.Parts) == 0 {
-			m.Parts = slices.Clip(list) // one list serves all peers
+		m := c.messageTo(id)
+		if len(m.ServedTotals) == 0 {
+			m.ServedTotals = slices.Clip(list) // one list serves all peers
 			continue
 		}
-		m.Parts = append(m.Parts, list...)
+		m.ServedTotals = append(m.ServedTotals, list...)
 	}
 }
 
-func (s *service) parts(names []ident.Workspace) []Part {
-	list := make([]Part, 0, len(names))
+func (s *service) totals(names []ident.Workspace) []ServedTotal {
+	list := make([]ServedTotal, 0, len(names))
 	for _, name := range names {
-		list = append(list, Part{Service: s.name, Workspace: name, Served: s.ledger.LocalService(name)})
+		list = append(list, ServedTotal{Service: s.name, Workspace: name, Served: s.ledger.LocalService(name)})
 	}
 	return list
 }
 
-// allParts leaves out workspaces that were served nothing.
-func (s *service) allParts() []Part {
+// allTotals leaves out workspaces that received no service.
+func (s *service) allTotals() []ServedTotal {
 	var names []ident.Workspace
-	for _, w := range s.order {
+	for _, w := range s.sortedWorkspaces {
 		if s.ledger.LocalService(w.Name) != 0 {
 			names = append(names, w.Name)
 		}
 	}
-	return s.parts(names)
+	return s.totals(names)
 }
 
-// listsAfterLoss is how many lists follow a lost link: enough to outlast
-// unseenGrant at the owner.
-const listsAfterLoss = 4
+// heldListsAfterLoss is how many lists of held grants follow a lost connection.
+// They span more than the unseenGrantTimeout of the owner.
+const heldListsAfterLoss = 4
 
-// sendHeld lists to each owner which of its grants are in use here.
-func (c *Core) sendHeld() {
+// sendHeldGrants sends each owner the list of its grants in use at this daemon.
+func (c *Core) sendHeldGrants() {
 	held := map[ident.Daemon][]uint64{}
 	for _, r := range c.requests {
 		if r.running && r.owner != c.cfg.Self {
 			held[r.owner] = append(held[r.owner], r.grant.ID)
 		}
 	}
-	for _, k := range c.kept {
+	for _, k := range c.idleGrants {
 		held[k.owner] = append(held[k.owner], k.ID)
 	}
 	for id, p := range c.peers {
 		if len(held[id]) > 0 {
-			p.lists = max(p.lists, 1)
+			p.heldListsDue = max(p.heldListsDue, 1)
 		}
-		if p.lists == 0 {
+		if p.heldListsDue == 0 {
 			continue
 		}
-		p.lists--
-		m := c.message(id)
-		m.Held = held[id]
-		slices.Sort(m.Held)
-		m.HeldValid = true
-		m.HeldSeen = p.seenGrant
+		p.heldListsDue--
+		m := c.messageTo(id)
+		m.HeldGrants = held[id]
+		slices.Sort(m.HeldGrants)
+		m.HeldGrantsValid = true
+		m.HeldGrantsSeen = p.lastSeenGrant
 	}
 }
 
-// Reset tells that messages to or from a peer may have been lost: all demand
-// and all parts are sent again at the next exchange, and the held grants listed.
-func (c *Core) Reset(id ident.Daemon) {
+// ResyncPeer handles a possible loss of messages to or from a peer: all demand and
+// all totals are sent again at the next exchange, and the held grants are listed.
+func (c *Core) ResyncPeer(id ident.Daemon) {
 	if p := c.peers[id]; p != nil {
-		p.full = true
-		p.lists = listsAfterLoss
+		p.needsFullUpdate = true
+		p.heldListsDue = heldListsAfterLoss
 	}
 }
--- a/internal/scheduler/ingress.go
+++ b/internal/scheduler/ingress.go
@@ -10,7 +10,8 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-// Submit queues a request. A failure is final and nothing was queued.
+// Submit queues a request. If it returns a failure, nothing was queued, and the
+// failure is final.
 func (c *Core) Submit(now time.Time, spec Request) *resultcode.Failure {
 	s, w, failure := c.lookup(spec)
 	if failure != nil {
@@ -34,8 +35,8 @@
 	return c.enqueue(now, s, w, spec, false)
 }
 
-// Requeue puts a request that did not run back at the head of its queue, past
-// the bounds that apply to new requests.
+// Requeue puts a request that did not run back at the head of its queue. The limits
+// for new requests do not apply.
 func (c *Core) Requeue(now time.Time, spec Request) *resultcode.Failure {
 	s, w, failure := c.lookup(spec)
 	if failure != nil {
@@ -58,7 +59,7 @@
 
 func (c *Core) enqueue(now time.Time, s *service, w *workspace, spec Request, front bool) *resultcode.Failure {
 	r := &request{Request: spec, arrived: now}
-	w.arrives(now)
+	w.noteArrival(now)
 	failure := w.queue.Push(queue.Item[*request]{
 		ID:       spec.ID,
 		Class:    uint8(spec.Class),
@@ -72,21 +73,21 @@
 	}
 	c.requests[spec.ID] = r
 	s.activate(w)
-	c.changed(now, s, w)
+	c.queueChanged(now, s, w)
 	c.assign(now, s)
-	c.useKept(now, s, w)
-	c.showDemand(now, s, w, onArrival)
+	c.useIdleGrants(now, s, w)
+	c.sendDemand(now, s, w, onArrival)
 	return nil
 }
 
-// changed tells admission how many requests wait.
-func (c *Core) changed(now time.Time, s *service, w *workspace) {
-	w.told = false
+// queueChanged reports the number of waiting requests to admission control.
+func (c *Core) queueChanged(now time.Time, s *service, w *workspace) {
+	w.demandUpToDate = false
 	s.admission.SetWaiting(now, w.Name, w.waiting())
 }
 
-// Cancel withdraws a request whose caller left. A running one stays until
-// Finish reports how its attempt ended.
+// Cancel removes a waiting request whose caller disconnected. A running request
+// stays until Finish reports how its attempt ended.
 func (c *Core) Cancel(now time.Time, id ident.Request) {
 	r := c.requests[id]
 	if r == nil || r.running {
@@ -96,10 +97,10 @@
 	s := c.services[r.Service]
 	w := s.workspaces[r.Workspace]
 	w.queue.Remove(id)
-	c.changed(now, s, w)
+	c.queueChanged(now, s, w)
 }
 
-// Progress charges what a running request has received so far.
+// Progress charges the service that a running request has received so far.
 func (c *Core) Progress(id ident.Request, served float64) {
 	r := c.requests[id]
 	if r == nil || !r.running || served <= r.charged {
@@ -108,8 +109,8 @@
 	c.charge(r, served)
 }
 
-// Finish ends the attempt of a running request: what it was charged is
-// corrected and the slot goes back to its owner.
+// Finish ends the attempt of a running request: its charge is corrected, and the
+// slot is returned to its owner.
 func (c *Core) Finish(now time.Time, id ident.Request, result Result) {
 	r := c.requests[id]
 	if r == nil || !r.running {
@@ -121,49 +122,49 @@
 	}
 	c.charge(r, result.Served)
 	if s := c.services[r.Service]; s != nil {
-		s.finished(r, result)
+		s.recordFinished(r, result)
 		if r.owner != c.cfg.Self {
-			s.places.observe(now, r.grant.Target, result, 0)
+			s.placement.observe(now, r.grant.Target, result, 0)
 		}
 	}
-	// A stopping one that ended by itself gives the slot back all the same.
+	// An attempt that was being stopped but ended by itself still returns its slot.
 	result.Preempted = result.Preempted || r.stopping
-	if !result.Preempted && (c.reuse(now, r, result) || c.keep(now, r, result)) {
+	if !result.Preempted && (c.reuseGrant(now, r, result) || c.keepIdle(now, r, result)) {
 		return
 	}
-	c.release(now, r.owner, Release{Grant: r.grant.ID, Result: result})
+	c.releaseGrant(now, r.owner, Release{Grant: r.grant.ID, Result: result})
 }
 
-// reuse binds the next request of the workspace to a grant whose request has
-// ended early in its slice, so that many short requests do not cost a grant and
-// a release each. Slots of the own targets need no messages and are decided
-// about anew, and so is one whose target or owner is not known to be well.
-func (c *Core) reuse(now time.Time, r *request, result Result) bool {
+// reuseGrant binds the next request of the workspace to a grant whose request ended
+// within its reuse window, so that many short requests do not cost a grant and a
+// release each. Slots of the daemon's own targets need no messages and are assigned
+// anew. So are slots whose target or owner is not known to be healthy.
+func (c *Core) reuseGrant(now time.Time, r *request, result Result) bool {
 	s := c.services[r.Service]
-	if s == nil || r.owner == c.cfg.Self || c.peers[r.owner] == nil || now.Sub(r.granted) >= c.cfg.Slice {
+	if s == nil || r.owner == c.cfg.Self || c.peers[r.owner] == nil || now.Sub(r.grantedAt) >= c.cfg.GrantReuseWindow {
 		return false
 	}
 	if t := s.targets[r.grant.Target]; result.Failed || result.NotRun || t == nil || !t.usable() {
 		return false
 	}
-	next := c.bind(now, r.grant)
+	next := c.bindRequest(now, r.grant)
 	if next == nil {
 		return false
 	}
-	c.start(next, r.owner, r.grant, r.granted)
+	c.dispatch(next, r.owner, r.grant, r.grantedAt)
 	return true
 }
 
-func (c *Core) start(r *request, owner ident.Daemon, g Grant, granted time.Time) {
+func (c *Core) dispatch(r *request, owner ident.Daemon, g Grant, granted time.Time) {
 	r.running = true
 	r.owner = owner
 	r.grant = g
-	r.granted = granted
+	r.grantedAt = granted
 	c.emit(Dispatch{Request: r.ID, Service: g.Service, Target: g.Target})
 }
 
-// finished updates what is measured of the requests of this ingress.
-func (s *service) finished(r *request, result Result) {
+// recordFinished updates the statistics about the requests of this ingress.
+func (s *service) recordFinished(r *request, result Result) {
 	if w := s.workspaces[r.Workspace]; w != nil {
 		w.running--
 	}
@@ -172,8 +173,8 @@
 	}
 	class := uint8(r.Class)
 	s.admission.RecordCompletion(class, result.Elapsed)
-	s.cost.add(result.Served)
-	s.rate.add(result.Served / result.Elapsed.Seconds())
+	s.requestCost.add(result.Served)
+	s.slotRate.add(result.Served / result.Elapsed.Seconds())
 }
 
 func (c *Core) charge(r *request, served float64) {
@@ -183,41 +184,42 @@
 	}
 }
 
-// accept binds a waiting request to a grant, or returns the grant at once.
-func (c *Core) accept(now time.Time, owner ident.Daemon, g Grant) {
-	c.takeSummary(now, g)
-	r := c.bind(now, g)
-	c.noteShown(owner, g, r != nil)
+// acceptGrant binds a waiting request to a grant, or returns the grant at once.
+func (c *Core) acceptGrant(now time.Time, owner ident.Daemon, g Grant) {
+	c.applySummary(now, g)
+	r := c.bindRequest(now, g)
+	c.updateSentDemand(owner, g, r != nil)
 	if r == nil {
-		c.release(now, owner, Release{Grant: g.ID, Unused: true})
+		c.releaseGrant(now, owner, Release{Grant: g.ID, Unused: true})
 		return
 	}
-	c.start(r, owner, g, now)
+	c.dispatch(r, owner, g, now)
 }
 
-// noteShown changes the demand that the owner knows of as the owner does itself:
-// it is one less by a grant, and none when the grant comes back unused. The two
-// would drift apart otherwise: an owner that has granted all that it was told of
-// gives nothing more, though as much waits again, and the ingress sees no change
-// to tell.
-func (c *Core) noteShown(owner ident.Daemon, g Grant, used bool) {
+// updateSentDemand adjusts the recorded demand in the same way as the owner does: a
+// grant reduces it by one, and a grant returned unused resets it to zero. Otherwise
+// the two sides would diverge: an owner that has granted all the demand it knows of
+// issues no more grants although as many requests wait again, and the ingress sees
+// no change to report.
+func (c *Core) updateSentDemand(owner ident.Daemon, g Grant, used bool) {
 	s := c.services[g.Service]
 	if s == nil || s.workspaces[g.Workspace] == nil {
 		return
 	}
 	w := s.workspaces[g.Workspace]
-	known, ok := w.shown[owner]
+	known, ok := w.sentDemand[owner]
 	switch {
 	case !ok:
 	case used:
-		w.setShown(owner, known.less(1))
+		w.setSentDemand(owner, known.minus(1))
 	default:
-		w.setShown(owner, demand{})
+		w.setSentDemand(owner, demand{})
 	}
 }
 
-// bind takes the first waiting request of the workspace that may use the target.
-func (c *Core) bind(now time.Time, g Grant) *request {
+// bindRequest takes the first waiting request of the workspace that may use the
+// target.
+func (c *Core) bindRequest(now time.Time, g Grant) *request {
 	s := c.services[g.Service]
 	if s == nil || s.workspaces[g.Workspace] == nil || s.targets[g.Target] == nil {
 		return nil
@@ -227,26 +229,26 @@
 		w.queue.SetMedianServiceTime(class, s.admission.MedianServiceTime(class))
 	}
 	if !w.mayUse(g.Target) {
-		return nil // The owner has another document in force.
+		return nil // The owner uses another version of the document.
 	}
-	takes := func(it queue.Item[*request]) bool { return it.Value.takes(g.Target) }
-	it, expired, ok := w.queue.PopPreferred(now, takes, s.places.prefers(g.Target))
+	mayRun := func(it queue.Item[*request]) bool { return it.Value.mayRunOn(g.Target) }
+	it, expired, ok := w.queue.PopPreferred(now, mayRun, s.placement.prefers(g.Target))
 	c.refuseExpired(now, expired)
-	c.changed(now, s, w)
+	c.queueChanged(now, s, w)
 	if !ok {
 		return nil
 	}
 	w.running++
 	s.admission.RecordDispatch(now, w.Name)
-	s.places.dispatched(now, g.Target, it.Value)
+	s.placement.dispatched(now, g.Target, it.Value)
 	return it.Value
 }
 
-// takes tells whether a request may be bound to a target. One that it avoids is
-// declined once. Declining it each time would turn a single such request beside
-// an idle target into an endless exchange of grants and returns, which showed as
-// a stack overflow where the ingress owned the target itself.
-func (r *request) takes(name ident.Target) bool {
+// mayRunOn reports whether the request may be bound to a target. A target that the
+// request avoids is declined only once. Declining it each time would turn a single
+// such request and an idle target into an endless loop of grants and returns, which
+// overflowed the stack if the ingress owned the target itself.
+func (r *request) mayRunOn(name ident.Target) bool {
 	if r.declined || !slices.Contains(r.Avoid, name) {
 		return true
 	}
@@ -254,14 +256,14 @@
 	return false
 }
 
-// expire refuses the waiting requests whose deadline has passed.
-func (c *Core) expire(now time.Time, s *service, w *workspace) {
+// expireWaiting refuses the waiting requests whose deadline has passed.
+func (c *Core) expireWaiting(now time.Time, s *service, w *workspace) {
 	expired := w.queue.Expire(now)
 	if len(expired) == 0 {
 		return
 	}
 	c.refuseExpired(now, expired)
-	c.changed(now, s, w)
+	c.queueChanged(now, s, w)
 }
 
 func (c *Core) refuseExpired(now time.Time, expired []queue.Item[*request]) {
@@ -272,13 +274,13 @@
 	}
 }
 
-func (c *Core) release(now time.Time, owner ident.Daemon, rel Release) {
+func (c *Core) releaseGrant(now time.Time, owner ident.Daemon, rel Release) {
 	if owner == c.cfg.Self {
 		c.released(now, rel)
 		return
 	}
 	if c.peers[owner] != nil {
-		m := c.message(owner)
+		m := c.messageTo(owner)
 		m.Releases = append(m.Releases, rel)
 	}
 }
--- a/internal/scheduler/limits.go
+++ b/internal/scheduler/limits.go
@@ -9,9 +9,9 @@
 	"github.com/savorystall/savorystall/internal/limit"
 )
 
-// newAdmission returns the admission of a service that is new here.
+// newAdmission returns the admission controller for a new service.
 func (c *Core) newAdmission() *admission.Controller {
-	a := admission.New(admission.Config{Limit: limit.Config{Self: c.cfg.Self, Exchange: c.cfg.Exchange}})
+	a := admission.New(admission.Config{Limit: limit.Config{Self: c.cfg.Self, Exchange: c.cfg.ExchangeInterval}})
 	a.SetDaemons(time.Time{}, c.daemons())
 	return a
 }
@@ -26,7 +26,7 @@
 	return ids
 }
 
-// divideLimits divides the workspaces' own limits among the daemons known now.
+// divideLimits divides the limits of the workspaces among the daemons known now.
 func (c *Core) divideLimits(now time.Time) {
 	ids := c.daemons()
 	for _, s := range c.services {
@@ -34,34 +34,34 @@
 	}
 }
 
-// forgetLimits drops what an incarnation that is gone told.
+// forgetLimits drops the usage that a departed incarnation reported.
 func (c *Core) forgetLimits(now time.Time, id ident.Daemon) {
 	for _, s := range c.services {
 		s.admission.Forget(now, id)
 	}
 }
 
-// sendLimits tells all peers what is asked of the limits of the workspaces that
-// have any, where that has changed or a peer may have lost it.
+// sendLimits reports the usage of workspaces with limits to all peers, if it has
+// changed or if a peer may have lost it.
 func (c *Core) sendLimits(now time.Time, s *service) {
-	var changed, all []Limit
-	for _, w := range s.order {
-		news, differs := s.admission.LimitReport(now, w.Name, w.waiting()+w.running)
-		row := Limit{Service: s.name, Workspace: w.Name, News: news}
+	var changed, all []LimitUsage
+	for _, w := range s.sortedWorkspaces {
+		usage, differs := s.admission.LimitReport(now, w.Name, w.waiting()+w.running)
+		update := LimitUsage{Service: s.name, Workspace: w.Name, News: usage}
 		if differs {
-			changed = append(changed, row)
+			changed = append(changed, update)
 		}
 		if s.admission.HasReported(w.Name) {
-			all = append(all, row)
+			all = append(all, update)
 		}
 	}
 	for id, p := range c.peers {
 		list := changed
-		if p.full {
+		if p.needsFullUpdate {
 			list = all
 		}
 		if len(list) > 0 {
-			m := c.message(id)
+			m := c.messageTo(id)
 			m.Limits = append(m.Limits, list...)
 		}
 	}
--- a/internal/scheduler/limits_test.go
+++ b/internal/scheduler/limits_test.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	limitTick = 20 * time.Millisecond
-	// limitRuns is how long a request of the tests of limits runs on average, each
-	// up to a third more or less.
-	limitRuns = 500 * time.Millisecond
-	// limitStart is how much later each daemon starts than the one before.
-	limitStart = 340 * time.Millisecond
+	limitTestTick = 20 * time.Millisecond
+	// meanRunTime is the mean run time of requests in the limit tests. Individual
+	// times vary by up to a third.
+	meanRunTime = 500 * time.Millisecond
+	// startStagger is the delay between the starts of successive daemons.
+	startStagger = 340 * time.Millisecond
 )
 
 // limitedFleet is a few cores whose workspace "a" has limits, with callers at each.
@@ -30,15 +30,15 @@
 	now    time.Time
 	rng    *rand.Rand
 	nodes  []*limitedNode
-	next   int
-	// cut keeps the last node from the others; old lets it be of a release that
-	// knows no news of limits; lost loses all messages.
-	cut, old, lost bool
-	// accepted counts what was accepted, refused what was answered with 429, by
-	// its code; most is the most that was in flight.
-	accepted, most int
-	refused        map[int]int
-	longest        time.Duration
+	lastID int
+	// partitioned separates the last node from the others. oldRelease makes it a node
+	// of a release that does not exchange limit usage. dropMessages loses all messages.
+	partitioned, oldRelease, dropMessages bool
+	// accepted counts the accepted requests, and refused those refused with status 429,
+	// by result code. maxInFlight is the highest number of requests in flight.
+	accepted, maxInFlight int
+	refused               map[int]int
+	maxRetryAfter         time.Duration
 }
 
 type limitedNode struct {
@@ -48,8 +48,9 @@
 	inbox       []limitedMessage
 	running     map[ident.Request]time.Time
 	inFlight    int
-	// demand is in requests a second, due what is left of one.
-	demand, due float64
+	// requestRate is in requests per second; pendingArrivals accumulates fractions of
+	// a request.
+	requestRate, pendingArrivals float64
 }
 
 type limitedMessage struct {
@@ -63,9 +64,9 @@
 		f.nodes = append(f.nodes, &limitedNode{id: ident.Daemon(fmt.Sprintf("d%d", i+1))})
 	}
 	for _, n := range f.nodes {
-		f.now = f.now.Add(limitStart)
+		f.now = f.now.Add(startStagger)
 		f.boot(n)
-		n.core.Tick(f.now) // its exchanges are counted from here
+		n.core.Tick(f.now) // its exchange interval starts here
 	}
 	f.peers()
 	return f
@@ -82,7 +83,7 @@
 	}})
 }
 
-// peers tells every node whom it reaches.
+// peers updates the list of reachable peers at every node.
 func (f *limitedFleet) peers() {
 	for _, n := range f.nodes {
 		var peers []scheduler.Peer
@@ -97,36 +98,37 @@
 
 func (f *limitedFleet) linked(a, b *limitedNode) bool {
 	last := f.nodes[len(f.nodes)-1]
-	return !f.cut || (a == last) == (b == last)
+	return !f.partitioned || (a == last) == (b == last)
 }
 
-// demand sets how many requests a second come to each node.
-func (f *limitedFleet) demand(each ...float64) {
+// setRequestRates sets how many requests per second arrive at each node.
+func (f *limitedFleet) setRequestRates(each ...float64) {
 	for i, d := range each {
-		f.nodes[i].demand = d
+		f.nodes[i].requestRate = d
 	}
 }
 
-// run lets time pass and returns how many requests were accepted.
+// run advances the time and returns how many requests were accepted.
 func (f *limitedFleet) run(d time.Duration) int {
 	before := f.accepted
-	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(limitTick) {
+	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(limitTestTick) {
 		total := 0
 		for _, n := range f.nodes {
 			f.step(n)
 			total += n.inFlight
 		}
-		f.most = max(f.most, total)
+		f.maxInFlight = max(f.maxInFlight, total)
 	}
 	return f.accepted - before
 }
 
-// expect lets time pass and tells whether so many requests were accepted.
-func (f *limitedFleet) expect(t *testing.T, what string, d time.Duration, least, most int) bool {
+// expect advances the time and reports whether the number of accepted requests is
+// within the bounds.
+func (f *limitedFleet) expect(t *testing.T, phase string, d time.Duration, minAccepted, maxAccepted int) bool {
 	t.Helper()
 	accepted := f.run(d)
-	t.Logf("%s: %d, from %d to %d; at most %d in flight", what, accepted, least, most, f.most)
-	return accepted >= least && accepted <= most
+	t.Logf("%s: %d, from %d to %d; at most %d in flight", phase, accepted, minAccepted, maxAccepted, f.maxInFlight)
+	return accepted >= minAccepted && accepted <= maxAccepted
 }
 
 func (f *limitedFleet) step(n *limitedNode) {
@@ -138,33 +140,33 @@
 		if !f.now.Before(n.running[id]) {
 			delete(n.running, id)
 			n.inFlight--
-			n.core.Finish(f.now, id, scheduler.Result{Served: 100, Elapsed: limitRuns})
+			n.core.Finish(f.now, id, scheduler.Result{Served: 100, Elapsed: meanRunTime})
 		}
 	}
-	for n.due += n.demand * limitTick.Seconds(); n.due >= 1; n.due-- {
+	for n.pendingArrivals += n.requestRate * limitTestTick.Seconds(); n.pendingArrivals >= 1; n.pendingArrivals-- {
 		f.submit(n)
 	}
 	n.core.Tick(f.now)
-	f.carryOut(n)
+	f.applyEffects(n)
 }
 
 func (f *limitedFleet) submit(n *limitedNode) {
-	f.next++
-	failure := n.core.Submit(f.now, request(fmt.Sprintf("r%06d", f.next), "a"))
+	f.lastID++
+	failure := n.core.Submit(f.now, request(fmt.Sprintf("r%06d", f.lastID), "a"))
 	if failure == nil {
 		f.accepted++
 		n.inFlight++
 		return
 	}
 	f.refused[failure.Code.Number]++
-	f.longest = max(f.longest, failure.RetryAfter)
+	f.maxRetryAfter = max(f.maxRetryAfter, failure.RetryAfter)
 }
 
-func (f *limitedFleet) carryOut(n *limitedNode) {
-	for _, e := range n.core.Take() {
+func (f *limitedFleet) applyEffects(n *limitedNode) {
+	for _, e := range n.core.TakeEffects() {
 		switch e := e.(type) {
 		case scheduler.Dispatch:
-			n.running[e.Request] = f.now.Add(limitRuns*2/3 + time.Duration(f.rng.Int64N(int64(limitRuns*2/3))))
+			n.running[e.Request] = f.now.Add(meanRunTime*2/3 + time.Duration(f.rng.Int64N(int64(meanRunTime*2/3))))
 		case scheduler.Send:
 			i := slices.IndexFunc(f.nodes, func(p *limitedNode) bool { return p.id == e.To })
 			f.send(n, f.nodes[i], e.Message)
@@ -173,107 +175,108 @@
 }
 
 func (f *limitedFleet) send(from, to *limitedNode, m scheduler.Message) {
-	if last := f.nodes[len(f.nodes)-1]; f.old && (from == last || to == last) {
+	if last := f.nodes[len(f.nodes)-1]; f.oldRelease && (from == last || to == last) {
 		m.Limits = nil
 	}
-	if f.linked(from, to) && !f.lost {
+	if f.linked(from, to) && !f.dropMessages {
 		to.inbox = append(to.inbox, limitedMessage{from.id, m})
 	}
 }
 
-// A team may send 20 requests a second to a service and sends 60, most of them
-// through one of three daemons. With a limit that each daemon held by itself, 44
-// were let in.
+// A workspace with a limit of 20 requests per second is sent 60, most of them
+// through one of three daemons. With a limit enforced by each daemon separately,
+// 44 per second were accepted.
 func TestRateLimitHoldsForTheFleet(t *testing.T) {
 	is := is.New(t)
-	f := newLimitedFleet(scheduler.Workspace{Name: "a", Weight: 1, Queue: 1000, Rate: 20})
-	f.demand(36, 15, 9)
+	f := newLimitedFleet(scheduler.Workspace{Name: "a", Weight: 1, QueueLimit: 1000, RateLimit: 20})
+	f.setRequestRates(36, 15, 9)
 	f.run(10 * time.Second)
 	is.True(f.expect(t, "uneven", 30*time.Second, 580, 660))
 	is.Equal(len(f.refused), 1)
 	is.True(f.refused[resultcode.RateLimited.Number] > 0)
-	is.True(f.longest <= 3*time.Second)
+	is.True(f.maxRetryAfter <= 3*time.Second)
 
-	f.demand(0, 0, 60) // all callers move to another daemon
+	f.setRequestRates(0, 0, 60) // all callers move to another daemon
 	is.True(f.expect(t, "moved", 10*time.Second, 160, 240))
 
-	f.nodes[0].demand = 30
+	f.nodes[0].requestRate = 30
 	f.run(5 * time.Second)
 	f.boot(f.nodes[2]) // restarts without state
 	f.peers()
 	is.True(f.expect(t, "restart", 10*time.Second, 180, 280))
 }
 
-// The zone of one of three daemons is cut off. Neither side knows what the other
-// accepts, so each goes on with the limit; after the cut the limit holds again,
-// and nobody is held down for what was accepted meanwhile.
-func TestRateLimitInACut(t *testing.T) {
+// One of three daemons is partitioned from the others. Neither side knows what the
+// other accepts, so each continues with the whole limit. After the partition the
+// limit must hold again, without a penalty for what was accepted meanwhile.
+func TestRateLimitDuringPartition(t *testing.T) {
 	is := is.New(t)
-	f := newLimitedFleet(scheduler.Workspace{Name: "a", Weight: 1, Queue: 1000, Rate: 20})
-	f.demand(20, 20, 20)
+	f := newLimitedFleet(scheduler.Workspace{Name: "a", Weight: 1, QueueLimit: 1000, RateLimit: 20})
+	f.setRequestRates(20, 20, 20)
 	f.run(10 * time.Second)
-	f.cut = true
+	f.partitioned = true
 	f.peers()
 	is.True(f.expect(t, "cut", 30*time.Second, 1100, 1320))
-	f.cut = false
+	f.partitioned = false
 	f.peers()
 	is.True(f.expect(t, "rejoined", 10*time.Second, 190, 280))
 }
 
-// A team may have 12 requests in flight and sends what would be 30. With a limit
-// that each daemon held by itself, 28 were in flight.
+// A workspace with a limit of 12 requests in flight is sent enough for 30. With a
+// limit enforced by each daemon separately, 28 were in flight.
 func TestConcurrencyLimitHoldsForTheFleet(t *testing.T) {
 	is := is.New(t)
-	f := newLimitedFleet(scheduler.Workspace{Name: "a", Weight: 1, Queue: 1000, Concurrent: 12})
-	f.demand(36, 15, 9)
+	f := newLimitedFleet(scheduler.Workspace{Name: "a", Weight: 1, QueueLimit: 1000, ConcurrencyLimit: 12})
+	f.setRequestRates(36, 15, 9)
 	f.run(5 * time.Second)
-	f.most = 0
+	f.maxInFlight = 0
 	is.True(f.expect(t, "uneven", 20*time.Second, 430, 520))
-	is.True(f.most <= 18)
+	is.True(f.maxInFlight <= 18)
 	is.Equal(len(f.refused), 1)
 	is.True(f.refused[resultcode.ConcurrencyFull.Number] > 0)
 
-	f.most = 0
-	f.demand(0, 0, 60)
+	f.maxInFlight = 0
+	f.setRequestRates(0, 0, 60)
 	is.True(f.expect(t, "moved", 10*time.Second, 190, 260))
-	is.True(f.most <= 18)
+	is.True(f.maxInFlight <= 18)
 }
 
-// One of three daemons is of the release before. It holds the whole limit by
-// itself, and the others, which hear nothing of it, share the limit without it.
-func TestRateLimitBesideAnOlderDaemon(t *testing.T) {
+// One of three daemons runs the previous release, which does not exchange limit
+// usage. It enforces the whole limit by itself, and the others share the limit
+// without it.
+func TestRateLimitWithOlderDaemon(t *testing.T) {
 	is := is.New(t)
-	f := newLimitedFleet(scheduler.Workspace{Name: "a", Weight: 1, Queue: 1000, Rate: 20})
-	f.old = true
-	f.demand(30, 30, 0)
+	f := newLimitedFleet(scheduler.Workspace{Name: "a", Weight: 1, QueueLimit: 1000, RateLimit: 20})
+	f.oldRelease = true
+	f.setRequestRates(30, 30, 0)
 	f.run(10 * time.Second)
 	is.True(f.expect(t, "at the newer ones", 20*time.Second, 380, 440))
-	f.demand(30, 30, 60)
+	f.setRequestRates(30, 30, 60)
 	f.run(10 * time.Second)
 	is.True(f.expect(t, "at all", 20*time.Second, 760, 880))
 }
 
-// All callers of a team go, and the message that tells so is lost with the link.
-// Who comes to another daemon then would be refused for ever, because the places
-// still look taken.
-func TestLostNewsOfALimitIsRepaired(t *testing.T) {
+// All callers of a workspace leave, and the message that reports it is lost with the
+// connection. Callers at another daemon would then be refused forever, because the
+// limit still appears to be used up.
+func TestLostLimitUpdateIsRepaired(t *testing.T) {
 	is := is.New(t)
-	f := newLimitedFleet(scheduler.Workspace{Name: "a", Weight: 1, Queue: 1000, Concurrent: 12})
-	f.demand(60, 0, 0)
+	f := newLimitedFleet(scheduler.Workspace{Name: "a", Weight: 1, QueueLimit: 1000, ConcurrencyLimit: 12})
+	f.setRequestRates(60, 0, 0)
 	f.run(5 * time.Second)
-	f.lost = true
-	f.demand(0, 0, 0)
+	f.dropMessages = true
+	f.setRequestRates(0, 0, 0)
 	f.run(2 * time.Second)
-	f.lost = false
+	f.dropMessages = false
 	for _, n := range f.nodes {
 		for _, p := range f.nodes {
 			if p != n {
-				n.core.Reset(p.id)
+				n.core.ResyncPeer(p.id)
 			}
 		}
 	}
 	f.run(2 * time.Second)
-	f.demand(0, 12, 0) // six in flight
+	f.setRequestRates(0, 12, 0) // six in flight
 	f.run(2 * time.Second)
 	clear(f.refused)
 	f.run(5 * time.Second)
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -2,16 +2,16 @@
 
 import "github.com/savorystall/savorystall/internal/ident"
 
-// Load sums up one service at this daemon.
+// Load summarizes one service at this daemon.
 type Load struct {
 	Service ident.Service
 	// Waiting and Running count the requests of this daemon's callers.
 	Waiting, Running int
-	// Slots of the owned targets, and those in use.
+	// Slots counts the slots of the owned targets, and InUse those in use.
 	Slots, InUse int
-	// Gap is the largest difference in virtual time between two backlogged
-	// workspaces, as this daemon sees the fleet, in units over weight.
-	Gap float64
+	// FairnessGap is the largest difference in virtual time between two backlogged
+	// workspaces, as this daemon sees the fleet, in units divided by weight.
+	FairnessGap float64
 }
 
 // Loads returns the load of each service.
@@ -27,10 +27,10 @@
 		load := Load{Service: s.name, Running: running[s.name]}
 		var low, high float64
 		first := true
-		for _, w := range s.order {
+		for _, w := range s.sortedWorkspaces {
 			waiting := w.waiting()
 			load.Waiting += waiting
-			if waiting == 0 && w.remoteDemand() == 0 {
+			if waiting == 0 && w.remoteWaiting() == 0 {
 				continue
 			}
 			lead := s.ledger.Lead(w.Name)
@@ -39,7 +39,7 @@
 			}
 			low, high = min(low, lead), max(high, lead)
 		}
-		load.Gap = high - low
+		load.FairnessGap = high - low
 		for _, t := range s.owned {
 			load.Slots += t.limit()
 			load.InUse += len(t.grants)
@@ -49,8 +49,8 @@
 	return loads
 }
 
-// Owned returns the targets that this daemon grants.
-func (c *Core) Owned() map[ident.Service]map[ident.Target]bool {
+// OwnedTargets returns the targets whose slots this daemon grants.
+func (c *Core) OwnedTargets() map[ident.Service]map[ident.Target]bool {
 	owned := make(map[ident.Service]map[ident.Target]bool, len(c.services))
 	for _, s := range c.services {
 		owned[s.name] = make(map[ident.Target]bool, len(s.owned))
--- a/internal/scheduler/owner.go
+++ b/internal/scheduler/owner.go
@@ -80,9 +80,9 @@
 func (c *Core) pick(s *service) *workspace {
 	var candidates []fairshare.Candidate
 	for _, w := range s.active {
-		wants := w.here && (w.waiting() > 0 || w.remoteDemand() > 0)
-		if wants && w.fits(s.places.free) {
-			candidates = append(candidates, fairshare.Candidate{Workspace: w.Name, Running: w.granted, Unreported: w.fresh})
+		wants := w.ownsAllowedTarget && (w.waiting() > 0 || w.remoteWaiting() > 0)
+		if wants && w.fits(s.placement.free) {
+			candidates = append(candidates, fairshare.Candidate{Workspace: w.Name, Running: w.activeGrants, Unreported: w.recentGrants})
 		}
 		s.ledger.SetBacklogged(w.Name, wants)
 	}
@@ -103,14 +103,14 @@
 // does not help one that waits elsewhere. A draw needs no memory of who was
 // served, and owners that draw do not all choose the same ingress.
 func (c *Core) pickIngress(w *workspace) ident.Daemon {
-	w.turn = (w.turn + 1) % (urgentTurns + 1)
+	w.pickCount = (w.pickCount + 1) % (urgentTurns + 1)
 	count := func(d demand) int { return d.waiting }
-	if w.turn != 0 && w.anyUrgent() {
+	if w.pickCount != 0 && w.anyUrgent() {
 		count = func(d demand) int { return d.urgent }
 	}
-	ids := make([]ident.Daemon, 0, len(w.demand))
-	total := count(w.own())
-	for id, d := range w.demand {
+	ids := make([]ident.Daemon, 0, len(w.ingressDemand))
+	total := count(w.ownDemand())
+	for id, d := range w.ingressDemand {
 		if n := count(d); n > 0 {
 			ids = append(ids, id)
 			total += n
@@ -119,36 +119,36 @@
 	slices.Sort(ids)
 	left := c.rng.IntN(total)
 	for _, id := range ids {
-		if left -= count(w.demand[id]); left < 0 {
+		if left -= count(w.ingressDemand[id]); left < 0 {
 			return id
 		}
 	}
 	return c.cfg.Self
 }
 
-func (w *workspace) anyUrgent() bool { return w.own().urgent > 0 || w.remote.urgent > 0 }
+func (w *workspace) anyUrgent() bool { return w.ownDemand().urgent > 0 || w.remoteTotal.urgent > 0 }
 
 func (c *Core) grant(now time.Time, t *target, w *workspace, ingress ident.Daemon) {
 	c.lastGrant++
-	g := &grantOut{
-		sent:    now,
+	g := &issuedGrant{
+		sentAt:  now,
 		Grant:   Grant{ID: c.lastGrant, Service: t.service.name, Workspace: w.Name, Target: t.Name},
 		ingress: ingress,
 		target:  t,
 	}
 	c.grants[g.ID] = g
 	t.grants[g.ID] = g
-	g.Spare = t.service.spare()
-	w.give(ingress, g.ID)
-	w.fresh++
-	c.fresh = append(c.fresh, freshGrant{workspace: w, until: now.Add(c.cfg.Exchange)})
+	g.SpareCapacity = t.service.hasSpareCapacity()
+	w.addGrant(ingress, g.ID)
+	w.recentGrants++
+	c.recentGrants = append(c.recentGrants, freshGrant{workspace: w, until: now.Add(c.cfg.ExchangeInterval)})
 	if ingress == c.cfg.Self {
-		c.accept(now, c.cfg.Self, g.Grant)
+		c.acceptGrant(now, c.cfg.Self, g.Grant)
 		return
 	}
-	w.setDemand(ingress, w.demand[ingress].less(1))
-	g.Cached = c.summary(now, t, ingress)
-	m := c.message(ingress)
+	w.setIngressDemand(ingress, w.ingressDemand[ingress].minus(1))
+	g.CachedPrefixes = c.cacheSummary(now, t, ingress)
+	m := c.messageTo(ingress)
 	m.Grants = append(m.Grants, g.Grant)
 }
 
@@ -160,13 +160,13 @@
 
 // ageGrants counts off the grants that are older than an exchange.
 func (c *Core) ageGrants(now time.Time) {
-	for len(c.fresh) > 0 && !now.Before(c.fresh[0].until) {
-		c.fresh[0].workspace.fresh--
-		c.fresh = c.fresh[1:]
+	for len(c.recentGrants) > 0 && !now.Before(c.recentGrants[0].until) {
+		c.recentGrants[0].workspace.recentGrants--
+		c.recentGrants = c.recentGrants[1:]
 	}
 }
 
-func (c *Core) dropGrant(id uint64) *grantOut {
+func (c *Core) dropGrant(id uint64) *issuedGrant {
 	g := c.grants[id]
 	if g == nil {
 		return nil
@@ -174,7 +174,7 @@
 	delete(c.grants, id)
 	delete(g.target.grants, id)
 	if w := g.target.service.workspaces[g.Workspace]; w != nil {
-		w.take(g.ingress, id)
+		w.removeGrant(g.ingress, id)
 	}
 	return g
 }
@@ -188,10 +188,10 @@
 	if w := g.target.service.workspaces[g.Workspace]; rel.Unused && w != nil {
 		// Nothing waits there any more. Going by the old count, every slot
 		// would travel there and back as often as that says.
-		w.setDemand(g.ingress, demand{})
+		w.setIngressDemand(g.ingress, demand{})
 	}
 	if !rel.Unused {
-		g.target.service.places.observe(now, g.Target, rel.Result, len(g.target.grants)+1)
+		g.target.service.placement.observe(now, g.Target, rel.Result, len(g.target.grants)+1)
 	}
 	if rel.Result.Preempted {
 		c.freed(now, g)
@@ -202,15 +202,15 @@
 // TargetHealth records what was learnt about a target and tells the peers. The
 // answer of a suspect target counts only when its probe is due.
 func (c *Core) TargetHealth(now time.Time, service ident.Service, name ident.Target, health Health) {
-	if s := c.services[service]; s != nil && health == HealthAnswered && !s.places.ProbeDue(now, name) {
+	if s := c.services[service]; s != nil && health == HealthAnswered && !s.placement.ProbeDue(now, name) {
 		return
 	}
 	if !c.learn(now, service, name, health) {
 		return
 	}
 	for id := range c.peers {
-		m := c.message(id)
-		m.News = append(m.News, TargetNews{Service: service, Target: name, Health: health})
+		m := c.messageTo(id)
+		m.HealthUpdates = append(m.HealthUpdates, TargetHealthUpdate{Service: service, Target: name, Health: health})
 	}
 }
 
@@ -219,7 +219,7 @@
 	if s == nil || s.targets[name] == nil {
 		return false
 	}
-	if !s.places.learn(now, name, health) {
+	if !s.placement.learn(now, name, health) {
 		return false
 	}
 	c.assign(now, s)
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -21,7 +21,7 @@
 			p = nil
 		}
 		if p == nil {
-			p = &peer{full: true, lists: listsAfterLoss}
+			p = &peer{needsFullUpdate: true, heldListsDue: heldListsAfterLoss}
 		}
 		p.Peer = spec
 		kept[spec.ID] = p
@@ -29,11 +29,11 @@
 	for id, p := range c.peers {
 		if kept[id] == nil {
 			c.forgetPeer(now, p)
-			c.gone[id] = now
+			c.departed[id] = now
 		}
 	}
 	for id := range kept {
-		delete(c.gone, id)
+		delete(c.departed, id)
 	}
 	c.peers = kept
 	c.hear(now, added)
@@ -59,13 +59,13 @@
 			// comes back would be missing in the sums that are told to others.
 			s.ledger.EstimateLost(p.ID, share)
 		}
-		for _, w := range s.order {
-			w.setDemand(p.ID, demand{})
-			w.setShown(p.ID, demand{})
+		for _, w := range s.sortedWorkspaces {
+			w.setIngressDemand(p.ID, demand{})
+			w.setSentDemand(p.ID, demand{})
 		}
 	}
 	delete(c.outbox, p.ID)
-	c.forgetTold(p.ID)
+	c.forgetSummaries(p.ID)
 }
 
 // hearFirst is how long a daemon that has just met most of its peers waits before
@@ -79,17 +79,17 @@
 // hear keeps the slots back for a moment if most peers are new.
 func (c *Core) hear(now time.Time, added int) {
 	if 2*added > len(c.peers) {
-		c.hearUntil = now.Add(hearFirst)
+		c.withholdUntil = now.Add(hearFirst)
 	}
 }
 
 // heardAll tells whether the own slots may be given away.
 func (c *Core) heardAll(now time.Time) bool {
-	if !now.Before(c.hearUntil) {
+	if !now.Before(c.withholdUntil) {
 		return true
 	}
 	for _, p := range c.peers {
-		if p.heard.IsZero() {
+		if p.lastMessage.IsZero() {
 			return false
 		}
 	}
@@ -103,23 +103,23 @@
 // counted always, and the callers of a daemon that had died a moment before its
 // exchange got a second of service more than all others.
 func (c *Core) unreported(now time.Time, p *peer) float64 {
-	if p.interval <= 0 {
+	if p.totalsInterval <= 0 {
 		return 0
 	}
-	alive := p.heard.Sub(p.parts)
-	left := max(0, min(now.Sub(p.heard), c.cfg.Exchange-alive))
-	return min(1, (alive+left/2).Seconds()/p.interval.Seconds())
+	alive := p.lastMessage.Sub(p.lastTotals)
+	left := max(0, min(now.Sub(p.lastMessage), c.cfg.ExchangeInterval-alive))
+	return min(1, (alive+left/2).Seconds()/p.totalsInterval.Seconds())
 }
 
 // hears notes when a message came.
 func (p *peer) hears(now time.Time, m Message) {
-	p.heard = now
-	if len(m.Parts) == 0 {
+	p.lastMessage = now
+	if len(m.ServedTotals) == 0 {
 		return
 	}
-	p.interval = 0
-	if !p.parts.IsZero() {
-		p.interval = now.Sub(p.parts)
+	p.totalsInterval = 0
+	if !p.lastTotals.IsZero() {
+		p.totalsInterval = now.Sub(p.lastTotals)
 	}
-	p.parts = now
+	p.lastTotals = now
 }
--- a/internal/scheduler/places.go
+++ b/internal/scheduler/places.go
@@ -47,7 +47,7 @@
 		return // nothing was dispatched, or it says nothing of the target
 	}
 	sample := placement.Sample{
-		First: r.First, Elapsed: r.Elapsed, Failed: r.Failed, NotRun: r.NotRun, InFlight: inFlight,
+		First: r.FirstByte, Elapsed: r.Elapsed, Failed: r.Failed, NotRun: r.NotRun, InFlight: inFlight,
 	}
 	if !p.plain {
 		sample.Tokens = int(r.Served)
@@ -73,29 +73,29 @@
 }
 
 // usable tells whether the target may get new work, limit how much at once.
-func (t *target) usable() bool { return t.service.places.Usable(t.Name) }
+func (t *target) usable() bool { return t.service.placement.Usable(t.Name) }
 
-func (t *target) limit() int { return t.service.places.Limit(t.Name) }
+func (t *target) limit() int { return t.service.placement.Limit(t.Name) }
 
 // findFree lists the owned targets with a free slot.
 func (s *service) findFree() []placement.Free {
-	s.places.free = s.places.free[:0]
+	s.placement.free = s.placement.free[:0]
 	for _, t := range s.owned {
 		if n := len(t.grants); n < t.limit() {
-			s.places.free = append(s.places.free, placement.Free{Target: t.Name, InFlight: n})
+			s.placement.free = append(s.placement.free, placement.Free{Target: t.Name, InFlight: n})
 		}
 	}
-	return s.places.free
+	return s.placement.free
 }
 
 // freeTarget returns the one of the free targets that takes the next request of
 // the workspace, or nil.
 func (c *Core) freeTarget(s *service, w *workspace) *target {
-	free := s.places.free
-	if w.targets != nil {
-		free = slices.DeleteFunc(free, func(f placement.Free) bool { return !w.targets[f.Target] })
+	free := s.placement.free
+	if w.allowedTargets != nil {
+		free = slices.DeleteFunc(free, func(f placement.Free) bool { return !w.allowedTargets[f.Target] })
 	}
-	name, ok := s.places.Choose(free)
+	name, ok := s.placement.Choose(free)
 	if !ok {
 		return nil
 	}
--- a/internal/scheduler/places_test.go
+++ b/internal/scheduler/places_test.go
@@ -18,7 +18,7 @@
 	c := scheduler.New(scheduler.Config{Self: "d1", Incarnation: 1, Zone: "z1"}, rand.New(rand.NewPCG(1, 2)))
 	c.Configure(start, []scheduler.Service{{
 		Name:       "pool",
-		Workspaces: []scheduler.Workspace{{Name: "a", Weight: 1, Queue: 100}},
+		Workspaces: []scheduler.Workspace{{Name: "a", Weight: 1, QueueLimit: 100}},
 		Targets:    []scheduler.Target{{Name: "t1", Zone: "z1", Slots: 10}, {Name: "t2", Zone: "z1", Slots: 10}},
 		MeanCost:   100,
 	}})
@@ -31,7 +31,7 @@
 // placed returns the dispatched requests by target.
 func placed(c *scheduler.Core) map[string][]scheduler.Dispatch {
 	by := map[string][]scheduler.Dispatch{}
-	for _, e := range c.Take() {
+	for _, e := range c.TakeEffects() {
 		if d, ok := e.(scheduler.Dispatch); ok {
 			by[string(d.Target)] = append(by[string(d.Target)], d)
 		}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -32,12 +32,12 @@
 // preempt asks ingresses for slots back, where all are taken and a question
 // waits of a workspace below its share.
 func (c *Core) preempt(now time.Time, s *service) {
-	if !s.preemption || !slices.ContainsFunc(s.active, (*workspace).anyUrgent) {
+	if !s.preemptionEnabled || !slices.ContainsFunc(s.active, (*workspace).anyUrgent) {
 		return
 	}
-	s.freeing = slices.DeleteFunc(s.freeing, func(f freeing) bool { return now.Sub(f.since) >= preemptAnswer })
+	s.pendingPreemptions = slices.DeleteFunc(s.pendingPreemptions, func(f freeing) bool { return now.Sub(f.since) >= preemptAnswer })
 	running, slots := s.occupied()
-	for slots > 0 && s.allowance.Available(now, slots) {
+	for slots > 0 && s.preemptionBudget.Available(now, slots) {
 		involved, list := s.standings(running)
 		to, from, ok := preemption.Choose(slots, list)
 		if !ok {
@@ -47,15 +47,15 @@
 		if g == nil {
 			return
 		}
-		s.allowance.Spend()
-		g.asked = true
-		s.freeing = append(s.freeing, freeing{to: involved[to], from: involved[from], ingress: g.ingress, since: now})
+		s.preemptionBudget.Spend()
+		g.preemptRequested = true
+		s.pendingPreemptions = append(s.pendingPreemptions, freeing{to: involved[to], from: involved[from], ingress: g.ingress, since: now})
 		if g.ingress == c.cfg.Self {
 			c.stop(now, c.cfg.Self, g.ID)
 			continue
 		}
-		m := c.message(g.ingress)
-		m.Preempts = append(m.Preempts, g.ID)
+		m := c.messageTo(g.ingress)
+		m.PreemptGrants = append(m.PreemptGrants, g.ID)
 	}
 }
 
@@ -76,18 +76,18 @@
 // standings lists the workspaces that have slots here or wait.
 func (s *service) standings(running map[ident.Workspace]int) (involved []*workspace, list []preemption.WorkspaceUsage) {
 	lead := s.ledger.SlotLeadFunc()
-	for _, w := range s.order {
-		if running[w.Name] == 0 && w.waiting() == 0 && w.remoteDemand() == 0 {
+	for _, w := range s.sortedWorkspaces {
+		if running[w.Name] == 0 && w.waiting() == 0 && w.remoteWaiting() == 0 {
 			continue
 		}
 		one := preemption.WorkspaceUsage{
 			Weight: w.Weight, Running: running[w.Name],
-			WaitingInteractive: w.own().urgent + w.remote.urgent, Lead: lead(w.Name),
+			WaitingInteractive: w.ownDemand().urgent + w.remoteTotal.urgent, Lead: lead(w.Name),
 		}
-		if !w.here {
+		if !w.ownsAllowedTarget {
 			one.WaitingInteractive = 0 // No slot of this owner is for it.
 		}
-		for _, f := range s.freeing {
+		for _, f := range s.pendingPreemptions {
 			if f.to == w {
 				one.Running++
 				one.WaitingInteractive--
@@ -104,14 +104,14 @@
 // youngest returns the workspace's latest grant that was not asked back yet, on a
 // target that the other may use, or nil. Each is asked back once: an ingress that has nothing to stop for it will
 // hardly have later.
-func (s *service) youngest(w, to *workspace) *grantOut {
-	var best *grantOut
+func (s *service) youngest(w, to *workspace) *issuedGrant {
+	var best *issuedGrant
 	for _, t := range s.owned {
 		if !to.mayUse(t.Name) {
 			continue
 		}
 		for _, g := range t.grants {
-			if g.Workspace == w.Name && !g.asked && (best == nil || g.ID > best.ID) {
+			if g.Workspace == w.Name && !g.preemptRequested && (best == nil || g.ID > best.ID) {
 				best = g
 			}
 		}
@@ -121,20 +121,20 @@
 
 // freed gives a slot that was asked back to the workspace that it was taken for,
 // where a question of it still waits.
-func (c *Core) freed(now time.Time, g *grantOut) {
+func (c *Core) freed(now time.Time, g *issuedGrant) {
 	s := g.target.service
-	i := slices.IndexFunc(s.freeing, func(f freeing) bool { return f.ingress == g.ingress && f.from.Name == g.Workspace })
+	i := slices.IndexFunc(s.pendingPreemptions, func(f freeing) bool { return f.ingress == g.ingress && f.from.Name == g.Workspace })
 	if i < 0 {
 		return
 	}
-	w := s.freeing[i].to
-	s.freeing = slices.Delete(s.freeing, i, i+1)
+	w := s.pendingPreemptions[i].to
+	s.pendingPreemptions = slices.Delete(s.pendingPreemptions, i, i+1)
 	if s.workspaces[w.Name] != w || !w.anyUrgent() {
 		return
 	}
 	s.findFree()
 	if t := c.freeTarget(s, w); t != nil {
-		w.turn = 0 // the next draw is among ingresses with questions
+		w.pickCount = 0 // the next draw is among ingresses with questions
 		c.grant(now, t, w, c.pickIngress(w))
 	}
 }
@@ -153,10 +153,10 @@
 			asked = r
 		}
 	}
-	if asked == nil || asked.asked {
+	if asked == nil || asked.preemptRequested {
 		return
 	}
-	asked.asked = true
+	asked.preemptRequested = true
 	if r := c.leastLoss(now, asked); r != nil {
 		r.stopping = true
 		c.emit(Preempt{Request: r.ID})
@@ -185,11 +185,11 @@
 
 func (r *request) stream(s *service) preemption.Stream {
 	return preemption.Stream{
-		Allowed: r.Preemptible && s.preemption && r.Class != Interactive,
-		Served:  r.loss(), Cost: r.Cost, Preemptions: r.Stops,
+		Allowed: r.Preemptible && s.preemptionEnabled && r.Class != Interactive,
+		Served:  r.loss(), Cost: r.Cost, Preemptions: r.Preemptions,
 		Deadline: r.Deadline, MedianServiceTime: s.admission.MedianServiceTime(uint8(r.Class)),
 	}
 }
 
 // loss is what would be read again, as far as it was reported.
-func (r *request) loss() float64 { return r.Earlier + r.charged }
+func (r *request) loss() float64 { return r.PriorServed + r.charged }
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -19,7 +19,7 @@
 	owner, ingress = newCore("d1", "z1"), newCore("d2", "z2")
 	service := scheduler.Service{
 		Name: "pool", MeanCost: 100, Preemption: allowed,
-		Workspaces: []scheduler.Workspace{{Name: "a", Weight: 1, Queue: 50}, {Name: "b", Weight: 1, Queue: 50}},
+		Workspaces: []scheduler.Workspace{{Name: "a", Weight: 1, QueueLimit: 50}, {Name: "b", Weight: 1, QueueLimit: 50}},
 		Targets:    []scheduler.Target{{Name: "t1", Zone: "z1", Slots: slots}},
 	}
 	for _, c := range []*scheduler.Core{owner, ingress} {
@@ -52,14 +52,14 @@
 	owner.Tick(now)
 	ingress.Tick(now)
 	for range 4 {
-		for _, e := range ingress.Take() {
+		for _, e := range ingress.TakeEffects() {
 			if s, ok := e.(scheduler.Send); ok {
 				owner.Receive(now, "d2", s.Message)
 				continue
 			}
 			effects = append(effects, e)
 		}
-		for _, e := range owner.Take() {
+		for _, e := range owner.TakeEffects() {
 			if s, ok := e.(scheduler.Send); ok {
 				sent = append(sent, s.Message)
 				ingress.Receive(now, "d1", s.Message)
@@ -100,12 +100,12 @@
 
 	ingress.Finish(at(13), "a7", scheduler.Result{Served: 70, Elapsed: time.Second, Preempted: true})
 	again := draftRequest(7)
-	again.Stops, again.Earlier = 1, 70
+	again.Preemptions, again.PriorServed = 1, 70
 	is.True(ingress.Requeue(at(13), again) == nil)
 	effects, _ = exchangeAll(at(13), owner, ingress)
 	is.Equal(effects, []scheduler.Effect{scheduler.Dispatch{Request: "b0", Service: "pool", Target: "t1"}})
 
-	ingress.Finish(at(14), "b0", scheduler.Result{Served: 10, Elapsed: time.Second, First: time.Millisecond})
+	ingress.Finish(at(14), "b0", scheduler.Result{Served: 10, Elapsed: time.Second, FirstByte: time.Millisecond})
 	effects, _ = exchangeAll(at(14), owner, ingress)
 	is.Equal(effects, []scheduler.Effect{scheduler.Dispatch{Request: "a7", Service: "pool", Target: "t1"}})
 }
@@ -121,13 +121,13 @@
 	is.Equal(len(stopped(append(effects, more...))), 1)
 	var repeat scheduler.Message
 	for _, m := range append(sent, sentLater...) {
-		if len(m.Preempts) > 0 {
-			repeat = scheduler.Message{Incarnation: 1, Preempts: m.Preempts}
+		if len(m.PreemptGrants) > 0 {
+			repeat = scheduler.Message{Incarnation: 1, PreemptGrants: m.PreemptGrants}
 		}
 	}
-	is.Equal(len(repeat.Preempts), 1)
+	is.Equal(len(repeat.PreemptGrants), 1)
 	ingress.Receive(at(12), "d1", repeat)
-	ingress.Receive(at(12), "d1", scheduler.Message{Incarnation: 1, Preempts: []uint64{0, 1 << 40}})
+	ingress.Receive(at(12), "d1", scheduler.Message{Incarnation: 1, PreemptGrants: []uint64{0, 1 << 40}})
 	effects, _ = exchangeAll(at(13), owner, ingress)
 	is.Equal(len(stopped(effects)), 0)
 }
@@ -156,7 +156,7 @@
 			effects, sent := exchangeAll(at(11+i), owner, ingress)
 			is.Equal(len(effects), 0)
 			for _, m := range sent {
-				asked += len(m.Preempts)
+				asked += len(m.PreemptGrants)
 			}
 		}
 		is.True(asked > 0)
--- a/internal/scheduler/prefix_test.go
+++ b/internal/scheduler/prefix_test.go
@@ -28,7 +28,7 @@
 	c := scheduler.New(scheduler.Config{Self: "d1", Incarnation: 1, Zone: "z1"}, rand.New(rand.NewPCG(1, 2)))
 	service := scheduler.Service{
 		Name: "pool", MeanCost: 100,
-		Workspaces: []scheduler.Workspace{{Name: "a", Weight: 1, Queue: 1000}},
+		Workspaces: []scheduler.Workspace{{Name: "a", Weight: 1, QueueLimit: 1000}},
 	}
 	for i := range 4 {
 		service.Targets = append(service.Targets, scheduler.Target{Name: ident.Target(fmt.Sprint("t", i)), Zone: "z1", Slots: 8})
@@ -48,7 +48,7 @@
 			}
 			is.New(t).True(c.Submit(now, r) == nil)
 		}
-		for _, e := range c.Take() {
+		for _, e := range c.TakeEffects() {
 			d, ok := e.(scheduler.Dispatch)
 			if !ok {
 				continue
@@ -66,7 +66,7 @@
 			}
 		}
 		i := rng.IntN(len(running))
-		c.Finish(now, running[i], scheduler.Result{Served: 100, Elapsed: time.Second, First: 10 * time.Millisecond})
+		c.Finish(now, running[i], scheduler.Result{Served: 100, Elapsed: time.Second, FirstByte: 10 * time.Millisecond})
 		running = slices.Delete(running, i, i+1)
 	}
 	return float64(hits) / float64(sent)
@@ -91,7 +91,7 @@
 	c := scheduler.New(scheduler.Config{Self: "d1", Incarnation: 1, Zone: "z1"}, rand.New(rand.NewPCG(1, 2)))
 	service := scheduler.Service{Name: "pool", MeanCost: tokens}
 	for _, name := range []ident.Workspace{"a", "b"} {
-		service.Workspaces = append(service.Workspaces, scheduler.Workspace{Name: name, Weight: 1, Queue: 1000})
+		service.Workspaces = append(service.Workspaces, scheduler.Workspace{Name: name, Weight: 1, QueueLimit: 1000})
 	}
 	for i := range 4 {
 		service.Targets = append(service.Targets, scheduler.Target{Name: ident.Target(fmt.Sprint("t", i)), Zone: "z1", Slots: slots})
@@ -106,7 +106,7 @@
 		now := start.Add(time.Duration(tick) * 10 * time.Millisecond)
 		for _, id := range ends[tick] {
 			served[id[0]] += tokens
-			c.Finish(now, id, scheduler.Result{Served: tokens, Elapsed: time.Second, First: 10 * time.Millisecond})
+			c.Finish(now, id, scheduler.Result{Served: tokens, Elapsed: time.Second, FirstByte: 10 * time.Millisecond})
 		}
 		for _, ws := range []ident.Workspace{"a", "b"} {
 			for c.Queued("pool", ws) < 20 {
@@ -120,7 +120,7 @@
 				is.New(t).Equal(c.Submit(now, r), nil)
 			}
 		}
-		for _, e := range c.Take() {
+		for _, e := range c.TakeEffects() {
 			if d, ok := e.(scheduler.Dispatch); ok {
 				run := 20 + rng.IntN(20)
 				if d.Request[0] == 'a' && cached[d.Target] {
--- a/internal/scheduler/reduce.go
+++ b/internal/scheduler/reduce.go
@@ -93,7 +93,7 @@
 			}
 			same := was != nil && was.adder(zone, shard) == id && (was.own(shard) == c.cfg.Self || !mine)
 			if p := c.peers[id]; p != nil && !same {
-				p.retell = true
+				p.needsTotals = true
 			}
 		}
 	}
@@ -105,7 +105,7 @@
 // daemon add the workspace up again, other zones compare with its last one.
 func (c *Core) rebase(changed func(shard int) bool) {
 	for _, s := range c.services {
-		for _, w := range s.order {
+		for _, w := range s.sortedWorkspaces {
 			if changed(w.shard) {
 				s.ledger.ResetBaselines(w.Name)
 
@@ -118,9 +118,9 @@
 // now. What they have told before is then a baseline: it was counted in sums.
 func (c *Core) rebaseAll(now time.Time) {
 	c.rebase(func(int) bool { return true })
-	c.fullSettled = now.Add((reduceRounds + 1) * c.cfg.Exchange)
+	c.baselineUntil = now.Add((reduceRounds + 1) * c.cfg.ExchangeInterval)
 	for _, p := range c.peers {
-		p.retell = true
+		p.needsTotals = true
 	}
 }
 
@@ -140,23 +140,23 @@
 }
 
 func (s *service) sum(ws ident.Workspace) *sum {
-	if s.sums == nil {
-		s.sums = map[ident.Workspace]*sum{}
+	if s.aggregates == nil {
+		s.aggregates = map[ident.Workspace]*sum{}
 	}
-	if s.sums[ws] == nil {
-		s.sums[ws] = &sum{}
+	if s.aggregates[ws] == nil {
+		s.aggregates[ws] = &sum{}
 	}
-	return s.sums[ws]
+	return s.aggregates[ws]
 }
 
 // takePart merges what a daemon itself has delivered.
-func (c *Core) takePart(now time.Time, p *peer, part Part) {
+func (c *Core) takePart(now time.Time, p *peer, part ServedTotal) {
 	s := c.services[part.Service]
 	if s == nil {
 		return
 	}
 	if c.reduction == nil {
-		if now.Before(c.fullSettled) {
+		if now.Before(c.baselineUntil) {
 			s.ledger.MergeZonePeer(p.ID, p.Incarnation, part.Workspace, part.Served, true)
 			return
 		}
@@ -175,7 +175,7 @@
 
 // takeSum merges what another daemon has added up: for its own zone, where this
 // daemon adds up the workspace as well, or for all others.
-func (c *Core) takeSum(now time.Time, p *peer, part Part) {
+func (c *Core) takeSum(now time.Time, p *peer, part ServedTotal) {
 	s := c.services[part.Service]
 	if s == nil || c.reduction == nil {
 		return
@@ -209,8 +209,8 @@
 		}
 		c.tellPart(c.reduction.own(w.shard), s, w)
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.sums)) {
-		w, u := s.workspaces[name], s.sums[name]
+	for _, name := range slices.Sorted(maps.Keys(s.aggregates)) {
+		w, u := s.workspaces[name], s.aggregates[name]
 		if !u.changed || !c.adds(w) {
 			continue
 		}
@@ -224,11 +224,11 @@
 // sendReducedTo tells a peer that may have lost messages everything that it is
 // to know.
 func (c *Core) sendReducedTo(p *peer, s *service) {
-	for _, w := range s.order {
+	for _, w := range s.sortedWorkspaces {
 		if !c.adds(w) && c.reduction.own(w.shard) == p.ID && s.ledger.LocalService(w.Name) != 0 {
 			c.tellPart(p.ID, s, w)
 		}
-		if u := s.sums[w.Name]; u != nil && c.adds(w) {
+		if u := s.aggregates[w.Name]; u != nil && c.adds(w) {
 			c.tellSum(p, s, w, u, true)
 		}
 	}
@@ -238,15 +238,15 @@
 	if c.peers[to] == nil {
 		return
 	}
-	m := c.message(to)
-	m.Parts = append(m.Parts, Part{Service: s.name, Workspace: w.Name, Served: s.ledger.LocalService(w.Name)})
+	m := c.messageTo(to)
+	m.ServedTotals = append(m.ServedTotals, ServedTotal{Service: s.name, Workspace: w.Name, Served: s.ledger.LocalService(w.Name)})
 }
 
 // tellSum tells a peer what concerns it of a sum: a mate what all others have
 // delivered, a counterpart in another zone what this zone has.
 func (c *Core) tellSum(p *peer, s *service, w *workspace, u *sum, zoneChanged bool) {
 	own := s.ledger.LocalService(w.Name)
-	part := Part{Service: s.name, Workspace: w.Name}
+	part := ServedTotal{Service: s.name, Workspace: w.Name}
 	switch {
 	case p.Zone == c.cfg.Zone:
 		part.Served = u.TotalForZonePeer(p.ID, own)
@@ -255,23 +255,23 @@
 	default:
 		return
 	}
-	m := c.message(p.ID)
-	m.Sums = append(m.Sums, part)
+	m := c.messageTo(p.ID)
+	m.Aggregates = append(m.Aggregates, part)
 }
 
 // exchangeParts tells other daemons what was served, as far as it is due.
-func (c *Core) exchangeParts(now time.Time, at cadence) {
+func (c *Core) exchangeParts(now time.Time, at updateTrigger) {
 	if c.reduction == nil {
 		if at == onExchange {
 			for _, s := range c.services {
-				c.sendParts(s)
+				c.sendTotals(s)
 			}
 		}
 		return
 	}
 	if at == onExchange {
 		for _, p := range c.peers {
-			if !p.full && !p.retell {
+			if !p.needsFullUpdate && !p.needsTotals {
 				continue
 			}
 			for _, s := range c.services {
@@ -309,7 +309,7 @@
 	// one in so many, each mate and zone is told.
 	told := 2*rows + rows*len(zones)/(mates+1)
 	bytes := frames*frameBytes + told*rowBytes
-	return max(c.cfg.Exchange, time.Duration(bytes)*time.Second/reduceBudget)
+	return max(c.cfg.ExchangeInterval, time.Duration(bytes)*time.Second/reduceBudget)
 }
 
 // lag is the age at which this daemon learns of service elsewhere, by which the
@@ -319,7 +319,7 @@
 // 0.229, 0.213 and 0.272 s at 7 daemons, 0.138, 0.142 and 0.169 s at 32.
 func (c *Core) lag() time.Duration {
 	if c.reduction == nil {
-		return c.cfg.Exchange
+		return c.cfg.ExchangeInterval
 	}
 	return reduceLag * c.round()
 }
--- a/internal/scheduler/reduce_test.go
+++ b/internal/scheduler/reduce_test.go
@@ -55,7 +55,7 @@
 	c := New(Config{Self: id, Incarnation: incarnation, Zone: zone, ReduceAbove: reduceAbove}, rand.New(rand.NewPCG(1, 2)))
 	s := Service{Name: "pool", MeanCost: 100}
 	for i := range reduceRows {
-		s.Workspaces = append(s.Workspaces, Workspace{Name: rowName(i), Weight: 1, Queue: 1})
+		s.Workspaces = append(s.Workspaces, Workspace{Name: rowName(i), Weight: 1, QueueLimit: 1})
 	}
 	c.Configure(f.now, []Service{s})
 	for i := range reduceRows {
@@ -111,15 +111,15 @@
 }
 
 func (f *reduceFleet) pass(from ident.Daemon) {
-	for _, e := range f.cores[from].Take() {
+	for _, e := range f.cores[from].TakeEffects() {
 		send, ok := e.(Send)
 		if !ok || f.cores[send.To] == nil {
 			continue
 		}
-		f.sentRows[from] += len(send.Message.Parts) + len(send.Message.Sums)
+		f.sentRows[from] += len(send.Message.ServedTotals) + len(send.Message.Aggregates)
 		if f.lose() {
-			f.cores[from].Reset(send.To)
-			f.cores[send.To].Reset(from)
+			f.cores[from].ResyncPeer(send.To)
+			f.cores[send.To].ResyncPeer(from)
 			continue
 		}
 		f.cores[send.To].Receive(f.now, from, send.Message)
--- a/internal/scheduler/repair_test.go
+++ b/internal/scheduler/repair_test.go
@@ -18,7 +18,7 @@
 	owner, ingress = newCore("d1", "z1"), newCore("d2", "z2")
 	services := []scheduler.Service{{
 		Name:       "pool",
-		Workspaces: []scheduler.Workspace{{Name: "a", Weight: 1, Queue: 300}, {Name: "b", Weight: 1, Queue: 300}},
+		Workspaces: []scheduler.Workspace{{Name: "a", Weight: 1, QueueLimit: 300}, {Name: "b", Weight: 1, QueueLimit: 300}},
 		Targets:    []scheduler.Target{{Name: "t1", Zone: "z1", Slots: slots}},
 		MeanCost:   100,
 	}}
@@ -34,7 +34,7 @@
 func settleDown(now time.Time, owner, ingress *scheduler.Core, lose func(from ident.Daemon, m scheduler.Message) bool) (time.Time, []ident.Request) {
 	var started []ident.Request
 	pass := func(from *scheduler.Core, id ident.Daemon, to *scheduler.Core) {
-		for _, e := range from.Take() {
+		for _, e := range from.TakeEffects() {
 			switch e := e.(type) {
 			case scheduler.Send:
 				if !lose(id, e.Message) {
@@ -66,9 +66,9 @@
 	now, started := settleDown(start, owner, ingress, nothingLost)
 	is.Equal(started, []ident.Request{"r1"})
 	ingress.Finish(now, "r1", scheduler.Result{Served: 100})
-	ingress.Take() // the release is lost
-	ingress.Reset("d1")
-	owner.Reset("d2")
+	ingress.TakeEffects() // the release is lost
+	ingress.ResyncPeer("d1")
+	owner.ResyncPeer("d2")
 	is.Equal(ingress.Submit(now, request("r2", "a")), nil)
 	_, started = settleDown(now, owner, ingress, nothingLost)
 	is.Equal(started, []ident.Request{"r2"})
@@ -86,8 +86,8 @@
 			return false
 		}
 		lost = true
-		owner.Reset("d2")
-		ingress.Reset("d1")
+		owner.ResyncPeer("d2")
+		ingress.ResyncPeer("d1")
 		return true
 	})
 	is.True(lost)
@@ -280,7 +280,7 @@
 	c := newCore("d1", "z1")
 	c.Configure(start, []scheduler.Service{{
 		Name:       "pool",
-		Workspaces: []scheduler.Workspace{{Name: "a", Weight: 1, Queue: 3}, {Name: "b", Weight: 1, Queue: 3}},
+		Workspaces: []scheduler.Workspace{{Name: "a", Weight: 1, QueueLimit: 3}, {Name: "b", Weight: 1, QueueLimit: 3}},
 		Targets:    []scheduler.Target{{Name: "t1", Zone: "z1", Slots: 8}},
 		MeanCost:   100,
 	}})
@@ -289,7 +289,7 @@
 	})
 	granted := func() map[ident.Workspace]int {
 		counts := map[ident.Workspace]int{}
-		for _, e := range c.Take() {
+		for _, e := range c.TakeEffects() {
 			if s, ok := e.(scheduler.Send); ok {
 				for _, g := range s.Message.Grants {
 					counts[g.Workspace]++
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -6,8 +6,8 @@
 	"github.com/savorystall/savorystall/internal/admin"
 )
 
-// Status describes the queues and targets for operators. Workspaces without any
-// activity here are left out: thousands of them would hide the others.
+// Status describes the queues and targets for operators. Workspaces without
+// activity at this daemon are left out: thousands of them would hide the others.
 func (c *Core) Status() ([]admin.Queue, []admin.Target) {
 	var queues []admin.Queue
 	var targets []admin.Target
@@ -18,7 +18,7 @@
 		}
 	}
 	for _, s := range c.services {
-		for _, w := range s.order {
+		for _, w := range s.sortedWorkspaces {
 			q := admin.Queue{
 				Service: s.name, Workspace: w.Name, Running: running[w],
 				Served: s.ledger.LocalService(w.Name), Weight: w.Weight, Lead: s.ledger.Lead(w.Name),
@@ -48,4 +48,4 @@
 	return queues, targets
 }
 
-func (t *target) state() string { return string(t.service.places.State(t.Name)) }
+func (t *target) state() string { return string(t.service.placement.State(t.Name)) }
--- a/internal/scheduler/tick_bench_test.go
+++ b/internal/scheduler/tick_bench_test.go
@@ -47,7 +47,7 @@
 	tick := func() {
 		now = now.Add(20 * time.Millisecond)
 		c.Tick(now)
-		c.Take()
+		c.TakeEffects()
 	}
 	for range 200 { // until all owners know what waits
 		tick()
@@ -85,7 +85,7 @@
 	for i := range 620 {
 		name := ident.Workspace(fmt.Sprintf("w%04d", i*10))
 		m.Demand = append(m.Demand, scheduler.Demand{Service: "pool", Workspace: name, Waiting: 3})
-		m.Parts = append(m.Parts, scheduler.Part{Service: "pool", Workspace: name})
+		m.ServedTotals = append(m.ServedTotals, scheduler.ServedTotal{Service: "pool", Workspace: name})
 	}
 	served := 0.0
 	next := 0
@@ -93,8 +93,8 @@
 		served += 10
 		next = next%359 + 1
 		now = now.Add(3 * time.Millisecond)
-		for i := range m.Parts {
-			m.Parts[i].Served = served
+		for i := range m.ServedTotals {
+			m.ServedTotals[i].Served = served
 			m.Demand[i].Waiting = 3 + uint32(i+next)%3
 		}
 		c.Receive(now, ident.Daemon(fmt.Sprintf("d%03d", next)), m)
--- a/internal/scheduler/tied.go
+++ b/internal/scheduler/tied.go
@@ -14,13 +14,13 @@
 
 // tie sets the targets that the workspace may use.
 func (w *workspace) tie(names []ident.Target) {
-	w.targets = nil
+	w.allowedTargets = nil
 	if len(names) == 0 {
 		return
 	}
-	w.targets = make(map[ident.Target]bool, len(names))
+	w.allowedTargets = make(map[ident.Target]bool, len(names))
 	for _, name := range names {
-		w.targets[name] = true
+		w.allowedTargets[name] = true
 	}
 }
 
@@ -34,15 +34,17 @@
 }
 
 // mayUse tells whether requests of the workspace may run on the target.
-func (w *workspace) mayUse(name ident.Target) bool { return w.targets == nil || w.targets[name] }
+func (w *workspace) mayUse(name ident.Target) bool {
+	return w.allowedTargets == nil || w.allowedTargets[name]
+}
 
 // fits tells whether one of the free targets is for the workspace.
 func (w *workspace) fits(free []placement.Free) bool {
-	if w.targets == nil {
+	if w.allowedTargets == nil {
 		return len(free) > 0
 	}
 	for _, f := range free {
-		if w.targets[f.Target] {
+		if w.allowedTargets[f.Target] {
 			return true
 		}
 	}
@@ -54,19 +56,19 @@
 // document must not count as backlog: that of one workspace that cannot be
 // served would be what the leads of all others are measured from.
 func (s *service) findHere(w *workspace) {
-	w.here = w.targets == nil
+	w.ownsAllowedTarget = w.allowedTargets == nil
 	for _, t := range s.owned {
-		w.here = w.here || w.targets[t.Name]
+		w.ownsAllowedTarget = w.ownsAllowedTarget || w.allowedTargets[t.Name]
 	}
 }
 
 // ownersOf returns the daemons that own a target which the workspace may use.
 func (c *Core) ownersOf(s *service, w *workspace) map[ident.Daemon]bool {
-	if w.targets == nil {
+	if w.allowedTargets == nil {
 		return s.owners
 	}
 	owners := map[ident.Daemon]bool{}
-	for name := range w.targets {
+	for name := range w.allowedTargets {
 		if t := s.targets[name]; t != nil {
 			owners[c.owner(t)] = true
 		}
--- a/internal/scheduler/tied_test.go
+++ b/internal/scheduler/tied_test.go
@@ -53,7 +53,7 @@
 	}
 	for i := range 2 + f.rng.IntN(4) {
 		f.service.Workspaces = append(f.service.Workspaces, scheduler.Workspace{
-			Name: ident.Workspace(fmt.Sprintf("w%d", i)), Weight: 1 + f.rng.Float64(), Queue: 1000,
+			Name: ident.Workspace(fmt.Sprintf("w%d", i)), Weight: 1 + f.rng.Float64(), QueueLimit: 1000,
 		})
 	}
 	daemons := 1 + f.rng.IntN(4)
@@ -132,7 +132,7 @@
 	}
 	for d, c := range f.cores {
 		c.Tick(f.now)
-		for _, e := range c.Take() {
+		for _, e := range c.TakeEffects() {
 			f.carryOut(d, e)
 		}
 	}
--- a/internal/scheduler/types.go
+++ b/internal/scheduler/types.go
@@ -1,13 +1,13 @@
-// Package scheduler decides which waiting request runs next, and where. It is a
-// state machine without network: time and randomness are arguments, and what is
-// to be done comes back as typed effects.
+// Package scheduler decides which waiting request runs next and on which target.
+// It is a state machine that does no I/O: time and randomness are passed in as
+// arguments, and the actions to take are returned as typed effects.
 //
-// Every daemon runs one Core in two parts. As ingress it queues the requests
-// of its callers and shows the owners of targets how many wait (Demand). As
-// owner of targets it hands out free slots, one Grant a request, to the
-// workspace that is owed most. The ingress binds a waiting request to the
-// grant when it arrives (late binding), and returns the grant at once where
-// nothing waits any more.
+// Every daemon runs one Core, which has two roles. As ingress it queues the
+// requests of its callers and tells the owners of targets how many requests wait
+// (Demand). As owner of targets it assigns free slots, one Grant per request, to
+// the workspace that is furthest below its fair share. The ingress binds a
+// waiting request to the grant only when the grant arrives (late binding), and
+// returns the grant at once if nothing waits any more.
 package scheduler
 
 import (
@@ -19,10 +19,11 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-// Class orders the requests of one workspace; a lower class goes first.
+// Class is the priority class of a request within its workspace; lower values
+// are served first.
 type Class uint8
 
-// Classes of operations.
+// Priority classes of operations.
 const (
 	Interactive Class = iota
 	Standard
@@ -30,62 +31,63 @@
 	classCount
 )
 
-// Request is what the scheduler knows of a request.
+// Request describes a request to the scheduler.
 type Request struct {
 	ID        ident.Request
 	Service   ident.Service
 	Workspace ident.Workspace
 	Class     Class
 	// Cost is the estimated cost in units of the service: tokens for a model,
-	// milliseconds of a slot for a plain service.
+	// milliseconds of slot time for a plain service.
 	Cost float64
-	// Deadline is when the caller gives up; zero means never.
+	// Deadline is when the caller gives up; zero means that there is no deadline.
 	Deadline time.Time
-	// Prefix identifies the start of the prompt; zero means no affinity.
+	// Prefix identifies the start of the prompt; zero means no cache affinity.
 	Prefix uint64
-	// Avoid lists targets that a retry must not use.
+	// Avoid lists the targets that a retry must not use.
 	Avoid []ident.Target
-	// Preemptible tells that the request can be stopped and go on later.
+	// Preemptible reports whether the request can be stopped and resumed later.
 	Preemptible bool
-	// Stops counts how often that was done, and Earlier is the cost that the
-	// stopped attempts have received. Cost is that of the whole request.
-	Stops   int
-	Earlier float64
+	// Preemptions counts how often the request was stopped, and PriorServed is the
+	// cost already received by the stopped attempts. Cost covers the whole request.
+	Preemptions int
+	PriorServed float64
 }
 
-// Workspace is a workspace's share of one service.
+// Workspace holds the share and the limits of a workspace in one service.
 type Workspace struct {
 	Name   ident.Workspace
 	Weight float64
-	// Queue bounds the requests that wait at one daemon.
-	Queue int
-	// Concurrent bounds the requests that wait or run in the fleet; zero means no
-	// bound.
-	Concurrent int
-	// Rate bounds the requests that the fleet accepts a second; zero means no
-	// bound.
-	Rate float64
-	// Targets are those that the workspace may use; empty means all.
+	// QueueLimit bounds the number of requests that wait at one daemon.
+	QueueLimit int
+	// ConcurrencyLimit bounds the number of requests that wait or run in the whole
+	// fleet; zero means no limit.
+	ConcurrencyLimit int
+	// RateLimit bounds the requests per second that the whole fleet accepts; zero
+	// means no limit.
+	RateLimit float64
+	// Targets lists the targets that the workspace may use; empty means all.
 	Targets []ident.Target
 }
 
-// Target is one back end of a service.
+// Target is one backend of a service.
 type Target struct {
 	Name  ident.Target
 	Zone  ident.Zone
 	Slots int
 }
 
-// Service is the part of a document that decisions need.
+// Service is the part of a service document that scheduling decisions need.
 type Service struct {
 	Name       ident.Service
 	Workspaces []Workspace
 	Targets    []Target
-	// MeanCost is the assumed cost of a request before any was measured.
+	// MeanCost is the assumed cost of a request until costs were measured.
 	MeanCost float64
-	// Plain marks a plain service, whose cost is time.
+	// Plain marks a plain service, whose cost is slot time.
 	Plain bool
-	// Preemption allows to stop streams for questions of others.
+	// Preemption allows streams to be stopped in favor of interactive requests of
+	// other workspaces.
 	Preemption bool
 }
 
@@ -94,30 +96,30 @@
 	ID          ident.Daemon
 	Incarnation uint64
 	Zone        ident.Zone
-	// Leaving tells that the peer is in a planned stop: it owns no targets any
-	// more, but its waiting requests still get grants.
+	// Leaving is set while the peer performs a planned shutdown: it no longer owns
+	// targets, but its waiting requests still receive grants.
 	Leaving bool
 }
 
-// Result tells how an attempt ended.
+// Result describes how an attempt ended.
 type Result struct {
-	// Served is the true cost in units of the service.
+	// Served is the actual cost in units of the service.
 	Served float64
-	// Elapsed runs from dispatch to the end; First from dispatch to the first
-	// byte of the answer (zero: there was none).
-	Elapsed, First time.Duration
-	// Failed tells that the target or the way to it failed.
+	// Elapsed is the time from dispatch to the end, FirstByte the time from dispatch
+	// to the first byte of the response (zero if there was none).
+	Elapsed, FirstByte time.Duration
+	// Failed is set if the target, or the connection to it, failed.
 	Failed bool
-	// NotRun tells that the request did not run and may be queued again.
+	// NotRun is set if the request did not run and may be queued again.
 	NotRun bool
-	// Preempted tells that the attempt was stopped because of a Preempt.
+	// Preempted is set if the attempt was stopped because of a Preempt effect.
 	Preempted bool
 }
 
-// Health is what has been learnt about a target.
+// Health is an observed change in the health of a target.
 type Health string
 
-// What can be learnt about a target.
+// Health observations.
 const (
 	HealthAnswered Health = "answered"
 	HealthFailed   Health = "failed"
@@ -125,94 +127,98 @@
 	HealthReturned Health = "returned"
 )
 
-// Demand says how many requests of a workspace wait at the sender.
+// Demand reports how many requests of a workspace wait at the sender.
 type Demand struct {
 	Service   ident.Service
 	Workspace ident.Workspace
 	Waiting   uint32
-	// Urgent counts those of them that are interactive.
+	// Urgent counts the interactive requests among them.
 	Urgent uint32
-	// Seen is the highest grant of the receiver that the sender has taken into
-	// account, so that grants on their way are not counted as demand again.
-	Seen uint64
+	// SeenGrant is the highest grant of the receiver that the sender has taken into
+	// account. It lets the receiver subtract grants still in transit, which would
+	// otherwise be counted as demand again.
+	SeenGrant uint64
 }
 
-// Grant gives one slot of a target to one request of a workspace.
+// Grant assigns one slot of a target to one request of a workspace.
 type Grant struct {
-	// ID grows with each grant of an owner's incarnation.
+	// ID increases with each grant of an incarnation of the owner.
 	ID        uint64
 	Service   ident.Service
 	Workspace ident.Workspace
 	Target    ident.Target
-	// Spare tells that the owner has slots to spare: the ingress may keep this
-	// one idle for a moment, for the workspace's next request.
-	Spare bool
-	// Cached are marks of the prompt prefixes that the target holds, where the
-	// owner knows them and has not told this ingress of late.
-	Cached []uint16
+	// SpareCapacity is set if the owner has enough free slots for the ingress to
+	// keep this one idle briefly for the next request of the workspace.
+	SpareCapacity bool
+	// CachedPrefixes holds fingerprints of the prompt prefixes in the target's
+	// cache. It is set if the owner knows them and has not recently sent them to
+	// this ingress.
+	CachedPrefixes []uint16
 }
 
-// Release gives a slot back to its owner.
+// Release returns a slot to its owner.
 type Release struct {
 	Grant uint64
-	// Unused tells that nothing was dispatched.
+	// Unused is set if no request was dispatched.
 	Unused bool
-	// Result is set where a request was dispatched.
+	// Result is set if a request was dispatched.
 	Result Result
 }
 
-// Part is the service that one daemon's incarnation has delivered to a
-// workspace in total, in units of the service. It only grows but for the
-// correction of estimates, and a later message replaces an earlier one.
-type Part struct {
+// ServedTotal is the cumulative service that one incarnation of a daemon has
+// delivered to a workspace, in units of the service. It only grows, except when
+// estimates are corrected. A later message replaces an earlier one.
+type ServedTotal struct {
 	Service   ident.Service
 	Workspace ident.Workspace
 	Served    float64
 }
 
-// Limit tells what the sender's callers ask of a workspace's own limits. A later
-// message replaces an earlier one.
-type Limit struct {
+// LimitUsage reports how much the sender's callers use of the limits of a
+// workspace. A later message replaces an earlier one.
+type LimitUsage struct {
 	Service   ident.Service
 	Workspace ident.Workspace
 	limit.News
 }
 
-// TargetNews spreads what one daemon learnt about a target.
-type TargetNews struct {
+// TargetHealthUpdate propagates a daemon's observation about a target.
+type TargetHealthUpdate struct {
 	Service ident.Service
 	Target  ident.Target
 	Health  Health
 }
 
-// Message is everything that one Core tells another in one go. Incarnation is
-// the sender's; a message of an older incarnation is dropped.
+// Message collects everything that one Core sends to another at one time.
+// Incarnation is the sender's; messages of an older incarnation are dropped.
 type Message struct {
-	Incarnation uint64
-	Demand      []Demand
-	Grants      []Grant
-	Releases    []Release
-	Parts       []Part
-	// Sums are what the sender has added up for its zone (see reduce.go): to a
-	// daemon of the zone what all others have delivered, to one of another zone
-	// what the sender's has. They count as differences to the last one.
-	Sums   []Part
-	Limits []Limit
-	News   []TargetNews
-	// Held lists the grants of the receiver that the sender still holds. It is
-	// sent from time to time (HeldValid) so that a lost release frees its slot.
-	Held      []uint64
-	HeldValid bool
-	// HeldSeen is the highest grant that the list takes into account.
-	HeldSeen uint64
-	// Preempts lists grants of the sender whose slots it asks back.
-	Preempts []uint64
-	// Bookings is what package booking tells, where that takes the place of
+	Incarnation  uint64
+	Demand       []Demand
+	Grants       []Grant
+	Releases     []Release
+	ServedTotals []ServedTotal
+	// Aggregates are the totals that the sender has aggregated (see reduce.go). A
+	// daemon in the sender's zone receives the total of all other daemons, a daemon
+	// in another zone the total of the sender's zone. Only the difference from the
+	// previous value is counted.
+	Aggregates    []ServedTotal
+	Limits        []LimitUsage
+	HealthUpdates []TargetHealthUpdate
+	// HeldGrants lists the receiver's grants that the sender still holds. It is sent
+	// periodically (HeldGrantsValid is then set), so that a slot whose release
+	// message was lost becomes free.
+	HeldGrants      []uint64
+	HeldGrantsValid bool
+	// HeldGrantsSeen is the highest grant that the list takes into account.
+	HeldGrantsSeen uint64
+	// PreemptGrants lists grants of the sender whose slots it wants back.
+	PreemptGrants []uint64
+	// Bookings carries the messages of package booking where bookings replace
 	// grants.
 	Bookings booking.Message
 }
 
-// Effect is something that the caller of the Core has to do.
+// Effect is an action that the caller of the Core has to perform.
 type Effect interface{ effect() }
 
 // Dispatch sends a request to a target.
@@ -222,14 +228,15 @@
 	Target  ident.Target
 }
 
-// Refuse gives a waiting request its final answer.
+// Refuse rejects a waiting request with its final response.
 type Refuse struct {
 	Request ident.Request
 	Failure *resultcode.Failure
 }
 
-// Send passes a message to another daemon. Messages to one daemon must arrive
-// in order; a lost link loses them and is repaired by the next full exchange.
+// Send transmits a message to another daemon. Messages to one daemon must arrive
+// in order. Messages lost with a connection are repaired by the next full
+// exchange.
 type Send struct {
 	To      ident.Daemon
 	Message Message
--- a/internal/scheduler/workspace.go
+++ b/internal/scheduler/workspace.go
@@ -11,74 +11,75 @@
 // workspace is the state of one workspace of one service.
 type workspace struct {
 	Workspace
-	// shard is the one that the workspace belongs to in the reduced exchange.
+	// shard is the shard of the workspace in the reduced exchange.
 	shard int
-	// queue holds the requests that wait here, running counts those that run.
+	// queue holds the requests that wait at this daemon; running counts those that
+	// run.
 	queue   *queue.Queue[*request]
 	running int
-	// since is when the queue was last empty, urgentSince when it last held no
-	// interactive request.
-	since, urgentSince time.Time
-	// owners caches the peers to show demand to, in order.
+	// nonEmptySince is when the queue was last empty, and urgentSince when it last
+	// held no interactive request.
+	nonEmptySince, urgentSince time.Time
+	// owners caches the peers to send demand to, in order.
 	owners []*peer
-	// shown is the demand that each owner knows: what it was last told, less
-	// the grants that came from it since, where that is not nothing.
-	shown map[ident.Daemon]demand
-	// demand is what each ingress was last known to have waiting, less the
-	// grants that were sent to it since, where that is not nothing; remote is
-	// its sum.
-	demand map[ident.Daemon]demand
-	remote demand
-	// active tells that the workspace is in the service's list of active ones,
-	// told that there is nothing to tell owners before the next settle.
-	active, told bool
-	// turn counts the picks of an ingress, up to urgentTurns.
-	turn int
-	// targets are those that a tied workspace may use; nil means all. here tells
-	// that this daemon owns one of them.
-	targets map[ident.Target]bool
-	here    bool
-	// granted counts the grants of this owner that are in use, fresh those that
-	// are younger than an exchange, in use or not.
-	granted, fresh int
-	// given lists them by ingress, in order of their ids.
-	given map[ident.Daemon][]uint64
+	// sentDemand is the demand that each owner knows: what it was last sent, less the
+	// grants received from it since. Zero values are omitted.
+	sentDemand map[ident.Daemon]demand
+	// ingressDemand is the demand last reported by each ingress, less the grants sent
+	// to it since. Zero values are omitted. remoteTotal is its sum.
+	ingressDemand map[ident.Daemon]demand
+	remoteTotal   demand
+	// active is set while the workspace is in the service's list of active ones,
+	// demandUpToDate while owners need no update before demand is next withdrawn.
+	active, demandUpToDate bool
+	// pickCount counts the times an ingress was picked for a grant, modulo
+	// urgentTurns + 1.
+	pickCount int
+	// allowedTargets are the targets that a workspace restricted to some targets may
+	// use; nil means all. ownsAllowedTarget reports whether this daemon owns one.
+	allowedTargets    map[ident.Target]bool
+	ownsAllowedTarget bool
+	// activeGrants counts the grants of this owner that are in use, and recentGrants
+	// those younger than an exchange interval, whether in use or not.
+	activeGrants, recentGrants int
+	// grantIDs lists the active grants by ingress, in ascending order.
+	grantIDs map[ident.Daemon][]uint64
 }
 
 func newWorkspace(spec Workspace) *workspace {
 	return &workspace{
-		queue:  queue.New[*request](queue.Config{Limit: spec.Queue}),
-		shown:  map[ident.Daemon]demand{},
-		demand: map[ident.Daemon]demand{},
-		given:  map[ident.Daemon][]uint64{},
+		queue:         queue.New[*request](queue.Config{Limit: spec.QueueLimit}),
+		sentDemand:    map[ident.Daemon]demand{},
+		ingressDemand: map[ident.Daemon]demand{},
+		grantIDs:      map[ident.Daemon][]uint64{},
 	}
 }
 
 func (w *workspace) configure(spec Workspace) {
 	w.Workspace = spec
 	w.tie(spec.Targets)
-	if spec.Queue > 0 {
-		w.queue.SetLimit(spec.Queue)
+	if spec.QueueLimit > 0 {
+		w.queue.SetLimit(spec.QueueLimit)
 	}
 }
 
 func (w *workspace) waiting() int { return w.queue.Len() }
 
-// remoteDemand is how many requests wait at other ingresses.
-func (w *workspace) remoteDemand() int { return w.remote.waiting }
+// remoteWaiting returns how many requests wait at other ingresses.
+func (w *workspace) remoteWaiting() int { return w.remoteTotal.waiting }
 
-// setDemand changes what is known to wait at an ingress.
-func (w *workspace) setDemand(ingress ident.Daemon, d demand) {
-	old := w.demand[ingress]
-	w.remote.waiting += d.waiting - old.waiting
-	w.remote.urgent += d.urgent - old.urgent
-	setOrDelete(w.demand, ingress, d)
+// setIngressDemand changes the known demand of an ingress.
+func (w *workspace) setIngressDemand(ingress ident.Daemon, d demand) {
+	old := w.ingressDemand[ingress]
+	w.remoteTotal.waiting += d.waiting - old.waiting
+	w.remoteTotal.urgent += d.urgent - old.urgent
+	setOrDelete(w.ingressDemand, ingress, d)
 }
 
-// setShown changes what an owner is known to have been told.
-func (w *workspace) setShown(owner ident.Daemon, d demand) {
-	setOrDelete(w.shown, owner, d)
-	w.told = false
+// setSentDemand changes the demand that an owner is known to have received.
+func (w *workspace) setSentDemand(owner ident.Daemon, d demand) {
+	setOrDelete(w.sentDemand, owner, d)
+	w.demandUpToDate = false
 }
 
 func setOrDelete(m map[ident.Daemon]demand, id ident.Daemon, d demand) {
@@ -89,35 +90,36 @@
 	m[id] = d
 }
 
-// quiet tells that nothing waits anywhere and that every owner knows it.
-func (w *workspace) quiet() bool {
-	return w.waiting() == 0 && len(w.demand) == 0 && len(w.shown) == 0
+// isQuiet reports whether no request waits anywhere and every owner knows it.
+func (w *workspace) isQuiet() bool {
+	return w.waiting() == 0 && len(w.ingressDemand) == 0 && len(w.sentDemand) == 0
 }
 
-// own is the demand of this ingress.
-func (w *workspace) own() demand {
+// ownDemand returns the demand of this ingress.
+func (w *workspace) ownDemand() demand {
 	return demand{waiting: w.waiting(), urgent: w.queue.LenClass(uint8(Interactive))}
 }
 
-// give remembers a grant, take forgets it.
-func (w *workspace) give(to ident.Daemon, id uint64) {
-	w.granted++
-	w.given[to] = append(w.given[to], id)
+// addGrant records a grant to an ingress.
+func (w *workspace) addGrant(to ident.Daemon, id uint64) {
+	w.activeGrants++
+	w.grantIDs[to] = append(w.grantIDs[to], id)
 }
 
-func (w *workspace) take(from ident.Daemon, id uint64) {
-	list := w.given[from]
+func (w *workspace) removeGrant(from ident.Daemon, id uint64) {
+	list := w.grantIDs[from]
 	i, ok := slices.BinarySearch(list, id)
 	if !ok {
 		return
 	}
-	w.granted--
-	w.given[from] = slices.Delete(list, i, i+1)
+	w.activeGrants--
+	w.grantIDs[from] = slices.Delete(list, i, i+1)
 }
 
-// unseen counts the grants to an ingress that it had not seen at the id.
-func (w *workspace) unseen(ingress ident.Daemon, seen uint64) int {
-	list := w.given[ingress]
+// unseenGrants counts the grants to an ingress with IDs above the last one it has
+// seen.
+func (w *workspace) unseenGrants(ingress ident.Daemon, seen uint64) int {
+	list := w.grantIDs[ingress]
 	i, _ := slices.BinarySearch(list, seen+1)
 	return len(list) - i
 }
--- a/test/capacity/core.go
+++ b/test/capacity/core.go
@@ -111,14 +111,14 @@
 	m := scheduler.Message{Incarnation: 1}
 	for i := range s.backlogged {
 		m.Demand = append(m.Demand, scheduler.Demand{Service: planService(i), Workspace: workspaceName(i), Waiting: 2})
-		m.Parts = append(m.Parts, scheduler.Part{Service: planService(i), Workspace: workspaceName(i), Served: meanCost})
+		m.ServedTotals = append(m.ServedTotals, scheduler.ServedTotal{Service: planService(i), Workspace: workspaceName(i), Served: meanCost})
 	}
 	return m
 }
 
 // take empties the effects and keeps the grants that were sent.
 func (w *coreWorld) take() {
-	for _, e := range w.core.Take() {
+	for _, e := range w.core.TakeEffects() {
 		switch e := e.(type) {
 		case scheduler.Send:
 			for _, g := range e.Message.Grants {
--- a/test/capacity/daemon.go
+++ b/test/capacity/daemon.go
@@ -37,7 +37,7 @@
 // newDaemon starts a daemon with the services of the point.
 func newDaemon(ctx context.Context, p Point, i int, identity *certs.Identity) (*daemon, error) {
 	d := &daemon{name: p.name(i), zone: zoneName(i)}
-	core := scheduler.New(scheduler.Config{Self: d.name, Incarnation: 1, Zone: d.zone, Exchange: p.Exchange, ReduceAbove: p.ReduceAbove},
+	core := scheduler.New(scheduler.Config{Self: d.name, Incarnation: 1, Zone: d.zone, ExchangeInterval: p.Exchange, ReduceAbove: p.ReduceAbove},
 		rand.New(rand.NewPCG(uint64(i), 1)))
 	d.loop = control.New(control.Config{}, core, d)
 	var err error
@@ -110,7 +110,7 @@
 		}
 		d.hold(ctx, r.ID, serviceTime)
 		d.finished.Add(1)
-		d.loop.Finish(r.ID, scheduler.Result{Served: meanCost, Elapsed: serviceTime, First: time.Millisecond})
+		d.loop.Finish(r.ID, scheduler.Result{Served: meanCost, Elapsed: serviceTime, FirstByte: time.Millisecond})
 		serviceTime = full
 	}
 }
--- a/test/fairness/fleet.go
+++ b/test/fairness/fleet.go
@@ -86,11 +86,11 @@
 	n := f.nodes[d]
 	n.incarnation++
 	n.core = scheduler.New(scheduler.Config{
-		Self:        n.id,
-		Incarnation: n.incarnation,
-		Zone:        zoneName(n.zone),
-		Exchange:    f.run.lag,
-		ReduceAbove: f.reduceAbove,
+		Self:             n.id,
+		Incarnation:      n.incarnation,
+		Zone:             zoneName(n.zone),
+		ExchangeInterval: f.run.lag,
+		ReduceAbove:      f.reduceAbove,
 	}, rand.New(rand.NewPCG(uint64(d), n.incarnation)))
 	n.core.Configure(f.run.time(), []scheduler.Service{f.service()})
 }
@@ -103,7 +103,7 @@
 	s := scheduler.Service{Name: serviceName, MeanCost: 300, Preemption: f.preemption}
 	for w, src := range f.run.pattern.sources {
 		s.Workspaces = append(s.Workspaces, scheduler.Workspace{
-			Name: workspaceName(w), Weight: src.weight, Queue: queueBound, Targets: f.run.tiedTargets(w),
+			Name: workspaceName(w), Weight: src.weight, QueueLimit: queueBound, Targets: f.run.tiedTargets(w),
 		})
 	}
 	for t, e := range f.run.engines {
@@ -168,9 +168,9 @@
 	id := running(j)
 	delete(f.jobs, id)
 	f.nodes[j.daemon].core.Finish(f.run.time(), id, scheduler.Result{
-		Served:  j.served() - j.earlier,
-		Elapsed: f.run.now - j.resumed,
-		First:   max(0, j.first-j.resumed),
+		Served:    j.served() - j.earlier,
+		Elapsed:   f.run.now - j.resumed,
+		FirstByte: max(0, j.first-j.resumed),
 	})
 }
 
@@ -197,7 +197,7 @@
 
 func (f *fleet) carryOut(d int) {
 	n := f.nodes[d]
-	for effects := n.core.Take(); len(effects) > 0; effects = n.core.Take() {
+	for effects := n.core.TakeEffects(); len(effects) > 0; effects = n.core.TakeEffects() {
 		for _, effect := range effects {
 			switch e := effect.(type) {
 			case scheduler.Dispatch:
@@ -250,8 +250,8 @@
 		}
 		if f.loss && f.rng.IntN(lossEvery) == 0 {
 			// The link broke and took the message with it; both ends notice.
-			n.core.Reset(p.id)
-			p.core.Reset(n.id)
+			n.core.ResyncPeer(p.id)
+			p.core.ResyncPeer(n.id)
 			continue
 		}
 		f.inbox = append(f.inbox, letter{from: from, to: to, message: e.Message})
--- a/test/fairness/fleetpreempt.go
+++ b/test/fairness/fleetpreempt.go
@@ -34,7 +34,7 @@
 	}
 	spec.Cost += meanOutput(j.class)
 	spec.Preemptible = spec.Class != scheduler.Interactive
-	spec.Stops, spec.Earlier = j.preempted, j.earlier
+	spec.Preemptions, spec.PriorServed = j.preempted, j.earlier
 }
 
 // preempt stops a job, and queues it again at its daemon. One that has found its
--- a/test/fairness/wire.go
+++ b/test/fairness/wire.go
@@ -29,21 +29,21 @@
 	n += rows(5, len(m.Releases))
 	for _, r := range m.Releases {
 		n += idStep + 1 + servedBytes(r.Result.Served) +
-			varint(uint64(r.Result.Elapsed.Microseconds()/100)) + varint(uint64(r.Result.First.Microseconds()/100))
+			varint(uint64(r.Result.Elapsed.Microseconds()/100)) + varint(uint64(r.Result.FirstByte.Microseconds()/100))
 	}
-	n += rows(2, len(m.Parts))
-	for _, p := range m.Parts {
+	n += rows(2, len(m.ServedTotals))
+	for _, p := range m.ServedTotals {
 		n += index + servedBytes(p.Served)
 	}
-	n += rows(2, len(m.Sums))
-	for _, p := range m.Sums {
+	n += rows(2, len(m.Aggregates))
+	for _, p := range m.Aggregates {
 		n += index + servedBytes(p.Served)
 	}
-	n += rows(2, len(m.News)) + len(m.News)*2*index
-	if m.HeldValid {
-		n += rows(1, 1) + len(m.Held)*idStep
+	n += rows(2, len(m.HealthUpdates)) + len(m.HealthUpdates)*2*index
+	if m.HeldGrantsValid {
+		n += rows(1, 1) + len(m.HeldGrants)*idStep
 	}
-	return n + rows(1, len(m.Preempts)) + len(m.Preempts)*idStep
+	return n + rows(1, len(m.PreemptGrants)) + len(m.PreemptGrants)*idStep
 }
 
 // idStep is the usual size of the difference between two grant ids.
