--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -191,7 +191,7 @@
 
 // Peers replaces the list of other live daemons.
 func (l *Loop) Peers(peers []scheduler.Peer) {
-	l.do(func(now time.Time) { l.core.Peers(now, peers) })
+	l.do(func(now time.Time) { l.core.SetPeers(now, peers) })
 }
 
 // Reset tells that messages to or from a peer may have been lost.
@@ -201,7 +201,7 @@
 
 // TargetHealth reports what was learnt about a target.
 func (l *Loop) TargetHealth(service ident.Service, target ident.Target, health scheduler.Health) {
-	l.do(func(now time.Time) { l.core.TargetHealth(now, service, target, health) })
+	l.do(func(now time.Time) { l.core.ReportTargetHealth(now, service, target, health) })
 }
 
 // TargetCache hands over the answer of an owned target to a poll for its cache
--- a/internal/scheduler/cache_events_test.go
+++ b/internal/scheduler/cache_events_test.go
@@ -91,7 +91,7 @@
 				peers = append(peers, scheduler.Peer{ID: daemonName(j), Incarnation: 1, Zone: "z1"})
 			}
 		}
-		c.Peers(start, peers)
+		c.SetPeers(start, peers)
 	}
 	return f
 }
@@ -241,7 +241,7 @@
 // control traffic.
 func TestSummariesAreBounded(t *testing.T) {
 	is := is.New(t)
-	owner, ingress := linked(20)
+	owner, ingress := newOwnerAndIngress(20)
 	page := placement.CachePage{Run: "r"}
 	for i := range uint64(30) {
 		page.Events, page.Next = append(page.Events, placement.CacheEvent{Sequence: i + 1, Prefix: i, Stored: true}), i+1
--- a/internal/scheduler/clock_test.go
+++ b/internal/scheduler/clock_test.go
@@ -15,7 +15,7 @@
 func TestTickOlderThanRequestIsHarmless(t *testing.T) {
 	is := is.New(t)
 	c := newCore("d2", "z2")
-	c.Peers(start, []scheduler.Peer{{ID: "d1", Incarnation: 1, Zone: "z1"}})
+	c.SetPeers(start, []scheduler.Peer{{ID: "d1", Incarnation: 1, Zone: "z1"}})
 	is.True(c.Submit(start.Add(time.Second), request("a0", "a")) == nil)
 	c.Tick(start)
 	is.Equal(len(dispatched(c)), 0) // it waits for the owner's grant
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -93,10 +93,10 @@
 	// withholdUntil is when the daemon may start to grant its own slots.
 	withholdUntil time.Time
 	// recentGrants are the grants of the last exchange interval, oldest first.
-	recentGrants []freshGrant
+	recentGrants []recentGrant
 	// reduction is set while the fleet is large enough for the reduced exchange,
 	// whose next round is due at nextRound.
-	reduction *reduction
+	reduction *aggregationPlan
 	nextRound time.Time
 	// baselineUntil applies after a switch back to the full exchange: until then, a
 	// total received for the first time is only a baseline and is not counted.
@@ -123,16 +123,16 @@
 	owners map[ident.Daemon]bool
 	ledger *fairshare.Ledger
 	// aggregates holds the totals that this daemon aggregates for its zone.
-	aggregates map[ident.Workspace]*sum
+	aggregates map[ident.Workspace]*workspaceSum
 	admission  *admission.Controller
-	placement  *places
+	placement  *targetTable
 	// requestCost is the mean cost of a request, and slotRate its mean cost per
 	// second, over the requests of this ingress.
 	requestCost, slotRate movingAverage
 	// preemptionEnabled reports whether streams may be stopped. pendingPreemptions
 	// lists the slots requested back, and preemptionBudget bounds their number.
 	preemptionEnabled  bool
-	pendingPreemptions []freeing
+	pendingPreemptions []pendingPreemption
 	preemptionBudget   preemption.Budget
 }
 
@@ -265,7 +265,7 @@
 	}
 	c.services = configured
 	c.assignOwners()
-	c.assignAll(now)
+	c.grantAllFreeSlots(now)
 }
 
 func (c *Core) newService(name ident.Service) *service {
@@ -275,7 +275,7 @@
 		targets:    map[ident.Target]*target{},
 		ledger:     fairshare.New(fairshare.Config{Self: c.cfg.Self, Incarnation: c.cfg.Incarnation}),
 		admission:  c.newAdmission(),
-		placement:  newPlaces(c.cfg.Zone, c.rng),
+		placement:  newTargetTable(c.cfg.Zone, c.rng),
 	}
 }
 
@@ -292,7 +292,7 @@
 		}
 		w.configure(ws)
 		s.ledger.SetWeight(ws.Name, ws.Weight)
-		s.ledger.SetGroup(ws.Name, groupName(ws.Targets))
+		s.ledger.SetGroup(ws.Name, targetGroupKey(ws.Targets))
 		s.admission.SetLimits(ws.Name, admission.Limits{Weight: ws.Weight, Concurrent: ws.ConcurrencyLimit, Rate: ws.RateLimit})
 		workspaces[ws.Name] = w
 		s.sortedWorkspaces = append(s.sortedWorkspaces, w)
@@ -333,8 +333,8 @@
 func (c *Core) Leave(now time.Time) {
 	c.leaving = true
 	c.assignOwners()
-	c.chooseExchange(now)
-	c.assignAll(now)
+	c.selectExchangeMode(now)
+	c.grantAllFreeSlots(now)
 }
 
 // TakeEffects returns the effects since the last call and clears them.
--- a/internal/scheduler/core_test.go
+++ b/internal/scheduler/core_test.go
@@ -71,8 +71,8 @@
 func TestRequestOfAnotherZoneIsGrantedOverMessages(t *testing.T) {
 	is := is.New(t)
 	owner, ingress := newCore("d1", "z1"), newCore("d2", "z2")
-	owner.Peers(start, []scheduler.Peer{{ID: "d2", Incarnation: 1, Zone: "z2"}})
-	ingress.Peers(start, []scheduler.Peer{{ID: "d1", Incarnation: 1, Zone: "z1"}})
+	owner.SetPeers(start, []scheduler.Peer{{ID: "d2", Incarnation: 1, Zone: "z2"}})
+	ingress.SetPeers(start, []scheduler.Peer{{ID: "d1", Incarnation: 1, Zone: "z1"}})
 	is.True(ingress.Submit(start, request("r1", "a")) == nil)
 	is.True(ingress.Submit(start, request("r2", "a")) == nil)
 	now := start.Add(time.Second)
@@ -93,8 +93,8 @@
 func TestEachSingleRequestIsAnnouncedImmediately(t *testing.T) {
 	is := is.New(t)
 	owner, ingress := newCore("d1", "z1"), newCore("d2", "z1")
-	owner.Peers(start, []scheduler.Peer{{ID: "d2", Incarnation: 1, Zone: "z1"}})
-	ingress.Peers(start, []scheduler.Peer{{ID: "d1", Incarnation: 1, Zone: "z1"}})
+	owner.SetPeers(start, []scheduler.Peer{{ID: "d2", Incarnation: 1, Zone: "z1"}})
+	ingress.SetPeers(start, []scheduler.Peer{{ID: "d1", Incarnation: 1, Zone: "z1"}})
 	ownerID, ingressID := ident.Daemon("d1"), ident.Daemon("d2")
 	if _, targets := owner.Status(); targets[0].Owner == ingressID {
 		owner, ingress, ownerID, ingressID = ingress, owner, ingressID, ownerID
@@ -153,8 +153,8 @@
 			MeanCost:   100,
 		}})
 	}
-	owner.Peers(start, []scheduler.Peer{{ID: "d2", Incarnation: 1, Zone: "z1"}})
-	ingress.Peers(start, []scheduler.Peer{{ID: "d1", Incarnation: 1, Zone: "z1"}})
+	owner.SetPeers(start, []scheduler.Peer{{ID: "d2", Incarnation: 1, Zone: "z1"}})
+	ingress.SetPeers(start, []scheduler.Peer{{ID: "d1", Incarnation: 1, Zone: "z1"}})
 	ownerID, ingressID := ident.Daemon("d1"), ident.Daemon("d2")
 	if _, targets := owner.Status(); targets[0].Owner == ingressID {
 		owner, ingress, ownerID, ingressID = ingress, owner, ingressID, ownerID
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -172,7 +172,7 @@
 func (c *Core) resetOwners(s *service) {
 	for _, w := range s.sortedWorkspaces {
 		w.owners, w.demandUpToDate = nil, false
-		s.findHere(w)
+		s.updateOwnsTarget(w)
 	}
 }
 
--- a/internal/scheduler/exchange.go
+++ b/internal/scheduler/exchange.go
@@ -16,12 +16,12 @@
 	if p == nil || p.Incarnation != m.Incarnation {
 		return
 	}
-	p.hears(now, m)
+	p.recordMessage(now, m)
 	for _, total := range m.ServedTotals {
-		c.takePart(now, p, total)
+		c.mergePart(now, p, total)
 	}
 	for _, total := range m.Aggregates {
-		c.takeSum(now, p, total)
+		c.mergeSum(now, p, total)
 	}
 	for _, l := range m.Limits {
 		if s := c.services[l.Service]; s != nil {
@@ -29,7 +29,7 @@
 		}
 	}
 	for _, update := range m.HealthUpdates {
-		c.learn(now, update.Service, update.Target, update.Health)
+		c.updateTargetHealth(now, update.Service, update.Target, update.Health)
 	}
 	for _, d := range m.Demand {
 		c.applyDemand(from, d)
@@ -38,7 +38,7 @@
 		c.reconcile(now, from, m)
 	}
 	for _, rel := range m.Releases {
-		c.released(now, rel)
+		c.handleRelease(now, rel)
 	}
 	for _, g := range m.Grants {
 		p.heldListsDue = max(p.heldListsDue, 1)
@@ -46,9 +46,9 @@
 		c.acceptGrant(now, from, g)
 	}
 	for _, id := range m.PreemptGrants {
-		c.stop(now, from, id)
+		c.handlePreempt(now, from, id)
 	}
-	c.assignAll(now)
+	c.grantAllFreeSlots(now)
 }
 
 // applyDemand records the demand of an ingress, less the grants that the ingress
@@ -144,7 +144,7 @@
 		c.nextHeldGrants = now.Add(c.cfg.HeldGrantsInterval)
 		c.sendHeldGrants()
 	}
-	c.assignAll(now)
+	c.grantAllFreeSlots(now)
 }
 
 // workspacesToVisit returns the workspaces that a tick has to process: the active
@@ -178,7 +178,7 @@
 // tuneLedger adapts the ledger to the conditions measured since the last exchange.
 func (c *Core) tuneLedger(s *service) {
 	conditions := fairshare.Conditions{
-		Lag:      c.lag(),
+		Lag:      c.reportingLag(),
 		SlotRate: s.slotRate.value,
 		MeanCost: s.requestCost.value,
 	}
--- a/internal/scheduler/ingress.go
+++ b/internal/scheduler/ingress.go
@@ -74,7 +74,7 @@
 	c.requests[spec.ID] = r
 	s.activate(w)
 	c.queueChanged(now, s, w)
-	c.assign(now, s)
+	c.grantFreeSlots(now, s)
 	c.useIdleGrants(now, s, w)
 	c.sendDemand(now, s, w, onArrival)
 	return nil
@@ -124,7 +124,7 @@
 	if s := c.services[r.Service]; s != nil {
 		s.recordFinished(r, result)
 		if r.owner != c.cfg.Self {
-			s.placement.observe(now, r.grant.Target, result, 0)
+			s.placement.recordResult(now, r.grant.Target, result, 0)
 		}
 	}
 	// An attempt that was being stopped but ended by itself still returns its slot.
@@ -232,7 +232,7 @@
 		return nil // The owner uses another version of the document.
 	}
 	mayRun := func(it queue.Item[*request]) bool { return it.Value.mayRunOn(g.Target) }
-	it, expired, ok := w.queue.PopPreferred(now, mayRun, s.placement.prefers(g.Target))
+	it, expired, ok := w.queue.PopPreferred(now, mayRun, s.placement.prefixMatcher(g.Target))
 	c.refuseExpired(now, expired)
 	c.queueChanged(now, s, w)
 	if !ok {
@@ -240,7 +240,7 @@
 	}
 	w.running++
 	s.admission.RecordDispatch(now, w.Name)
-	s.placement.dispatched(now, g.Target, it.Value)
+	s.placement.recordDispatch(now, g.Target, it.Value)
 	return it.Value
 }
 
@@ -276,7 +276,7 @@
 
 func (c *Core) releaseGrant(now time.Time, owner ident.Daemon, rel Release) {
 	if owner == c.cfg.Self {
-		c.released(now, rel)
+		c.handleRelease(now, rel)
 		return
 	}
 	if c.peers[owner] != nil {
--- a/internal/scheduler/limits_test.go
+++ b/internal/scheduler/limits_test.go
@@ -92,7 +92,7 @@
 				peers = append(peers, scheduler.Peer{ID: p.id, Incarnation: p.incarnation, Zone: "z1"})
 			}
 		}
-		n.core.Peers(f.now, peers)
+		n.core.SetPeers(f.now, peers)
 	}
 }
 
--- a/internal/scheduler/owner.go
+++ b/internal/scheduler/owner.go
@@ -10,16 +10,17 @@
 	"github.com/savorystall/savorystall/internal/membership"
 )
 
-// assignOwners decides which targets this daemon grants. Ownership is soft: two
-// owners of one target only admit too much for a moment, and the target refuses
-// what it cannot take.
+// assignOwners recomputes which targets this daemon owns and grants slots of.
+// Ownership is not exclusive: while daemons disagree on the membership, two of
+// them may own one target. They then admit too many requests for a short time,
+// and the target rejects what exceeds its capacity.
 func (c *Core) assignOwners() {
 	c.members = membership.NewOwners(c.knownMembers())
 	for _, s := range c.services {
 		s.owned = s.owned[:0]
 		s.owners = map[ident.Daemon]bool{}
 		for _, t := range s.targets {
-			owner := c.owner(t)
+			owner := c.ownerOf(t)
 			s.owners[owner] = true
 			if owner == c.cfg.Self {
 				s.owned = append(s.owned, t)
@@ -30,12 +31,13 @@
 	}
 }
 
-// owner returns the daemon that grants a target, by what is known of the members.
-func (c *Core) owner(t *target) ident.Daemon {
+// ownerOf returns the daemon that owns a target according to the known
+// membership.
+func (c *Core) ownerOf(t *target) ident.Daemon {
 	return c.members.Of(t.service.name, t.Name, t.Zone)
 }
 
-// knownMembers are this daemon and its peers.
+// knownMembers returns this daemon and its peers.
 func (c *Core) knownMembers() []membership.Member {
 	members := []membership.Member{{ID: c.cfg.Self, Zone: c.cfg.Zone, Leaving: c.leaving}}
 	for _, p := range c.peers {
@@ -44,47 +46,48 @@
 	return members
 }
 
-func (c *Core) assignAll(now time.Time) {
+func (c *Core) grantAllFreeSlots(now time.Time) {
 	names := make([]ident.Service, 0, len(c.services))
 	for name := range c.services {
 		names = append(names, name)
 	}
 	sort.Slice(names, func(i, j int) bool { return names[i] < names[j] })
 	for _, name := range names {
-		c.assign(now, c.services[name])
+		c.grantFreeSlots(now, c.services[name])
 	}
 }
 
-// assign gives away free slots of the owned targets as long as work waits.
-func (c *Core) assign(now time.Time, s *service) {
-	c.ageGrants(now)
-	if !c.heardAll(now) {
+// grantFreeSlots grants the free slots of the owned targets while requests are
+// waiting.
+func (c *Core) grantFreeSlots(now time.Time, s *service) {
+	c.expireRecentGrants(now)
+	if !c.readyToGrant(now) {
 		return
 	}
-	for len(s.findFree()) > 0 {
-		w := c.pick(s)
+	for len(s.listFreeTargets()) > 0 {
+		w := c.pickWorkspace(s)
 		if w == nil {
 			return
 		}
-		t := c.freeTarget(s, w)
+		t := c.chooseTarget(s, w)
 		if t == nil {
 			return
 		}
 		c.grant(now, t, w, c.pickIngress(w))
 	}
-	c.preempt(now, s)
+	c.requestPreemptions(now, s)
 }
 
-// pick returns the workspace that is owed most among those with demand that may
-// use one of the free targets.
-func (c *Core) pick(s *service) *workspace {
+// pickWorkspace returns the workspace that fair sharing favors most among those
+// that have demand and may use one of the free targets, or nil.
+func (c *Core) pickWorkspace(s *service) *workspace {
 	var candidates []fairshare.Candidate
 	for _, w := range s.active {
-		wants := w.ownsAllowedTarget && (w.waiting() > 0 || w.remoteWaiting() > 0)
-		if wants && w.fits(s.placement.free) {
+		hasDemand := w.ownsAllowedTarget && (w.waiting() > 0 || w.remoteWaiting() > 0)
+		if hasDemand && w.mayUseAny(s.placement.free) {
 			candidates = append(candidates, fairshare.Candidate{Workspace: w.Name, Running: w.activeGrants, Unreported: w.recentGrants})
 		}
-		s.ledger.SetBacklogged(w.Name, wants)
+		s.ledger.SetBacklogged(w.Name, hasDemand)
 	}
 	name, ok := s.ledger.Pick(candidates)
 	if !ok {
@@ -93,19 +96,21 @@
 	return s.workspaces[name]
 }
 
-// urgentTurns is how many grants in a row may go to ingresses with interactive
-// requests before one goes by all that wait, so that no ingress starves.
-const urgentTurns = 7
-
-// pickIngress draws the ingress that gets the grant, in proportion to what waits
-// at each, so that a request waits as long at any daemon. While interactive
-// requests wait, most grants go by those alone, because one that waits here
-// does not help one that waits elsewhere. A draw needs no memory of who was
-// served, and owners that draw do not all choose the same ingress.
+// maxInteractiveGrants is the number of consecutive grants that are distributed
+// by interactive demand alone. The next grant considers all waiting requests,
+// so that no ingress is starved.
+const maxInteractiveGrants = 7
+
+// pickIngress selects the ingress that receives the grant, at random and in
+// proportion to the number of requests waiting at each, so that the expected
+// wait is the same at every daemon. While interactive requests wait, most
+// grants consider only those, because classes are ordered within one ingress
+// but not across ingresses. Random selection needs no record of earlier grants
+// and keeps several owners from all choosing the same ingress.
 func (c *Core) pickIngress(w *workspace) ident.Daemon {
-	w.pickCount = (w.pickCount + 1) % (urgentTurns + 1)
+	w.pickCount = (w.pickCount + 1) % (maxInteractiveGrants + 1)
 	count := func(d demand) int { return d.waiting }
-	if w.pickCount != 0 && w.anyUrgent() {
+	if w.pickCount != 0 && w.hasInteractiveDemand() {
 		count = func(d demand) int { return d.urgent }
 	}
 	ids := make([]ident.Daemon, 0, len(w.ingressDemand))
@@ -117,16 +122,18 @@
 		}
 	}
 	slices.Sort(ids)
-	left := c.rng.IntN(total)
+	remaining := c.rng.IntN(total)
 	for _, id := range ids {
-		if left -= count(w.ingressDemand[id]); left < 0 {
+		if remaining -= count(w.ingressDemand[id]); remaining < 0 {
 			return id
 		}
 	}
 	return c.cfg.Self
 }
 
-func (w *workspace) anyUrgent() bool { return w.ownDemand().urgent > 0 || w.remoteTotal.urgent > 0 }
+func (w *workspace) hasInteractiveDemand() bool {
+	return w.ownDemand().urgent > 0 || w.remoteTotal.urgent > 0
+}
 
 func (c *Core) grant(now time.Time, t *target, w *workspace, ingress ident.Daemon) {
 	c.lastGrant++
@@ -141,7 +148,7 @@
 	g.SpareCapacity = t.service.hasSpareCapacity()
 	w.addGrant(ingress, g.ID)
 	w.recentGrants++
-	c.recentGrants = append(c.recentGrants, freshGrant{workspace: w, until: now.Add(c.cfg.ExchangeInterval)})
+	c.recentGrants = append(c.recentGrants, recentGrant{workspace: w, expiry: now.Add(c.cfg.ExchangeInterval)})
 	if ingress == c.cfg.Self {
 		c.acceptGrant(now, c.cfg.Self, g.Grant)
 		return
@@ -152,15 +159,17 @@
 	m.Grants = append(m.Grants, g.Grant)
 }
 
-// freshGrant is a grant whose service has not come back with an exchange.
-type freshGrant struct {
+// recentGrant is a grant that is too recent for its service to have been
+// reported in an exchange.
+type recentGrant struct {
 	workspace *workspace
-	until     time.Time
+	expiry    time.Time
 }
 
-// ageGrants counts off the grants that are older than an exchange.
-func (c *Core) ageGrants(now time.Time) {
-	for len(c.recentGrants) > 0 && !now.Before(c.recentGrants[0].until) {
+// expireRecentGrants stops counting grants as recent once they are older than
+// one exchange interval.
+func (c *Core) expireRecentGrants(now time.Time) {
+	for len(c.recentGrants) > 0 && !now.Before(c.recentGrants[0].expiry) {
 		c.recentGrants[0].workspace.recentGrants--
 		c.recentGrants = c.recentGrants[1:]
 	}
@@ -179,33 +188,35 @@
 	return g
 }
 
-// released takes a slot back and gives it away again.
-func (c *Core) released(now time.Time, rel Release) {
+// handleRelease frees the slot of a released grant and grants it again.
+func (c *Core) handleRelease(now time.Time, rel Release) {
 	g := c.dropGrant(rel.Grant)
 	if g == nil {
 		return
 	}
 	if w := g.target.service.workspaces[g.Workspace]; rel.Unused && w != nil {
-		// Nothing waits there any more. Going by the old count, every slot
-		// would travel there and back as often as that says.
+		// The ingress has no waiting requests left. Keeping the old demand
+		// would send it that many more grants, each of which would come back
+		// unused.
 		w.setIngressDemand(g.ingress, demand{})
 	}
 	if !rel.Unused {
-		g.target.service.placement.observe(now, g.Target, rel.Result, len(g.target.grants)+1)
+		g.target.service.placement.recordResult(now, g.Target, rel.Result, len(g.target.grants)+1)
 	}
 	if rel.Result.Preempted {
-		c.freed(now, g)
+		c.reassignPreemptedSlot(now, g)
 	}
-	c.assign(now, g.target.service)
+	c.grantFreeSlots(now, g.target.service)
 }
 
-// TargetHealth records what was learnt about a target and tells the peers. The
-// answer of a suspect target counts only when its probe is due.
-func (c *Core) TargetHealth(now time.Time, service ident.Service, name ident.Target, health Health) {
+// ReportTargetHealth records an observation about a target's health and
+// broadcasts it to the peers. A successful response from a suspect target
+// counts only when its probe is due.
+func (c *Core) ReportTargetHealth(now time.Time, service ident.Service, name ident.Target, health Health) {
 	if s := c.services[service]; s != nil && health == HealthAnswered && !s.placement.ProbeDue(now, name) {
 		return
 	}
-	if !c.learn(now, service, name, health) {
+	if !c.updateTargetHealth(now, service, name, health) {
 		return
 	}
 	for id := range c.peers {
@@ -214,14 +225,14 @@
 	}
 }
 
-func (c *Core) learn(now time.Time, service ident.Service, name ident.Target, health Health) bool {
+func (c *Core) updateTargetHealth(now time.Time, service ident.Service, name ident.Target, health Health) bool {
 	s := c.services[service]
 	if s == nil || s.targets[name] == nil {
 		return false
 	}
-	if !s.placement.learn(now, name, health) {
+	if !s.placement.updateHealth(now, name, health) {
 		return false
 	}
-	c.assign(now, s)
+	c.grantFreeSlots(now, s)
 	return true
 }
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -6,9 +6,9 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// Peers replaces the list of the other live daemons.
-func (c *Core) Peers(now time.Time, peers []Peer) {
-	kept := make(map[ident.Daemon]*peer, len(peers))
+// SetPeers replaces the set of other live daemons.
+func (c *Core) SetPeers(now time.Time, peers []Peer) {
+	current := make(map[ident.Daemon]*peer, len(peers))
 	added := 0
 	for _, spec := range peers {
 		p := c.peers[spec.ID]
@@ -16,7 +16,7 @@
 			added++
 		}
 		if p != nil && p.Incarnation != spec.Incarnation {
-			c.forgetPeer(now, p)
+			c.removePeer(now, p)
 			c.forgetLimits(now, p.ID)
 			p = nil
 		}
@@ -24,40 +24,41 @@
 			p = &peer{needsFullUpdate: true, heldListsDue: heldListsAfterLoss}
 		}
 		p.Peer = spec
-		kept[spec.ID] = p
+		current[spec.ID] = p
 	}
 	for id, p := range c.peers {
-		if kept[id] == nil {
-			c.forgetPeer(now, p)
+		if current[id] == nil {
+			c.removePeer(now, p)
 			c.departed[id] = now
 		}
 	}
-	for id := range kept {
+	for id := range current {
 		delete(c.departed, id)
 	}
-	c.peers = kept
-	c.hear(now, added)
+	c.peers = current
+	c.delayInitialGrants(now, added)
 	c.divideLimits(now)
 	c.assignOwners()
-	c.chooseExchange(now)
-	c.assignAll(now)
+	c.selectExchangeMode(now)
+	c.grantAllFreeSlots(now)
 }
 
-// forgetPeer frees the slots that a dead ingress held. Its streams may still
-// run for a moment, which over-admits a little; without it the slots of a
-// daemon that never comes back would idle for good.
-func (c *Core) forgetPeer(now time.Time, p *peer) {
+// removePeer frees the slots held by a dead ingress. Its streams may still run
+// for a short time, which admits slightly too many requests. Otherwise the
+// slots of a daemon that never returns would stay idle forever.
+func (c *Core) removePeer(now time.Time, p *peer) {
 	for id, g := range c.grants {
 		if g.ingress == p.ID {
 			c.dropGrant(id)
 		}
 	}
-	share := c.unreported(now, p)
+	fraction := c.unreportedFraction(now, p)
 	for _, s := range c.services {
 		if c.reduction == nil {
-			// In the reduced exchange, what replaces the estimate when the peer
-			// comes back would be missing in the sums that are told to others.
-			s.ledger.EstimateLost(p.ID, share)
+			// With hierarchical aggregation, the correction of this estimate
+			// when the peer returns would be missing from the sums sent to
+			// other daemons.
+			s.ledger.EstimateLost(p.ID, fraction)
 		}
 		for _, w := range s.sortedWorkspaces {
 			w.setIngressDemand(p.ID, demand{})
@@ -68,23 +69,25 @@
 	c.forgetSummaries(p.ID)
 }
 
-// hearFirst is how long a daemon that has just met most of its peers waits before
-// it gives slots away. After a restart its slots are all free and it knows no
-// demand: it gave them all to the workspaces of the first message that came, which
-// got 0.3 s of the fleet's service too much. Each ingress shows its demand at its
-// next tick (20 ms), after the spill (20 ms) to other zones, and the way there is
-// some ms. Once each peer was heard there is no more to wait for.
-const hearFirst = 100 * time.Millisecond
+// initialGrantDelay is how long a daemon waits before it grants slots when most
+// of its peers are new. After a restart all of its slots are free and it knows
+// no demand. Without the delay it granted all of them to the workspaces in the
+// first message received, which gave those 0.3 s of the fleet's service too
+// much. Each ingress reports its demand on its next tick (20 ms), and to other
+// zones after the spill delay (20 ms); the network adds a few ms. The delay
+// ends early once every peer has sent a message.
+const initialGrantDelay = 100 * time.Millisecond
 
-// hear keeps the slots back for a moment if most peers are new.
-func (c *Core) hear(now time.Time, added int) {
+// delayInitialGrants postpones grants if most peers are new.
+func (c *Core) delayInitialGrants(now time.Time, added int) {
 	if 2*added > len(c.peers) {
-		c.withholdUntil = now.Add(hearFirst)
+		c.withholdUntil = now.Add(initialGrantDelay)
 	}
 }
 
-// heardAll tells whether the own slots may be given away.
-func (c *Core) heardAll(now time.Time) bool {
+// readyToGrant reports whether this daemon may grant its slots: every peer has
+// sent a message, or the initial delay has passed.
+func (c *Core) readyToGrant(now time.Time) bool {
 	if !now.Before(c.withholdUntil) {
 		return true
 	}
@@ -96,23 +99,24 @@
 	return true
 }
 
-// unreported is the part of an exchange that a peer which can no longer be reached
-// worked on after it told last what it had delivered. It was alive at its last
-// message of any kind, and of the time from then until it was missed, which is at
-// most until its next exchange, half counts. Without this half an exchange was
-// counted always, and the callers of a daemon that had died a moment before its
-// exchange got a second of service more than all others.
-func (c *Core) unreported(now time.Time, p *peer) float64 {
+// unreportedFraction estimates the service that an unreachable peer delivered
+// after its last service report, as a fraction of an exchange interval. The
+// peer was alive until its last message of any kind. The time from then until
+// it was declared dead, limited to the rest of the exchange interval, counts
+// half. Always assuming half an interval gave the callers of a daemon that died
+// just before its exchange a second of service more than all others.
+func (c *Core) unreportedFraction(now time.Time, p *peer) float64 {
 	if p.totalsInterval <= 0 {
 		return 0
 	}
-	alive := p.lastMessage.Sub(p.lastTotals)
-	left := max(0, min(now.Sub(p.lastMessage), c.cfg.ExchangeInterval-alive))
-	return min(1, (alive+left/2).Seconds()/p.totalsInterval.Seconds())
+	knownAlive := p.lastMessage.Sub(p.lastTotals)
+	uncertain := max(0, min(now.Sub(p.lastMessage), c.cfg.ExchangeInterval-knownAlive))
+	return min(1, (knownAlive+uncertain/2).Seconds()/p.totalsInterval.Seconds())
 }
 
-// hears notes when a message came.
-func (p *peer) hears(now time.Time, m Message) {
+// recordMessage records when a message, and when a service report, was last
+// received.
+func (p *peer) recordMessage(now time.Time, m Message) {
 	p.lastMessage = now
 	if len(m.ServedTotals) == 0 {
 		return
--- a/internal/scheduler/places.go
+++ b/internal/scheduler/places.go
@@ -11,74 +11,81 @@
 	"github.com/savorystall/savorystall/internal/queue"
 )
 
-// places is what a daemon has learnt of the targets of one service. All of
-// them are in it, owned or not: what this daemon's own requests saw of the
-// others is what the owned ones are compared with.
-type places struct {
+// targetTable holds what a daemon knows about the targets of one service. It
+// covers all targets, owned or not, because the owned ones are compared with
+// what this daemon's own requests observed on the others.
+type targetTable struct {
 	*placement.Table
-	// plain marks a service whose cost is time: it has no pace for a token.
+	// plain marks a service whose cost is measured in time, so that it has no
+	// rate per token.
 	plain bool
-	// free is scratch space.
+	// free is a buffer reused by listFreeTargets.
 	free []placement.Free
 }
 
-func newPlaces(zone ident.Zone, rng *rand.Rand) *places {
-	return &places{Table: placement.New(placement.Config{Zone: zone}, rng)}
+func newTargetTable(zone ident.Zone, rng *rand.Rand) *targetTable {
+	return &targetTable{Table: placement.New(placement.Config{Zone: zone}, rng)}
 }
 
-func (p *places) configure(spec Service) {
-	p.plain = spec.Plain
+func (tt *targetTable) configure(spec Service) {
+	tt.plain = spec.Plain
 	targets := make([]placement.Target, len(spec.Targets))
 	for i, t := range spec.Targets {
 		targets[i] = placement.Target{Name: t.Name, Zone: t.Zone, Slots: t.Slots}
 	}
-	p.SetTargets(targets)
+	tt.SetTargets(targets)
 }
 
-// learn takes in news; they are the triggers of charts/target.yaml.
-func (p *places) learn(now time.Time, name ident.Target, health Health) bool {
-	return p.Learn(now, name, chart.Trigger(health))
+// updateHealth applies a health observation. Its values are the triggers of
+// charts/target.yaml.
+func (tt *targetTable) updateHealth(now time.Time, name ident.Target, health Health) bool {
+	return tt.Learn(now, name, chart.Trigger(health))
 }
 
-// observe takes in how an attempt ended on a target that then has inFlight
-// requests, as far as this daemon knows (zero: it does not).
-func (p *places) observe(now time.Time, name ident.Target, r Result, inFlight int) {
+// recordResult records how an attempt ended on a target. inFlight is the number
+// of requests that this daemon knew to be running on the target, including this
+// one; zero means unknown.
+func (tt *targetTable) recordResult(now time.Time, name ident.Target, r Result, inFlight int) {
 	if r.Preempted || r.Elapsed <= 0 && !r.Failed {
-		return // nothing was dispatched, or it says nothing of the target
+		return // nothing was dispatched, or the result says nothing about the target
 	}
 	sample := placement.Sample{
 		First: r.FirstByte, Elapsed: r.Elapsed, Failed: r.Failed, NotRun: r.NotRun, InFlight: inFlight,
 	}
-	if !p.plain {
+	if !tt.plain {
 		sample.Tokens = int(r.Served)
 	}
-	p.Observe(now, name, sample)
+	tt.Observe(now, name, sample)
 }
 
-// prefers tells for a target which waiting request finds the start of its prompt
-// in the target's cache. It chooses among the requests of the workspace that has
-// the grant, so that it takes nothing from any other.
-func (p *places) prefers(target ident.Target) func(queue.Item[*request]) bool {
+// prefixMatcher returns a predicate for waiting requests whose prompt prefix is
+// in the target's cache. It only chooses among the requests of the workspace
+// that holds the grant, so that cache affinity does not take service from other
+// workspaces.
+func (tt *targetTable) prefixMatcher(target ident.Target) func(queue.Item[*request]) bool {
 	return func(it queue.Item[*request]) bool {
 		r := it.Value
-		return r.Prefix != 0 && len(r.Avoid) == 0 && p.Holds(target, r.Prefix)
+		return r.Prefix != 0 && len(r.Avoid) == 0 && tt.Holds(target, r.Prefix)
 	}
 }
 
-// dispatched remembers that the target now has the start of the prompt.
-func (p *places) dispatched(now time.Time, target ident.Target, r *request) {
+// recordDispatch records that the target now caches the request's prompt
+// prefix.
+func (tt *targetTable) recordDispatch(now time.Time, target ident.Target, r *request) {
 	if r.Prefix != 0 {
-		p.CacheStored(now, target, r.Prefix)
+		tt.CacheStored(now, target, r.Prefix)
 	}
 }
 
-// usable tells whether the target may get new work, limit how much at once.
+// usable reports whether the target may receive new requests.
 func (t *target) usable() bool { return t.service.placement.Usable(t.Name) }
 
+// limit returns how many requests may run on the target at once.
 func (t *target) limit() int { return t.service.placement.Limit(t.Name) }
 
-// findFree lists the owned targets with a free slot.
-func (s *service) findFree() []placement.Free {
+// listFreeTargets returns the owned targets with a free slot. The result shares
+// a buffer that the next call and chooseTarget overwrite.
+func (s *service) listFreeTargets() []placement.Free {
 	s.placement.free = s.placement.free[:0]
 	for _, t := range s.owned {
 		if n := len(t.grants); n < t.limit() {
@@ -88,9 +95,9 @@
 	return s.placement.free
 }
 
-// freeTarget returns the one of the free targets that takes the next request of
-// the workspace, or nil.
-func (c *Core) freeTarget(s *service, w *workspace) *target {
+// chooseTarget returns the free target for the next request of the workspace,
+// or nil.
+func (c *Core) chooseTarget(s *service, w *workspace) *target {
 	free := s.placement.free
 	if w.allowedTargets != nil {
 		free = slices.DeleteFunc(free, func(f placement.Free) bool { return !w.allowedTargets[f.Target] })
--- a/internal/scheduler/places_test.go
+++ b/internal/scheduler/places_test.go
@@ -11,9 +11,9 @@
 	"github.com/savorystall/savorystall/internal/scheduler"
 )
 
-// newPool is a daemon that owns two targets of ten slots, with as much waiting
-// as it can take.
-func newPool(t *testing.T) *scheduler.Core {
+// newSaturatedPool returns a daemon that owns two targets of ten slots each and
+// has more requests waiting than they can run.
+func newSaturatedPool(t *testing.T) *scheduler.Core {
 	t.Helper()
 	c := scheduler.New(scheduler.Config{Self: "d1", Incarnation: 1, Zone: "z1"}, rand.New(rand.NewPCG(1, 2)))
 	c.Configure(start, []scheduler.Service{{
@@ -28,43 +28,45 @@
 	return c
 }
 
-// placed returns the dispatched requests by target.
-func placed(c *scheduler.Core) map[string][]scheduler.Dispatch {
-	by := map[string][]scheduler.Dispatch{}
+// dispatchesByTarget returns the dispatched requests by target.
+func dispatchesByTarget(c *scheduler.Core) map[string][]scheduler.Dispatch {
+	byTarget := map[string][]scheduler.Dispatch{}
 	for _, e := range c.TakeEffects() {
 		if d, ok := e.(scheduler.Dispatch); ok {
-			by[string(d.Target)] = append(by[string(d.Target)], d)
+			byTarget[string(d.Target)] = append(byTarget[string(d.Target)], d)
 		}
 	}
-	return by
+	return byTarget
 }
 
-// An engine runs fewer requests than its document says and refuses the others.
-// Sent there again and again, they would be turned down again and again while
-// they could wait where every slot that becomes free can take them.
-func TestTargetThatIsFullIsGivenLess(t *testing.T) {
+// A target accepts fewer requests than its configured slots and rejects the
+// others. The scheduler must reduce what it sends there: resent requests would
+// be rejected repeatedly instead of waiting for the next free slot on any
+// target.
+func TestOverloadedTargetReceivesFewerRequests(t *testing.T) {
 	is := is.New(t)
-	c := newPool(t)
-	first := placed(c)
+	c := newSaturatedPool(t)
+	first := dispatchesByTarget(c)
 	is.Equal(len(first["t1"]), 10)
 	for _, d := range first["t1"][5:] {
 		c.Finish(start, d.Request, scheduler.Result{NotRun: true, Elapsed: time.Millisecond})
 	}
-	again := placed(c)
+	again := dispatchesByTarget(c)
 	is.True(len(again["t1"]) < 5)
-	is.Equal(len(again["t2"]), 0) // it has all that it can take
+	is.Equal(len(again["t2"]), 0) // all of its slots are in use
 }
 
-// An engine cannot be reached. It is always free, so that it would draw all that
-// waits and fail it. It must get nothing until it has answered a probe.
-func TestUnreachableTargetGetsNothingUntilItAnswers(t *testing.T) {
+// An unreachable target has no running requests and therefore looks free, so it
+// would attract and fail all waiting requests. It must receive none until a
+// probe succeeds.
+func TestUnreachableTargetReceivesNothingUntilItAnswers(t *testing.T) {
 	is := is.New(t)
-	c := newPool(t)
-	first := placed(c)
+	c := newSaturatedPool(t)
+	first := dispatchesByTarget(c)
 	for _, d := range first["t1"] {
 		c.Finish(start, d.Request, scheduler.Result{Failed: true, NotRun: true, Elapsed: time.Millisecond})
 	}
-	is.Equal(len(placed(c)["t1"]), 0)
-	c.TargetHealth(start, "pool", "t1", scheduler.HealthAnswered)
-	is.Equal(len(placed(c)["t1"]), 10)
+	is.Equal(len(dispatchesByTarget(c)["t1"]), 0)
+	c.ReportTargetHealth(start, "pool", "t1", scheduler.HealthAnswered)
+	is.Equal(len(dispatchesByTarget(c)["t1"]), 10)
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -8,50 +8,51 @@
 	"github.com/savorystall/savorystall/internal/preemption"
 )
 
-// Preempt stops the attempt of a running request. The caller of the Core cancels
-// the stream, reports it by Finish with Result.Preempted, and queues the request
-// again by Requeue.
+// Preempt stops the attempt of a running request. The caller of the Core
+// cancels the stream, reports it with Finish and Result.Preempted, and queues
+// the request again with Requeue.
 type Preempt struct {
 	Request ident.Request
 }
 
 func (Preempt) effect() {}
 
-// preemptAnswer is how long an owner waits for the slot that it asked back. An
-// ingress of another zone answers within a few ticks; one that has nothing to
-// stop does not answer, and a lost message is not sent again.
-const preemptAnswer = time.Second
+// preemptTimeout is how long an owner waits for a slot it has requested back.
+// An ingress in another zone responds within a few ticks. One that has nothing
+// to stop does not respond, and a lost message is not retransmitted.
+const preemptTimeout = time.Second
 
-// freeing is a slot that this owner has asked back and does not have yet.
-type freeing struct {
-	to, from *workspace
-	ingress  ident.Daemon
-	since    time.Time
+// pendingPreemption is a slot that this owner has requested back and not yet
+// received.
+type pendingPreemption struct {
+	beneficiary, victim *workspace
+	ingress             ident.Daemon
+	requestedAt         time.Time
 }
 
-// preempt asks ingresses for slots back, where all are taken and a question
-// waits of a workspace below its share.
-func (c *Core) preempt(now time.Time, s *service) {
-	if !s.preemptionEnabled || !slices.ContainsFunc(s.active, (*workspace).anyUrgent) {
+// requestPreemptions asks ingresses to return slots if all slots are in use and
+// an interactive request of a workspace below its fair share is waiting.
+func (c *Core) requestPreemptions(now time.Time, s *service) {
+	if !s.preemptionEnabled || !slices.ContainsFunc(s.active, (*workspace).hasInteractiveDemand) {
 		return
 	}
-	s.pendingPreemptions = slices.DeleteFunc(s.pendingPreemptions, func(f freeing) bool { return now.Sub(f.since) >= preemptAnswer })
-	running, slots := s.occupied()
+	s.pendingPreemptions = slices.DeleteFunc(s.pendingPreemptions, func(f pendingPreemption) bool { return now.Sub(f.requestedAt) >= preemptTimeout })
+	running, slots := s.slotsInUse()
 	for slots > 0 && s.preemptionBudget.Available(now, slots) {
-		involved, list := s.standings(running)
-		to, from, ok := preemption.Choose(slots, list)
+		involved, standings := s.standings(running)
+		beneficiary, victim, ok := preemption.Choose(slots, standings)
 		if !ok {
 			return
 		}
-		g := s.youngest(involved[from], involved[to])
+		g := s.latestGrant(involved[victim], involved[beneficiary])
 		if g == nil {
 			return
 		}
 		s.preemptionBudget.Spend()
 		g.preemptRequested = true
-		s.pendingPreemptions = append(s.pendingPreemptions, freeing{to: involved[to], from: involved[from], ingress: g.ingress, since: now})
+		s.pendingPreemptions = append(s.pendingPreemptions, pendingPreemption{beneficiary: involved[beneficiary], victim: involved[victim], ingress: g.ingress, requestedAt: now})
 		if g.ingress == c.cfg.Self {
-			c.stop(now, c.cfg.Self, g.ID)
+			c.handlePreempt(now, c.cfg.Self, g.ID)
 			continue
 		}
 		m := c.messageTo(g.ingress)
@@ -59,10 +60,10 @@
 	}
 }
 
-// occupied counts the slots in use of the owned targets, by workspace and in all.
-// Grants of targets that have another owner by now are left out: their slots
-// would be given away there.
-func (s *service) occupied() (running map[ident.Workspace]int, slots int) {
+// slotsInUse counts the slots in use on the owned targets, by workspace and in
+// total. Grants for targets that now have another owner are excluded, because
+// that owner would grant their slots.
+func (s *service) slotsInUse() (running map[ident.Workspace]int, slots int) {
 	running = map[ident.Workspace]int{}
 	for _, t := range s.owned {
 		for _, g := range t.grants {
@@ -73,123 +74,127 @@
 	return running, slots
 }
 
-// standings lists the workspaces that have slots here or wait.
-func (s *service) standings(running map[ident.Workspace]int) (involved []*workspace, list []preemption.WorkspaceUsage) {
-	lead := s.ledger.SlotLeadFunc()
+// standings returns the workspaces that hold slots here or have waiting
+// requests.
+func (s *service) standings(running map[ident.Workspace]int) (involved []*workspace, standings []preemption.WorkspaceUsage) {
+	leadOf := s.ledger.SlotLeadFunc()
 	for _, w := range s.sortedWorkspaces {
 		if running[w.Name] == 0 && w.waiting() == 0 && w.remoteWaiting() == 0 {
 			continue
 		}
-		one := preemption.WorkspaceUsage{
+		standing := preemption.WorkspaceUsage{
 			Weight: w.Weight, Running: running[w.Name],
-			WaitingInteractive: w.ownDemand().urgent + w.remoteTotal.urgent, Lead: lead(w.Name),
+			WaitingInteractive: w.ownDemand().urgent + w.remoteTotal.urgent, Lead: leadOf(w.Name),
 		}
 		if !w.ownsAllowedTarget {
-			one.WaitingInteractive = 0 // No slot of this owner is for it.
+			standing.WaitingInteractive = 0 // this owner has no target that it may use
 		}
 		for _, f := range s.pendingPreemptions {
-			if f.to == w {
-				one.Running++
-				one.WaitingInteractive--
+			if f.beneficiary == w {
+				standing.Running++
+				standing.WaitingInteractive--
 			}
-			if f.from == w {
-				one.Releasing++
+			if f.victim == w {
+				standing.Releasing++
 			}
 		}
-		involved, list = append(involved, w), append(list, one)
+		involved, standings = append(involved, w), append(standings, standing)
 	}
-	return involved, list
+	return involved, standings
 }
 
-// youngest returns the workspace's latest grant that was not asked back yet, on a
-// target that the other may use, or nil. Each is asked back once: an ingress that has nothing to stop for it will
-// hardly have later.
-func (s *service) youngest(w, to *workspace) *issuedGrant {
-	var best *issuedGrant
+// latestGrant returns the workspace's latest grant that has not been requested
+// back, on a target that the beneficiary may use, or nil. Each grant is
+// requested back only once: an ingress that has nothing to stop for it is
+// unlikely to have something later.
+func (s *service) latestGrant(victim, beneficiary *workspace) *issuedGrant {
+	var latest *issuedGrant
 	for _, t := range s.owned {
-		if !to.mayUse(t.Name) {
+		if !beneficiary.mayUse(t.Name) {
 			continue
 		}
 		for _, g := range t.grants {
-			if g.Workspace == w.Name && !g.preemptRequested && (best == nil || g.ID > best.ID) {
-				best = g
+			if g.Workspace == victim.Name && !g.preemptRequested && (latest == nil || g.ID > latest.ID) {
+				latest = g
 			}
 		}
 	}
-	return best
+	return latest
 }
 
-// freed gives a slot that was asked back to the workspace that it was taken for,
-// where a question of it still waits.
-func (c *Core) freed(now time.Time, g *issuedGrant) {
+// reassignPreemptedSlot grants a preempted slot to the workspace it was
+// requested for, if an interactive request of that workspace is still waiting.
+func (c *Core) reassignPreemptedSlot(now time.Time, g *issuedGrant) {
 	s := g.target.service
-	i := slices.IndexFunc(s.pendingPreemptions, func(f freeing) bool { return f.ingress == g.ingress && f.from.Name == g.Workspace })
+	i := slices.IndexFunc(s.pendingPreemptions, func(f pendingPreemption) bool { return f.ingress == g.ingress && f.victim.Name == g.Workspace })
 	if i < 0 {
 		return
 	}
-	w := s.pendingPreemptions[i].to
+	w := s.pendingPreemptions[i].beneficiary
 	s.pendingPreemptions = slices.Delete(s.pendingPreemptions, i, i+1)
-	if s.workspaces[w.Name] != w || !w.anyUrgent() {
+	if s.workspaces[w.Name] != w || !w.hasInteractiveDemand() {
 		return
 	}
-	s.findFree()
-	if t := c.freeTarget(s, w); t != nil {
-		w.pickCount = 0 // the next draw is among ingresses with questions
+	s.listFreeTargets()
+	if t := c.chooseTarget(s, w); t != nil {
+		w.pickCount = 0 // choose among ingresses with interactive requests
 		c.grant(now, t, w, c.pickIngress(w))
 	}
 }
 
-// stop answers an owner that asks a grant's slot back: the request on it is
-// stopped, or in its place another of the workspace's on that owner's slots, the
-// one with the least to read again. Only the ingress knows which of them may be.
+// handlePreempt handles an owner's request to return the slot of a grant. It
+// stops the request that runs on it, or another request of the same workspace
+// on that owner's slots that loses less work. Only the ingress knows which of
+// them may be stopped.
 //
-// A grant that has ended is ignored, and so is one that was asked back before: a
-// message that comes late or twice would stop a second stream for a slot that
-// nobody waits for.
-func (c *Core) stop(now time.Time, owner ident.Daemon, id uint64) {
-	var asked *request
+// Unknown or finished grants are ignored, and so are grants that were requested
+// back before: a late or duplicate message would stop a second stream for a
+// slot that no request is waiting for.
+func (c *Core) handlePreempt(now time.Time, owner ident.Daemon, id uint64) {
+	var requested *request
 	for _, r := range c.requests {
 		if r.running && r.owner == owner && r.grant.ID == id {
-			asked = r
+			requested = r
 		}
 	}
-	if asked == nil || asked.preemptRequested {
+	if requested == nil || requested.preemptRequested {
 		return
 	}
-	asked.preemptRequested = true
-	if r := c.leastLoss(now, asked); r != nil {
+	requested.preemptRequested = true
+	if r := c.cheapestToPreempt(now, requested); r != nil {
 		r.stopping = true
 		c.emit(Preempt{Request: r.ID})
 	}
 }
 
-func (c *Core) leastLoss(now time.Time, like *request) *request {
-	s := c.services[like.Service]
+func (c *Core) cheapestToPreempt(now time.Time, requested *request) *request {
+	s := c.services[requested.Service]
 	if s == nil {
 		return nil
 	}
-	var best *request
+	var cheapest *request
 	for _, r := range c.requests {
-		if !r.running || r.stopping || r.owner != like.owner || r.Service != like.Service || r.Workspace != like.Workspace {
+		if !r.running || r.stopping || r.owner != requested.owner || r.Service != requested.Service || r.Workspace != requested.Workspace {
 			continue
 		}
-		if !r.stream(s).Preemptible(now) {
+		if !r.preemptionStream(s).Preemptible(now) {
 			continue
 		}
-		if best == nil || r.loss() < best.loss() || r.loss() == best.loss() && r.grant.ID > best.grant.ID {
-			best = r
+		if cheapest == nil || r.reprocessCost() < cheapest.reprocessCost() || r.reprocessCost() == cheapest.reprocessCost() && r.grant.ID > cheapest.grant.ID {
+			cheapest = r
 		}
 	}
-	return best
+	return cheapest
 }
 
-func (r *request) stream(s *service) preemption.Stream {
+func (r *request) preemptionStream(s *service) preemption.Stream {
 	return preemption.Stream{
 		Allowed: r.Preemptible && s.preemptionEnabled && r.Class != Interactive,
-		Served:  r.loss(), Cost: r.Cost, Preemptions: r.Preemptions,
+		Served:  r.reprocessCost(), Cost: r.Cost, Preemptions: r.Preemptions,
 		Deadline: r.Deadline, MedianServiceTime: s.admission.MedianServiceTime(uint8(r.Class)),
 	}
 }
 
-// loss is what would be read again, as far as it was reported.
-func (r *request) loss() float64 { return r.PriorServed + r.charged }
+// reprocessCost is the cost already delivered, as far as reported, which a
+// resumed request has to process again.
+func (r *request) reprocessCost() float64 { return r.PriorServed + r.charged }
--- a/internal/scheduler/prefix_test.go
+++ b/internal/scheduler/prefix_test.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	cachedPrefixes = 16 // that an engine keeps
-	casePrefixes   = 100
-	prefixRequests = 8000
-	prefixWaiting  = 60
+	cachedPrefixes    = 16 // per target
+	distinctPrefixes  = 100
+	prefixRequests    = 8000
+	prefixQueueLength = 60
 )
 
-// prefixRun sends one workspace's requests, each with the start of one of a
-// hundred prompts, through a daemon to four engines, and returns the part that
-// found its start in the engine's cache.
-func prefixRun(t *testing.T, hints bool) float64 {
+// runPrefixWorkload sends requests of one workspace, each with one of a hundred
+// prompt prefixes, through a daemon to four targets. It returns the cache hit
+// rate.
+func runPrefixWorkload(t *testing.T, hints bool) float64 {
 	c := scheduler.New(scheduler.Config{Self: "d1", Incarnation: 1, Zone: "z1"}, rand.New(rand.NewPCG(1, 2)))
 	service := scheduler.Service{
 		Name: "pool", MeanCost: 100,
@@ -40,9 +40,9 @@
 	var running []ident.Request
 	hits, sent := 0, 0
 	for now := start; sent < prefixRequests; now = now.Add(10 * time.Millisecond) {
-		for waiting := c.Waiting(); waiting < prefixWaiting; waiting++ {
+		for waiting := c.Waiting(); waiting < prefixQueueLength; waiting++ {
 			r := request(fmt.Sprint("r", len(prefixes)), "a")
-			prefixes[r.ID] = 1 + uint64(rng.IntN(casePrefixes))
+			prefixes[r.ID] = 1 + uint64(rng.IntN(distinctPrefixes))
 			if hints {
 				r.Prefix = prefixes[r.ID]
 			}
@@ -72,21 +72,21 @@
 	return float64(hits) / float64(sent)
 }
 
-// A co-operative asks about a hundred cases, each with the case file before the
-// question, and an engine caches sixteen files. Whatever request comes next to
-// the slot that is free, its file is seldom there and is computed anew.
-func TestPrefixHintsRaiseTheCacheHits(t *testing.T) {
+// Requests share a hundred prompt prefixes, and each target caches sixteen of
+// them. Without prefix hints, the next request in the queue seldom matches the
+// cache of the target with the free slot, and its prefix is computed again.
+func TestPrefixHintsIncreaseCacheHitRate(t *testing.T) {
 	is := is.New(t)
-	without, with := prefixRun(t, false), prefixRun(t, true)
-	t.Logf("hits: %.3f without hints, %.3f with", without, with)
+	without, with := runPrefixWorkload(t, false), runPrefixWorkload(t, true)
+	t.Logf("cache hit rate: %.3f without hints, %.3f with hints", without, with)
 	is.True(with > 1.5*without)
 }
 
-// hotPrefixRun gives two workspaces of equal weight always enough to do on four
-// engines. All of a's prompts start alike and run in half the time where that
-// start is cached; no two of b's do. It returns the largest difference in service
-// and what each was served, in tokens.
-func hotPrefixRun(t *testing.T, hints bool) (gap, a, b float64) {
+// runHotPrefixWorkload keeps two workspaces of equal weight backlogged on four
+// targets. All prompts of workspace a share one prefix and run in half the time
+// where it is cached; the prompts of b share none. It returns the largest
+// difference in service, and the service of each workspace, in tokens.
+func runHotPrefixWorkload(t *testing.T, hints bool) (gap, a, b float64) {
 	const slots, tokens, ticks = 8, 100, 8000
 	c := scheduler.New(scheduler.Config{Self: "d1", Incarnation: 1, Zone: "z1"}, rand.New(rand.NewPCG(1, 2)))
 	service := scheduler.Service{Name: "pool", MeanCost: tokens}
@@ -135,15 +135,15 @@
 	return gap, served['a'], served['b']
 }
 
-// Half of all callers start with the same case file. Engines that hold it end
-// their requests sooner and ask for more of them: were the choice by prefix made
-// before the choice of the workspace, the others would wait for as long as the
-// file is in fashion.
-func TestHotPrefixDoesNotWidenTheGap(t *testing.T) {
+// Half of all requests share one prompt prefix. Targets that cache it finish
+// those requests sooner and request more of them. If the choice by prefix came
+// before the choice of the workspace, the other workspace would be starved
+// while the prefix is popular.
+func TestHotPrefixDoesNotIncreaseFairnessGap(t *testing.T) {
 	is := is.New(t)
-	without, a0, b0 := hotPrefixRun(t, false)
-	with, a1, b1 := hotPrefixRun(t, true)
-	t.Logf("largest gap in tokens %.0f without hints, %.0f with; served %.0f and %.0f, %.0f and %.0f", without, with, a0, b0, a1, b1)
+	without, a0, b0 := runHotPrefixWorkload(t, false)
+	with, a1, b1 := runHotPrefixWorkload(t, true)
+	t.Logf("largest gap in tokens: %.0f without hints, %.0f with hints; served %.0f and %.0f, %.0f and %.0f", without, with, a0, b0, a1, b1)
 	is.True(with <= without)
 	// The bound of docs/design/fair-share.md for one owner: 32 slots, charges of
 	// 100, a slot's rate of 100 a second, two workspaces of weight 1.
--- a/internal/scheduler/reduce.go
+++ b/internal/scheduler/reduce.go
@@ -9,148 +9,160 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// The load pattern that the reduced exchange answers: hundreds of daemons that
-// all serve the same hundreds of backlogged workspaces. When each tells its
-// parts to all others, what a daemon sends grows with daemons times workspaces
-// (2.2 B/s for each pair, 590 KB/s at 360 daemons and 620 workspaces) and what
-// it has to take in as well.
+// Hierarchical aggregation of service totals, for fleets in which hundreds of
+// daemons serve the same hundreds of backlogged workspaces. If each daemon
+// sends its totals to all others, the traffic that it sends and receives grows
+// with daemons times workspaces: 2.2 B/s for each pair, or 590 KB/s at 360
+// daemons and 620 workspaces.
 //
-// So each workspace belongs to a shard, and each shard to one daemon a zone,
-// which adds up. A daemon tells its parts only to the daemons of its zone that
-// add up their workspaces. Those tell the zone's total to their counterparts in
-// other zones, and to each daemon of the zone what all others have delivered.
-// Bytes then grow with workspaces and with the daemons of a zone. The price is
-// lag: service reaches all others after three rounds at the most in place of one
-// exchange. Who waits travels as demand, as before, and not by this way.
+// Therefore each workspace belongs to a shard, and each shard has one
+// aggregator in every zone. A daemon sends its own totals only to the
+// aggregators of its zone. An aggregator sends the zone's total to the
+// aggregators of the shard in other zones, and sends each daemon of its zone
+// the total of all others. Traffic then grows with the number of workspaces
+// plus the number of daemons in a zone. The cost is latency: service is known
+// everywhere after at most three rounds instead of one exchange. Demand is not
+// aggregated; it is sent as in the full exchange.
 //
-// Small fleets go on telling everybody, which keeps the gap a third smaller
-// (docs/design/exchange.md).
+// Small fleets use the full exchange, which keeps the fairness gap a third
+// smaller (docs/design/exchange.md).
 const (
-	// defaultReduceAbove is the number of daemons above which the exchange is
-	// changed over: where parts to all, 2.2 B/s a workspace and peer
-	// (docs/CAPACITY.md), take a quarter of 4 KB/s with 20 backlogged workspaces.
+	// defaultReduceAbove is the number of daemons above which service totals
+	// are aggregated. At that size the full exchange, 2.2 B/s per workspace and
+	// peer (docs/CAPACITY.md), takes a quarter of the control budget of 4 KB/s
+	// with 20 backlogged workspaces.
 	defaultReduceAbove = 24
-	// reduceSlack keeps one daemon in five that comes and goes from changing the
-	// exchange over each time, which costs a round of service that is not
-	// counted: it is changed back only below four fifths.
-	reduceSlack = 5
+	// reduceHysteresis keeps the exchange mode stable while one daemon in five
+	// joins and leaves: the full exchange resumes only below four fifths of the
+	// bound. Each change of mode costs one round of service that is not
+	// counted.
+	reduceHysteresis = 5
 
-	// reduceBudget is the part of the control budget, in bytes a second, that a
-	// round may take: half of 4 KB/s, the rest is for demand, grants,
-	// heartbeats and configuration.
-	reduceBudget = 2048
-	// frameBytes and rowBytes are what a frame and one row of it take on a
-	// link (docs/CAPACITY.md).
+	// roundBytesPerSecond is the share of the control budget that rounds may
+	// use, in bytes per second: half of 4 KB/s. The rest is for demand, grants,
+	// heartbeats, and configuration.
+	roundBytesPerSecond = 2048
+	// frameBytes and rowBytes are the sizes on the network of a message and of
+	// one row in it (docs/CAPACITY.md).
 	frameBytes = 88
 	rowBytes   = 10
-	// reduceRounds is how many rounds a part takes to the last daemon: to who
-	// adds up, to the other zones, to their daemons.
-	reduceRounds = 3
-	reduceLag    = 2
+	// maxPropagationRounds is the number of rounds until a total reaches the
+	// last daemon: to the aggregator, to the other zones, and to their daemons.
+	// lagRounds is explained at reportingLag.
+	maxPropagationRounds = 3
+	lagRounds            = 2
 )
 
-// reduces tells whether the fleet is large enough for the reduced exchange.
-func (c *Core) reduces() bool {
+// shouldAggregate reports whether the fleet is large enough for hierarchical
+// aggregation.
+func (c *Core) shouldAggregate() bool {
 	daemons, bound := len(c.peers)+1, c.cfg.ReduceAbove
 	if c.reduction != nil {
-		bound -= bound / reduceSlack
+		bound -= bound / reduceHysteresis
 	}
 	return daemons > bound
 }
 
-// chooseExchange changes the exchange over where the number of daemons asks for
-// it, and works out anew who adds up.
-func (c *Core) chooseExchange(now time.Time) {
-	was := c.reduction
-	if !c.reduces() {
+// selectExchangeMode switches between the full exchange and hierarchical
+// aggregation according to the number of daemons, and recomputes the
+// aggregators.
+func (c *Core) selectExchangeMode(now time.Time) {
+	previous := c.reduction
+	if !c.shouldAggregate() {
 		c.reduction = nil
-		if was != nil {
-			c.rebaseAll(now)
+		if previous != nil {
+			c.rebaseAllShards(now)
 		}
 		return
 	}
-	// Peers change over by their own view of the members, and then tell their
-	// totals within a round and a message's way.
-	settles := now.Add((reduceRounds + 1) * c.round())
-	c.reduction = newReduction(c.cfg.Zone, c.knownMembers(), was, settles)
-	if was == nil {
-		c.rebase(func(int) bool { return true })
+	// Peers switch according to their own view of the membership and then send
+	// their totals within one round plus the network latency.
+	settled := now.Add((maxPropagationRounds + 1) * c.roundInterval())
+	c.reduction = newAggregationPlan(c.cfg.Zone, c.knownMembers(), previous, settled)
+	if previous == nil {
+		c.rebaseShards(func(int) bool { return true })
 	} else {
-		c.rebase(func(shard int) bool { return was.own(shard) != c.reduction.own(shard) })
+		c.rebaseShards(func(shard int) bool { return previous.localAggregator(shard) != c.reduction.localAggregator(shard) })
 	}
-	c.retell(was)
+	c.markForResend(previous)
 }
 
-// retell marks the peers that have come to be told something by this daemon:
-// those that add up for its zone now, and, for the shards that this daemon has
-// come to add up itself, those that do so in other zones.
-func (c *Core) retell(was *reduction) {
+// markForResend marks the peers that newly need totals from this daemon: the
+// new aggregators of its zone and, for shards that this daemon has started to
+// aggregate, the aggregators in other zones.
+func (c *Core) markForResend(previous *aggregationPlan) {
 	for zone, z := range c.reduction.zones {
-		for shard, id := range z.adders {
-			mine := c.reduction.own(shard) == c.cfg.Self
-			if zone != c.cfg.Zone && !mine {
+		for shard, id := range z.aggregators {
+			aggregatedHere := c.reduction.localAggregator(shard) == c.cfg.Self
+			if zone != c.cfg.Zone && !aggregatedHere {
 				continue
 			}
-			same := was != nil && was.adder(zone, shard) == id && (was.own(shard) == c.cfg.Self || !mine)
-			if p := c.peers[id]; p != nil && !same {
+			unchanged := previous != nil && previous.aggregator(zone, shard) == id && (previous.localAggregator(shard) == c.cfg.Self || !aggregatedHere)
+			if p := c.peers[id]; p != nil && !unchanged {
 				p.needsTotals = true
 			}
 		}
 	}
 }
 
-// rebase drops what was told about the workspaces of the shards. Without it, a
-// total that was kept from before would be compared with one of today, and all
-// that others told in between would count twice. The sums are kept: should this
-// daemon add the workspace up again, other zones compare with its last one.
-func (c *Core) rebase(changed func(shard int) bool) {
+// rebaseShards discards what was received about the workspaces of the changed
+// shards. Otherwise a retained total would be compared with a new one, and
+// everything that other daemons reported in between would count twice. The sums
+// are kept: if this daemon becomes the aggregator again, other zones compare
+// with the last sum they received from it.
+func (c *Core) rebaseShards(changed func(shard int) bool) {
 	for _, s := range c.services {
 		for _, w := range s.sortedWorkspaces {
 			if changed(w.shard) {
 				s.ledger.ResetBaselines(w.Name)
-
 			}
 		}
 	}
 }
 
-// rebaseAll is rebase at the change to the full exchange, which all are told
-// now. What they have told before is then a baseline: it was counted in sums.
-func (c *Core) rebaseAll(now time.Time) {
-	c.rebase(func(int) bool { return true })
-	c.baselineUntil = now.Add((reduceRounds + 1) * c.cfg.ExchangeInterval)
+// rebaseAllShards is rebaseShards for the switch to the full exchange, in which
+// totals go to all daemons. Earlier totals of the peers become a baseline,
+// because they were already counted as part of sums.
+func (c *Core) rebaseAllShards(now time.Time) {
+	c.rebaseShards(func(int) bool { return true })
+	c.baselineUntil = now.Add((maxPropagationRounds + 1) * c.cfg.ExchangeInterval)
 	for _, p := range c.peers {
 		p.needsTotals = true
 	}
 }
 
-// adds tells whether this daemon adds up the workspace for its zone.
-func (c *Core) adds(w *workspace) bool { return c.reduction.own(w.shard) == c.cfg.Self }
+// aggregates reports whether this daemon is the aggregator of the workspace in
+// its zone.
+func (c *Core) aggregates(w *workspace) bool {
+	return c.reduction.localAggregator(w.shard) == c.cfg.Self
+}
 
-// settled tells whether a total of the workspace that is seen first counts.
-func (c *Core) settled(now time.Time, w *workspace) bool {
-	return !now.Before(c.reduction.settled[w.shard])
+// totalsSettled reports whether the first total received for the workspace
+// counts in full.
+func (c *Core) totalsSettled(now time.Time, w *workspace) bool {
+	return !now.Before(c.reduction.settledAt[w.shard])
 }
 
-// sum is what this daemon adds up for a workspace.
-type sum struct {
+// workspaceSum is the aggregated service of one workspace.
+type workspaceSum struct {
 	fairshare.Aggregate
-	// changed and zoneChanged tell that mates and other zones are to be told.
-	changed, zoneChanged bool
+	// zonePeersDirty and otherZonesDirty are set while the sum has to be sent
+	// to the peers in this zone and to other zones.
+	zonePeersDirty, otherZonesDirty bool
 }
 
-func (s *service) sum(ws ident.Workspace) *sum {
+func (s *service) sumFor(name ident.Workspace) *workspaceSum {
 	if s.aggregates == nil {
-		s.aggregates = map[ident.Workspace]*sum{}
+		s.aggregates = map[ident.Workspace]*workspaceSum{}
 	}
-	if s.aggregates[ws] == nil {
-		s.aggregates[ws] = &sum{}
+	if s.aggregates[name] == nil {
+		s.aggregates[name] = &workspaceSum{}
 	}
-	return s.aggregates[ws]
+	return s.aggregates[name]
 }
 
-// takePart merges what a daemon itself has delivered.
-func (c *Core) takePart(now time.Time, p *peer, part ServedTotal) {
+// mergePart merges a total of the service that the peer itself delivered.
+func (c *Core) mergePart(now time.Time, p *peer, part ServedTotal) {
 	s := c.services[part.Service]
 	if s == nil {
 		return
@@ -164,77 +176,78 @@
 		return
 	}
 	w := s.workspaces[part.Workspace]
-	if w == nil || p.Zone != c.cfg.Zone || !c.adds(w) {
+	if w == nil || p.Zone != c.cfg.Zone || !c.aggregates(w) {
 		return
 	}
-	added := s.ledger.MergeZonePeer(p.ID, p.Incarnation, w.Name, part.Served, !c.settled(now, w))
-	u := s.sum(w.Name)
-	u.AddZonePeer(p.ID, added)
-	u.changed, u.zoneChanged = true, true
+	added := s.ledger.MergeZonePeer(p.ID, p.Incarnation, w.Name, part.Served, !c.totalsSettled(now, w))
+	sum := s.sumFor(w.Name)
+	sum.AddZonePeer(p.ID, added)
+	sum.zonePeersDirty, sum.otherZonesDirty = true, true
 }
 
-// takeSum merges what another daemon has added up: for its own zone, where this
-// daemon adds up the workspace as well, or for all others.
-func (c *Core) takeSum(now time.Time, p *peer, part ServedTotal) {
+// mergeSum merges a sum that an aggregator computed: the one of this zone, or,
+// if this daemon aggregates the workspace too, the one of another zone.
+func (c *Core) mergeSum(now time.Time, p *peer, part ServedTotal) {
 	s := c.services[part.Service]
 	if s == nil || c.reduction == nil {
 		return
 	}
 	w := s.workspaces[part.Workspace]
-	if w == nil || c.reduction.adder(p.Zone, w.shard) != p.ID {
+	if w == nil || c.reduction.aggregator(p.Zone, w.shard) != p.ID {
 		return
 	}
-	by := fairshare.Origin{Zone: p.Zone, Daemon: p.ID, Incarnation: p.Incarnation}
+	origin := fairshare.Origin{Zone: p.Zone, Daemon: p.ID, Incarnation: p.Incarnation}
 	switch {
 	case p.Zone == c.cfg.Zone:
-		s.ledger.MergeAggregate(by, w.Name, part.Served, !c.settled(now, w))
-	case c.adds(w):
-		u := s.sum(w.Name)
-		u.AddOtherZone(s.ledger.MergeAggregate(by, w.Name, part.Served, !c.settled(now, w)))
-		u.changed = true
+		s.ledger.MergeAggregate(origin, w.Name, part.Served, !c.totalsSettled(now, w))
+	case c.aggregates(w):
+		sum := s.sumFor(w.Name)
+		sum.AddOtherZone(s.ledger.MergeAggregate(origin, w.Name, part.Served, !c.totalsSettled(now, w)))
+		sum.zonePeersDirty = true
 	}
 }
 
-// sendReduced tells what changed since the last round to whom it concerns.
-func (c *Core) sendReduced(s *service) {
+// sendAggregated sends what changed since the last round to the daemons that
+// need it.
+func (c *Core) sendAggregated(s *service) {
 	for _, name := range s.ledger.Changed() {
 		w := s.workspaces[name]
 		if w == nil {
 			continue
 		}
-		if c.adds(w) {
-			u := s.sum(name)
-			u.changed, u.zoneChanged = true, true
+		if c.aggregates(w) {
+			sum := s.sumFor(name)
+			sum.zonePeersDirty, sum.otherZonesDirty = true, true
 			continue
 		}
-		c.tellPart(c.reduction.own(w.shard), s, w)
+		c.sendPart(c.reduction.localAggregator(w.shard), s, w)
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.aggregates)) {
-		w, u := s.workspaces[name], s.aggregates[name]
-		if !u.changed || !c.adds(w) {
+		w, sum := s.workspaces[name], s.aggregates[name]
+		if !sum.zonePeersDirty || !c.aggregates(w) {
 			continue
 		}
 		for _, p := range c.peers {
-			c.tellSum(p, s, w, u, u.zoneChanged)
+			c.sendSum(p, s, w, sum, sum.otherZonesDirty)
 		}
-		u.changed, u.zoneChanged = false, false
+		sum.zonePeersDirty, sum.otherZonesDirty = false, false
 	}
 }
 
-// sendReducedTo tells a peer that may have lost messages everything that it is
-// to know.
-func (c *Core) sendReducedTo(p *peer, s *service) {
+// resendAggregated sends everything that a peer needs to know, because it may
+// have lost messages.
+func (c *Core) resendAggregated(p *peer, s *service) {
 	for _, w := range s.sortedWorkspaces {
-		if !c.adds(w) && c.reduction.own(w.shard) == p.ID && s.ledger.LocalService(w.Name) != 0 {
-			c.tellPart(p.ID, s, w)
+		if !c.aggregates(w) && c.reduction.localAggregator(w.shard) == p.ID && s.ledger.LocalService(w.Name) != 0 {
+			c.sendPart(p.ID, s, w)
 		}
-		if u := s.aggregates[w.Name]; u != nil && c.adds(w) {
-			c.tellSum(p, s, w, u, true)
+		if sum := s.aggregates[w.Name]; sum != nil && c.aggregates(w) {
+			c.sendSum(p, s, w, sum, true)
 		}
 	}
 }
 
-func (c *Core) tellPart(to ident.Daemon, s *service, w *workspace) {
+func (c *Core) sendPart(to ident.Daemon, s *service, w *workspace) {
 	if c.peers[to] == nil {
 		return
 	}
@@ -242,16 +255,17 @@
 	m.ServedTotals = append(m.ServedTotals, ServedTotal{Service: s.name, Workspace: w.Name, Served: s.ledger.LocalService(w.Name)})
 }
 
-// tellSum tells a peer what concerns it of a sum: a mate what all others have
-// delivered, a counterpart in another zone what this zone has.
-func (c *Core) tellSum(p *peer, s *service, w *workspace, u *sum, zoneChanged bool) {
+// sendSum sends the part of a sum that is relevant to a peer: to a daemon of
+// this zone, the service of all others; to the aggregator in another zone, the
+// service of this zone.
+func (c *Core) sendSum(p *peer, s *service, w *workspace, sum *workspaceSum, otherZonesDirty bool) {
 	own := s.ledger.LocalService(w.Name)
 	part := ServedTotal{Service: s.name, Workspace: w.Name}
 	switch {
 	case p.Zone == c.cfg.Zone:
-		part.Served = u.TotalForZonePeer(p.ID, own)
-	case zoneChanged && c.reduction.adder(p.Zone, w.shard) == p.ID:
-		part.Served = u.ZoneTotal(own)
+		part.Served = sum.TotalForZonePeer(p.ID, own)
+	case otherZonesDirty && c.reduction.aggregator(p.Zone, w.shard) == p.ID:
+		part.Served = sum.ZoneTotal(own)
 	default:
 		return
 	}
@@ -259,7 +273,7 @@
 	m.Aggregates = append(m.Aggregates, part)
 }
 
-// exchangeParts tells other daemons what was served, as far as it is due.
+// exchangeParts sends the service totals that are due.
 func (c *Core) exchangeParts(now time.Time, at updateTrigger) {
 	if c.reduction == nil {
 		if at == onExchange {
@@ -275,28 +289,29 @@
 				continue
 			}
 			for _, s := range c.services {
-				c.sendReducedTo(p, s)
+				c.resendAggregated(p, s)
 			}
 		}
 	}
 	if now.Before(c.nextRound) {
 		return
 	}
-	c.nextRound = now.Add(c.round())
+	c.nextRound = now.Add(c.roundInterval())
 	for _, s := range c.services {
-		c.sendReduced(s)
+		c.sendAggregated(s)
 	}
 }
 
-// round is the time between two rounds: as short as the exchange, and as long
-// as the budget asks for. In a round a daemon tells each mate its parts and its
-// sums, and each other zone's counterparts its sums.
-func (c *Core) round() time.Duration {
-	mates, rows := 0, 0
+// roundInterval is the time between two rounds: at least the exchange interval,
+// and long enough to stay within the budget. In each round a daemon sends its
+// totals and its sums to the daemons of its zone, and its sums to the
+// aggregators in each other zone.
+func (c *Core) roundInterval() time.Duration {
+	zonePeers, rows := 0, 0
 	zones := map[ident.Zone]bool{}
 	for _, p := range c.peers {
 		if p.Zone == c.cfg.Zone {
-			mates++
+			zonePeers++
 		} else {
 			zones[p.Zone] = true
 		}
@@ -304,22 +319,24 @@
 	for _, s := range c.services {
 		rows += len(s.active)
 	}
-	frames := 2*mates + len(zones)
-	// Each row goes to who adds it up, and of those that this daemon adds up,
-	// one in so many, each mate and zone is told.
-	told := 2*rows + rows*len(zones)/(mates+1)
-	bytes := frames*frameBytes + told*rowBytes
-	return max(c.cfg.ExchangeInterval, time.Duration(bytes)*time.Second/reduceBudget)
+	frames := 2*zonePeers + len(zones)
+	// Each row goes to its aggregator. Of the rows that this daemon aggregates,
+	// which is one in (zonePeers+1), each goes to every daemon of the zone and
+	// to every other zone.
+	sentRows := 2*rows + rows*len(zones)/(zonePeers+1)
+	bytes := frames*frameBytes + sentRows*rowBytes
+	return max(c.cfg.ExchangeInterval, time.Duration(bytes)*time.Second/roundBytesPerSecond)
 }
 
-// lag is the age at which this daemon learns of service elsewhere, by which the
-// slow loop's gain falls. In the reduced exchange it is two rounds: the mean
-// way, to who adds up and from there, is one and a half. Mean gap over five
-// patterns and two seeds at a round of 1 s, with one, two and three rounds:
-// 0.229, 0.213 and 0.272 s at 7 daemons, 0.138, 0.142 and 0.169 s at 32.
-func (c *Core) lag() time.Duration {
+// reportingLag is the delay with which this daemon learns of service elsewhere;
+// the gain of the slow loop falls with it. With aggregation it is set to two
+// rounds; the mean delay, to the aggregator and from there on, is one and a
+// half. The mean gap over five patterns and two seeds at a round of 1 s, for a
+// lag of one, two, and three rounds, is 0.229, 0.213, and 0.272 s at 7 daemons,
+// and 0.138, 0.142, and 0.169 s at 32.
+func (c *Core) reportingLag() time.Duration {
 	if c.reduction == nil {
 		return c.cfg.ExchangeInterval
 	}
-	return reduceLag * c.round()
+	return lagRounds * c.roundInterval()
 }
--- a/internal/scheduler/repair_test.go
+++ b/internal/scheduler/repair_test.go
@@ -12,9 +12,9 @@
 	"github.com/savorystall/savorystall/internal/scheduler"
 )
 
-// linked returns an owner of the only target, with the given slots, and an
-// ingress in another zone.
-func linked(slots int) (owner, ingress *scheduler.Core) {
+// newOwnerAndIngress returns the owner of the only target, which has the given
+// number of slots, and an ingress in another zone.
+func newOwnerAndIngress(slots int) (owner, ingress *scheduler.Core) {
 	owner, ingress = newCore("d1", "z1"), newCore("d2", "z2")
 	services := []scheduler.Service{{
 		Name:       "pool",
@@ -24,20 +24,21 @@
 	}}
 	owner.Configure(start, services)
 	ingress.Configure(start, services)
-	owner.Peers(start, []scheduler.Peer{{ID: "d2", Incarnation: 1, Zone: "z2"}})
-	ingress.Peers(start, []scheduler.Peer{{ID: "d1", Incarnation: 1, Zone: "z1"}})
+	owner.SetPeers(start, []scheduler.Peer{{ID: "d2", Incarnation: 1, Zone: "z2"}})
+	ingress.SetPeers(start, []scheduler.Peer{{ID: "d1", Incarnation: 1, Zone: "z1"}})
 	return owner, ingress
 }
 
-// settleDown ticks both cores for a while and passes on all messages but those
-// that lose says are lost. It returns the requests that the ingress started.
-func settleDown(now time.Time, owner, ingress *scheduler.Core, lose func(from ident.Daemon, m scheduler.Message) bool) (time.Time, []ident.Request) {
+// runUntilSettled ticks both cores for 10 s and delivers all messages except
+// those for which drop returns true. It returns the requests that were
+// dispatched.
+func runUntilSettled(now time.Time, owner, ingress *scheduler.Core, drop func(from ident.Daemon, m scheduler.Message) bool) (time.Time, []ident.Request) {
 	var started []ident.Request
-	pass := func(from *scheduler.Core, id ident.Daemon, to *scheduler.Core) {
+	deliverFrom := func(from *scheduler.Core, id ident.Daemon, to *scheduler.Core) {
 		for _, e := range from.TakeEffects() {
 			switch e := e.(type) {
 			case scheduler.Send:
-				if !lose(id, e.Message) {
+				if !drop(id, e.Message) {
 					to.Receive(now, id, e.Message)
 				}
 			case scheduler.Dispatch:
@@ -49,39 +50,40 @@
 		now = now.Add(20 * time.Millisecond)
 		owner.Tick(now)
 		ingress.Tick(now)
-		pass(ingress, "d2", owner)
-		pass(owner, "d1", ingress)
+		deliverFrom(ingress, "d2", owner)
+		deliverFrom(owner, "d1", ingress)
 	}
 	return now, started
 }
 
-func nothingLost(ident.Daemon, scheduler.Message) bool { return false }
+func dropNone(ident.Daemon, scheduler.Message) bool { return false }
 
-// A caller's request runs to its end, and the message that frees the slot is
-// lost with the link. The next callers would wait for ever for that slot.
+// A request finishes, but the release of its slot is lost with the link.
+// Without repair, later requests would wait forever for that slot.
 func TestLostReleaseFreesTheSlot(t *testing.T) {
 	is := is.New(t)
-	owner, ingress := linked(1)
+	owner, ingress := newOwnerAndIngress(1)
 	is.Equal(ingress.Submit(start, request("r1", "a")), nil)
-	now, started := settleDown(start, owner, ingress, nothingLost)
+	now, started := runUntilSettled(start, owner, ingress, dropNone)
 	is.Equal(started, []ident.Request{"r1"})
 	ingress.Finish(now, "r1", scheduler.Result{Served: 100})
-	ingress.TakeEffects() // the release is lost
+	ingress.TakeEffects() // drop the release
 	ingress.ResyncPeer("d1")
 	owner.ResyncPeer("d2")
 	is.Equal(ingress.Submit(now, request("r2", "a")), nil)
-	_, started = settleDown(now, owner, ingress, nothingLost)
+	_, started = runUntilSettled(now, owner, ingress, dropNone)
 	is.Equal(started, []ident.Request{"r2"})
 }
 
-// The grant itself is lost and none follows it. The ingress has never seen it,
-// so its lists of held grants say nothing of it.
+// A grant is lost and no other grant follows. The ingress never received it, so
+// its lists of held grants do not cover it, and the owner has to detect the
+// loss by its age.
 func TestLostGrantFreesTheSlot(t *testing.T) {
 	is := is.New(t)
-	owner, ingress := linked(1)
+	owner, ingress := newOwnerAndIngress(1)
 	is.Equal(ingress.Submit(start, request("r1", "a")), nil)
 	lost := false
-	_, started := settleDown(start, owner, ingress, func(from ident.Daemon, m scheduler.Message) bool {
+	_, started := runUntilSettled(start, owner, ingress, func(from ident.Daemon, m scheduler.Message) bool {
 		if lost || len(m.Grants) == 0 {
 			return false
 		}
@@ -94,12 +96,12 @@
 	is.Equal(started, []ident.Request{"r1"})
 }
 
-// As much arrives at an ingress as is granted to it, so the number that waits
-// stays the same. An owner that only counts down what it was told would stop
-// granting, and the ingress would see no change to tell.
-func TestSteadyQueueKeepsGettingGrants(t *testing.T) {
+// Requests arrive at an ingress as fast as grants, so its queue length stays
+// constant. An owner that only decrements the reported demand would stop
+// granting, while the ingress would see no change to report.
+func TestConstantQueueLengthKeepsReceivingGrants(t *testing.T) {
 	is := is.New(t)
-	owner, ingress := linked(2)
+	owner, ingress := newOwnerAndIngress(2)
 	now := start
 	next := 0
 	submit := func() {
@@ -112,7 +114,7 @@
 	total := 0
 	for range 10 {
 		var started []ident.Request
-		now, started = settleDown(now, owner, ingress, nothingLost)
+		now, started = runUntilSettled(now, owner, ingress, dropNone)
 		total += len(started)
 		for _, id := range started {
 			ingress.Finish(now, id, scheduler.Result{Served: 10, Elapsed: time.Second})
@@ -122,25 +124,26 @@
 	is.True(total >= 18)
 }
 
-// A daemon dies with the slots that it holds, and another comes up in its place
-// without state. The slots of the first must serve again.
-func TestDeadIngressGivesItsSlotsBack(t *testing.T) {
+// A daemon crashes while it holds slots and is replaced by a new incarnation
+// without state. The slots held by the old incarnation must become available
+// again.
+func TestRestartedIngressReleasesItsSlots(t *testing.T) {
 	is := is.New(t)
-	owner, ingress := linked(1)
+	owner, ingress := newOwnerAndIngress(1)
 	is.Equal(ingress.Submit(start, request("r1", "a")), nil)
-	now, started := settleDown(start, owner, ingress, nothingLost)
+	now, started := runUntilSettled(start, owner, ingress, dropNone)
 	is.Equal(len(started), 1)
-	owner.Peers(now, []scheduler.Peer{{ID: "d2", Incarnation: 2, Zone: "z2"}})
+	owner.SetPeers(now, []scheduler.Peer{{ID: "d2", Incarnation: 2, Zone: "z2"}})
 	is.Equal(owner.Submit(now, request("r2", "a")), nil)
 	is.Equal(dispatched(owner), []ident.Request{"r2"})
 }
 
-// Two hundred drafts of a workspace wait at one daemon and a question of the
-// same workspace at another. Grants that follow the longest queue would all go
-// to the drafts.
-func TestQuestionAtAnotherDaemonIsNotPassedOver(t *testing.T) {
+// Two hundred batch requests of a workspace wait at one daemon, and an
+// interactive request of the same workspace waits at another. Grants in
+// proportion to queue length would nearly all go to the batch requests.
+func TestInteractiveRequestAtAnotherDaemonIsNotStarved(t *testing.T) {
 	is := is.New(t)
-	owner, ingress := linked(1)
+	owner, ingress := newOwnerAndIngress(1)
 	now := start
 	for i := range 200 {
 		spec := request(fmt.Sprintf("draft%03d", i), "a")
@@ -150,34 +153,35 @@
 	is.Equal(ingress.Submit(now, request("question", "a")), nil)
 	running := dispatched(owner)
 	for range 60 {
-		var asked []ident.Request
-		now, asked = settle(now, owner, ingress, &running)
-		if len(asked) > 0 {
+		var interactive []ident.Request
+		now, interactive = runAndSplitStarted(now, owner, ingress, &running)
+		if len(interactive) > 0 {
 			return
 		}
 		owner.Finish(now, running[0], scheduler.Result{Served: 100, Elapsed: time.Second})
 		running = running[1:]
 	}
-	is.Fail() // the question was never started
+	is.Fail() // the interactive request was never started
 }
 
-// settle is settleDown with the owner's own starts apart.
-func settle(now time.Time, owner, ingress *scheduler.Core, own *[]ident.Request) (time.Time, []ident.Request) {
-	now, started := settleDown(now, owner, ingress, nothingLost)
-	var asked []ident.Request
+// runAndSplitStarted is runUntilSettled without message loss. It returns the
+// started interactive request and appends the other started requests to others.
+func runAndSplitStarted(now time.Time, owner, ingress *scheduler.Core, others *[]ident.Request) (time.Time, []ident.Request) {
+	now, started := runUntilSettled(now, owner, ingress, dropNone)
+	var interactive []ident.Request
 	for _, id := range started {
 		if id == "question" {
-			asked = append(asked, id)
+			interactive = append(interactive, id)
 			continue
 		}
-		*own = append(*own, id)
+		*others = append(*others, id)
 	}
-	return now, asked
+	return now, interactive
 }
 
-// A caller sends one large request as ten small ones, or claims a tenth of its
-// cost. Neither may get it more than its neighbour, who does not.
-func TestSplittingAndUnderstatingGainNothing(t *testing.T) {
+// A caller that splits one large request into ten small ones, or understates
+// its cost, must not receive more service than a workspace that does not.
+func TestSplittingOrUnderstatingCostGainsNothing(t *testing.T) {
 	is := is.New(t)
 	c := scheduler.New(scheduler.Config{Self: "d1", Incarnation: 1, Zone: "z1"}, rand.New(rand.NewPCG(1, 2)))
 	c.Configure(start, []scheduler.Service{{
@@ -192,8 +196,9 @@
 }
 
 // serve keeps both workspaces backlogged for the given number of steps of 100
-// ms. Requests cost what sizes say, at ten units a second, and claim half of it
-// for a small one. It returns what each workspace received.
+// ms. Requests cost what sizes says, are served at ten units per second, and
+// declare half of their cost. It returns the service received by each
+// workspace.
 func serve(c *scheduler.Core, steps int, sizes map[ident.Workspace]float64) map[ident.Workspace]float64 {
 	type work struct {
 		ws   ident.Workspace
@@ -232,20 +237,20 @@
 	return served
 }
 
-// A daemon without targets has many short requests. A grant and a release for
-// each would take more than all control may; one grant serves them for a slice.
-// A request that ends after the slice gives the slot back, for another
-// workspace may be owed it.
+// A daemon without targets has many short requests. One grant and one release
+// per request would exceed the control traffic budget, so a grant is reused for
+// the length of a slice. A request that ends after the slice returns the slot,
+// because another workspace may have priority by then.
 func TestShortRequestsShareOneGrant(t *testing.T) {
 	is := is.New(t)
-	owner, ingress := linked(1)
+	owner, ingress := newOwnerAndIngress(1)
 	for i := range 10 {
 		is.Equal(ingress.Submit(start, request(fmt.Sprintf("r%d", i), "a")), nil)
 	}
-	now, started := settleDown(start, owner, ingress, nothingLost)
+	now, started := runUntilSettled(start, owner, ingress, dropNone)
 	is.Equal(started, []ident.Request{"r0"})
 	ingress.Finish(now, "r0", scheduler.Result{Served: 10, Elapsed: time.Second}) // long after the slice
-	now, started = settleDown(now, owner, ingress, func(_ ident.Daemon, m scheduler.Message) bool {
+	now, started = runUntilSettled(now, owner, ingress, func(_ ident.Daemon, m scheduler.Message) bool {
 		return false
 	})
 	is.Equal(started, []ident.Request{"r1"})
@@ -253,29 +258,29 @@
 	grants := 0
 	is.Equal(owner.Submit(now, request("other", "b")), nil)
 	ingress.Finish(now, "r1", scheduler.Result{Served: 10, Elapsed: time.Second})
-	now, started = settleDown(now, owner, ingress, func(_ ident.Daemon, m scheduler.Message) bool {
+	now, started = runUntilSettled(now, owner, ingress, func(_ ident.Daemon, m scheduler.Message) bool {
 		grants += len(m.Grants)
 		return false
 	})
 	is.Equal(len(started), 1) // the owner's own request of the other workspace
 	owner.Finish(now, "other", scheduler.Result{Served: 10, Elapsed: time.Second})
-	var effects []ident.Request
+	var reused []ident.Request
 	deliver(now, owner, "d1", ingress)
 	for next := now; next.Before(now.Add(900 * time.Millisecond)); next = next.Add(300 * time.Millisecond) {
 		for _, id := range dispatched(ingress) {
-			effects = append(effects, id)
+			reused = append(reused, id)
 			ingress.Finish(next, id, scheduler.Result{Served: 10, Elapsed: 300 * time.Millisecond})
 		}
 	}
-	is.True(len(effects) >= 3)
+	is.True(len(reused) >= 3)
 	is.True(grants <= 1)
 }
 
-// A daemon starts beside two others where much waits. Its slots are all free, and
-// the first message that comes names one workspace: it must not get them all
-// before the other daemon has told of its own callers. A daemon that is silent
-// keeps the slots back for a moment only.
-func TestNewOwnerHearsAllBeforeItGrants(t *testing.T) {
+// A daemon with free slots starts next to others that have waiting requests. It
+// must not grant all of its slots to the workspace in the first message before
+// the other daemons have reported their demand. A daemon that sends nothing
+// delays the grants only briefly.
+func TestNewOwnerWaitsForPeerDemand(t *testing.T) {
 	is := is.New(t)
 	c := newCore("d1", "z1")
 	c.Configure(start, []scheduler.Service{{
@@ -284,7 +289,7 @@
 		Targets:    []scheduler.Target{{Name: "t1", Zone: "z1", Slots: 8}},
 		MeanCost:   100,
 	}})
-	c.Peers(start, []scheduler.Peer{
+	c.SetPeers(start, []scheduler.Peer{
 		{ID: "d2", Incarnation: 1, Zone: "z2"}, {ID: "d3", Incarnation: 1, Zone: "z2"}, {ID: "d4", Incarnation: 1, Zone: "z3"},
 	})
 	granted := func() map[ident.Workspace]int {
@@ -298,14 +303,14 @@
 		}
 		return counts
 	}
-	tell := func(from ident.Daemon, ws ident.Workspace) {
+	sendDemand := func(from ident.Daemon, ws ident.Workspace) {
 		c.Receive(start, from, scheduler.Message{
 			Incarnation: 1, Demand: []scheduler.Demand{{Service: "pool", Workspace: ws, Waiting: 20}},
 		})
 	}
-	tell("d2", "a")
-	tell("d3", "b")
-	is.Equal(len(granted()), 0) // d4 may have callers too
+	sendDemand("d2", "a")
+	sendDemand("d3", "b")
+	is.Equal(len(granted()), 0) // d4 has not reported its demand yet
 	c.Tick(start.Add(100 * time.Millisecond))
 	is.Equal(granted(), map[ident.Workspace]int{"a": 4, "b": 4})
 }
--- a/internal/scheduler/shard.go
+++ b/internal/scheduler/shard.go
@@ -12,19 +12,19 @@
 	"github.com/savorystall/savorystall/internal/membership"
 )
 
-// shardCount is into how many shards the workspaces of all services are
-// divided. With 26 daemons in a zone, some ten shards each keep the spread of
-// the work within a third of the mean, and the table costs a hash a daemon and
-// shard at a change of members.
+// shardCount is the number of shards that the workspaces of all services are
+// divided into. With 26 daemons in a zone, about ten shards each keep the load
+// within a third of the mean. Computing the table takes one hash per daemon and
+// shard when the membership changes.
 const shardCount = 256
 
-// shardName is what the rendezvous hash of a shard is made of. No service and
-// no target may be called so: names have no colon.
-var shardName = func() (names [shardCount]ident.Target) {
-	for i := range names {
-		names[i] = ident.Target(fmt.Sprintf("shard:%d", i))
+// shardKeys holds the rendezvous hash keys of the shards. They cannot collide
+// with the names of services and targets, which contain no colon.
+var shardKeys = func() (keys [shardCount]ident.Target) {
+	for i := range keys {
+		keys[i] = ident.Target(fmt.Sprintf("shard:%d", i))
 	}
-	return names
+	return keys
 }()
 
 func shardOf(service ident.Service, ws ident.Workspace) int {
@@ -36,54 +36,56 @@
 	return int(d.Sum64() % shardCount)
 }
 
-// reduction says who adds up the service of which workspaces, zone by zone.
-// Two daemons that know the same members agree without a message. While they do
-// not, a total reaches a daemon that does not ask for it and is dropped; the
-// next one covers it.
-type reduction struct {
+// aggregationPlan assigns the shards of each zone to aggregators. Daemons that
+// know the same members compute the same plan without communication. While
+// their views differ, a total may reach a daemon that is not its aggregator and
+// is dropped; the next total replaces it.
+type aggregationPlan struct {
 	zone  ident.Zone
 	zones map[ident.Zone]*zoneShards
-	// settled is when totals of a shard that are seen first count in full:
-	// until then they may cover service that was told by others before.
-	settled [shardCount]time.Time
+	// settledAt is when the first total received for a shard counts in full.
+	// Before that, it may include service that other daemons have already
+	// reported.
+	settledAt [shardCount]time.Time
 }
 
-// zoneShards has the daemon that adds up each shard of one zone.
+// zoneShards holds the aggregator of each shard in one zone.
 type zoneShards struct {
-	// members are those that it was worked out for.
-	members []membership.Member
-	adders  [shardCount]ident.Daemon
+	// members are the daemons that the assignment was computed for.
+	members     []membership.Member
+	aggregators [shardCount]ident.Daemon
 }
 
-// newReduction works the shards out for a set of members that has this daemon in
-// it. Former is nil at the start; then all shards are new. A zone whose members
-// are the same keeps its shards: at 360 daemons in 14 zones the whole would take
-// 92,000 hashes at each change of one member.
-func newReduction(zone ident.Zone, members []membership.Member, former *reduction, settles time.Time) *reduction {
-	r := &reduction{zone: zone, zones: map[ident.Zone]*zoneShards{}}
-	for id, list := range byZone(members) {
-		if former != nil && former.zones[id] != nil && slices.Equal(former.zones[id].members, list) {
-			r.zones[id] = former.zones[id]
+// newAggregationPlan computes the plan for a set of members that includes this
+// daemon. previous is nil for the first plan; then all shards are new. A zone
+// whose members did not change keeps its assignment: at 360 daemons in 14
+// zones, a full computation would take 92,000 hashes for each change of one
+// member.
+func newAggregationPlan(zone ident.Zone, members []membership.Member, previous *aggregationPlan, settled time.Time) *aggregationPlan {
+	plan := &aggregationPlan{zone: zone, zones: map[ident.Zone]*zoneShards{}}
+	for zoneID, zoneMembers := range membersByZone(members) {
+		if previous != nil && previous.zones[zoneID] != nil && slices.Equal(previous.zones[zoneID].members, zoneMembers) {
+			plan.zones[zoneID] = previous.zones[zoneID]
 			continue
 		}
-		r.zones[id] = newZoneShards(id, list)
+		plan.zones[zoneID] = newZoneShards(zoneID, zoneMembers)
 	}
-	for i := range r.settled {
-		r.settled[i] = settles
-		if former != nil && former.own(i) == r.own(i) {
-			r.settled[i] = former.settled[i]
+	for i := range plan.settledAt {
+		plan.settledAt[i] = settled
+		if previous != nil && previous.localAggregator(i) == plan.localAggregator(i) {
+			plan.settledAt[i] = previous.settledAt[i]
 		}
 	}
-	return r
+	return plan
 }
 
-func byZone(members []membership.Member) map[ident.Zone][]membership.Member {
+func membersByZone(members []membership.Member) map[ident.Zone][]membership.Member {
 	zones := map[ident.Zone][]membership.Member{}
 	for _, m := range members {
 		zones[m.Zone] = append(zones[m.Zone], m)
 	}
-	for _, list := range zones {
-		slices.SortFunc(list, func(a, b membership.Member) int { return cmp.Compare(a.ID, b.ID) })
+	for _, zoneMembers := range zones {
+		slices.SortFunc(zoneMembers, func(a, b membership.Member) int { return cmp.Compare(a.ID, b.ID) })
 	}
 	return zones
 }
@@ -91,20 +93,22 @@
 func newZoneShards(zone ident.Zone, members []membership.Member) *zoneShards {
 	z := &zoneShards{members: members}
 	owners := membership.NewOwners(members)
-	for i := range z.adders {
-		z.adders[i] = owners.Of("", shardName[i], zone)
+	for i := range z.aggregators {
+		z.aggregators[i] = owners.Of("", shardKeys[i], zone)
 	}
 	return z
 }
 
-// own is the daemon of this zone that adds up the shard.
-func (r *reduction) own(shard int) ident.Daemon { return r.adder(r.zone, shard) }
+// localAggregator returns the daemon of this zone that aggregates the shard.
+func (plan *aggregationPlan) localAggregator(shard int) ident.Daemon {
+	return plan.aggregator(plan.zone, shard)
+}
 
-// adder is the daemon of a zone that adds up the shard; empty where the zone
-// has none.
-func (r *reduction) adder(zone ident.Zone, shard int) ident.Daemon {
-	if z := r.zones[zone]; z != nil {
-		return z.adders[shard]
+// aggregator returns the daemon of a zone that aggregates the shard, or an
+// empty string if the zone has no daemons.
+func (plan *aggregationPlan) aggregator(zone ident.Zone, shard int) ident.Daemon {
+	if z := plan.zones[zone]; z != nil {
+		return z.aggregators[shard]
 	}
 	return ""
 }
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -33,7 +33,7 @@
 		for _, t := range s.targets {
 			targets = append(targets, admin.Target{
 				Service: s.name, Target: t.Name, Zone: t.Zone, State: t.state(),
-				Slots: t.Slots, Running: len(t.grants), Owner: c.owner(t),
+				Slots: t.Slots, Running: len(t.grants), Owner: c.ownerOf(t),
 			})
 		}
 	}
--- a/internal/scheduler/tick_bench_test.go
+++ b/internal/scheduler/tick_bench_test.go
@@ -10,10 +10,10 @@
 	"github.com/savorystall/savorystall/internal/scheduler"
 )
 
-// crowded returns a core of a large fleet: 360 daemons in 14 zones, 6,200
-// workspaces, a tenth of them with work at this daemon, and all slots in use. It
-// also returns the requests that run.
-func crowded(b *testing.B) (*scheduler.Core, []ident.Request) {
+// newLargeFleetCore returns a core in a fleet of 360 daemons in 14 zones with
+// 6,200 workspaces. A tenth of the workspaces have requests at this daemon, and
+// all slots are in use. It also returns the running requests.
+func newLargeFleetCore(b *testing.B) (*scheduler.Core, []ident.Request) {
 	b.Helper()
 	c := scheduler.New(scheduler.Config{Self: "d000", Incarnation: 1, Zone: "z00"}, rand.New(rand.NewPCG(1, 2)))
 	service := scheduler.Service{Name: "pool", MeanCost: 100}
@@ -29,7 +29,7 @@
 	for i := 1; i < 360; i++ {
 		peers = append(peers, scheduler.Peer{ID: ident.Daemon(fmt.Sprintf("d%03d", i)), Incarnation: 1, Zone: ident.Zone(fmt.Sprintf("z%02d", i%14))})
 	}
-	c.Peers(start, peers)
+	c.SetPeers(start, peers)
 	for i := range 620 * 3 {
 		spec := request(fmt.Sprintf("r%05d", i), service.Workspaces[i%620*10].Name)
 		if failure := c.Submit(start, spec); failure != nil {
@@ -39,17 +39,17 @@
 	return c, dispatched(c)
 }
 
-// BenchmarkTick is the cost of one tick of 20 ms in a large fleet in which
-// nothing happens but that work waits.
+// BenchmarkTick measures one tick of 20 ms in a large fleet with waiting
+// requests but no other activity.
 func BenchmarkTick(b *testing.B) {
-	c, _ := crowded(b)
+	c, _ := newLargeFleetCore(b)
 	now := start
 	tick := func() {
 		now = now.Add(20 * time.Millisecond)
 		c.Tick(now)
 		c.TakeEffects()
 	}
-	for range 200 { // until all owners know what waits
+	for range 200 { // until all owners know the demand
 		tick()
 	}
 	for b.Loop() {
@@ -57,9 +57,9 @@
 	}
 }
 
-// BenchmarkGrant is the cost of one request that ends and the next that starts.
+// BenchmarkGrant measures the end of one request and the start of the next.
 func BenchmarkGrant(b *testing.B) {
-	c, running := crowded(b)
+	c, running := newLargeFleetCore(b)
 	now := start
 	c.Tick(now)
 	next := 0
@@ -76,10 +76,11 @@
 	}
 }
 
-// BenchmarkReceive is the cost of one exchange of a peer that has work of 620
-// workspaces and has served them since the last one.
+// BenchmarkReceive measures one exchange message from a peer that has waiting
+// requests of 620 workspaces and has served all of them since its last
+// exchange.
 func BenchmarkReceive(b *testing.B) {
-	c, _ := crowded(b)
+	c, _ := newLargeFleetCore(b)
 	now := start
 	m := scheduler.Message{Incarnation: 1}
 	for i := range 620 {
--- a/internal/scheduler/tied.go
+++ b/internal/scheduler/tied.go
@@ -8,12 +8,14 @@
 	"github.com/savorystall/savorystall/internal/placement"
 )
 
-// A tied workspace may use only some targets. Every daemon has the ties from the
-// service document, so that they need no message: its demand is shown to the
-// owners of its targets alone, and no other target is granted to it.
+// Workspaces may be restricted to a set of targets. Every daemon reads the
+// restrictions from the service document, so no messages are needed: demand is
+// reported only to the owners of the permitted targets, and no other targets
+// are granted.
 
-// tie sets the targets that the workspace may use.
-func (w *workspace) tie(names []ident.Target) {
+// setTargets sets the targets that the workspace may use; an empty list permits
+// all.
+func (w *workspace) setTargets(names []ident.Target) {
 	w.allowedTargets = nil
 	if len(names) == 0 {
 		return
@@ -24,8 +26,9 @@
 	}
 }
 
-// groupName is the same for workspaces that are tied to the same targets.
-func groupName(names []ident.Target) string {
+// targetGroupKey returns a key that is equal for workspaces restricted to the
+// same targets.
+func targetGroupKey(names []ident.Target) string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(slices.Values(names)) {
 		b.WriteString(string(name) + " ")
@@ -33,13 +36,13 @@
 	return b.String()
 }
 
-// mayUse tells whether requests of the workspace may run on the target.
+// mayUse reports whether requests of the workspace may run on the target.
 func (w *workspace) mayUse(name ident.Target) bool {
 	return w.allowedTargets == nil || w.allowedTargets[name]
 }
 
-// fits tells whether one of the free targets is for the workspace.
-func (w *workspace) fits(free []placement.Free) bool {
+// mayUseAny reports whether the workspace may use one of the free targets.
+func (w *workspace) mayUseAny(free []placement.Free) bool {
 	if w.allowedTargets == nil {
 		return len(free) > 0
 	}
@@ -51,18 +54,18 @@
 	return false
 }
 
-// findHere notes whether this daemon owns a target that the workspace may use.
-// Where it owns none, demand that was shown to it before a change of the
-// document must not count as backlog: that of one workspace that cannot be
-// served would be what the leads of all others are measured from.
-func (s *service) findHere(w *workspace) {
+// updateOwnsTarget records whether this daemon owns a target that the workspace
+// may use. If it does not, demand reported to it before a change of the
+// document must not count as backlog: the leads of all other workspaces would
+// be measured against a workspace that cannot be served here.
+func (s *service) updateOwnsTarget(w *workspace) {
 	w.ownsAllowedTarget = w.allowedTargets == nil
 	for _, t := range s.owned {
 		w.ownsAllowedTarget = w.ownsAllowedTarget || w.allowedTargets[t.Name]
 	}
 }
 
-// ownersOf returns the daemons that own a target which the workspace may use.
+// ownersOf returns the daemons that own a target the workspace may use.
 func (c *Core) ownersOf(s *service, w *workspace) map[ident.Daemon]bool {
 	if w.allowedTargets == nil {
 		return s.owners
@@ -70,7 +73,7 @@
 	owners := map[ident.Daemon]bool{}
 	for name := range w.allowedTargets {
 		if t := s.targets[name]; t != nil {
-			owners[c.owner(t)] = true
+			owners[c.ownerOf(t)] = true
 		}
 	}
 	return owners
--- a/internal/scheduler/tied_test.go
+++ b/internal/scheduler/tied_test.go
@@ -12,37 +12,38 @@
 	"github.com/savorystall/savorystall/internal/scheduler"
 )
 
-// tiedFleet is a few daemons whose workspaces are tied to targets at random.
-// Messages arrive a tick after they were sent.
-type tiedFleet struct {
+// restrictedFleet simulates several daemons whose workspaces are randomly
+// restricted to some targets. Messages arrive one tick after they were sent.
+type restrictedFleet struct {
 	t       *testing.T
 	rng     *rand.Rand
 	now     time.Time
 	cores   []*scheduler.Core
 	service scheduler.Service
 	inbox   []func()
-	// waiting holds the workspace of each request that waits, running where
-	// each of the others runs and until when.
+	// waiting maps each waiting request to its workspace. running holds the
+	// target and the end time of each running request.
 	waiting map[ident.Request]ident.Workspace
-	running map[ident.Request]*tiedRun
-	// idle is since when a target has had a free slot that waiting work may use.
-	idle map[ident.Target]time.Time
-	next int
+	running map[ident.Request]*runningRequest
+	// idleSince is when a target first had a free slot that a waiting request
+	// may use.
+	idleSince map[ident.Target]time.Time
+	next      int
 }
 
-type tiedRun struct {
+type runningRequest struct {
 	core   int
 	target ident.Target
 	until  time.Time
 }
 
-const tiedTick = 20 * time.Millisecond
+const fleetTick = 20 * time.Millisecond
 
-func newTiedFleet(t *testing.T, seed uint64) *tiedFleet {
-	f := &tiedFleet{
+func newRestrictedFleet(t *testing.T, seed uint64) *restrictedFleet {
+	f := &restrictedFleet{
 		t: t, rng: rand.New(rand.NewPCG(seed, 3)), now: start,
-		waiting: map[ident.Request]ident.Workspace{}, running: map[ident.Request]*tiedRun{},
-		idle: map[ident.Target]time.Time{},
+		waiting: map[ident.Request]ident.Workspace{}, running: map[ident.Request]*runningRequest{},
+		idleSince: map[ident.Target]time.Time{},
 	}
 	f.service = scheduler.Service{Name: "pool", MeanCost: 100}
 	zone := func(i int) ident.Zone { return ident.Zone(fmt.Sprintf("z%d", i%2)) }
@@ -69,14 +70,15 @@
 				peers = append(peers, scheduler.Peer{ID: daemonName(p), Incarnation: 1, Zone: zone(p)})
 			}
 		}
-		c.Peers(f.now, peers)
+		c.SetPeers(f.now, peers)
 	}
-	f.tie()
+	f.randomizeTargets()
 	return f
 }
 
-// tie draws new ties for half of the workspaces.
-func (f *tiedFleet) tie() {
+// randomizeTargets restricts about half of the workspaces to one or two random
+// targets and removes the restrictions of the others.
+func (f *restrictedFleet) randomizeTargets() {
 	f.service.Workspaces = append([]scheduler.Workspace(nil), f.service.Workspaces...)
 	for i := range f.service.Workspaces {
 		f.service.Workspaces[i].Targets = nil
@@ -88,10 +90,10 @@
 	for _, c := range f.cores {
 		c.Configure(f.now, []scheduler.Service{f.service})
 	}
-	clear(f.idle)
+	clear(f.idleSince)
 }
 
-func (f *tiedFleet) mayUse(ws ident.Workspace, target ident.Target) bool {
+func (f *restrictedFleet) mayUse(ws ident.Workspace, target ident.Target) bool {
 	for _, w := range f.service.Workspaces {
 		if w.Name != ws {
 			continue
@@ -106,7 +108,7 @@
 	return false
 }
 
-func (f *tiedFleet) submit() {
+func (f *restrictedFleet) submit() {
 	f.next++
 	w := f.service.Workspaces[f.rng.IntN(len(f.service.Workspaces))].Name
 	r := request(fmt.Sprintf("r%d", f.next), w)
@@ -116,11 +118,11 @@
 	}
 }
 
-func (f *tiedFleet) step() {
-	f.now = f.now.Add(tiedTick)
-	letters := f.inbox
+func (f *restrictedFleet) step() {
+	f.now = f.now.Add(fleetTick)
+	messages := f.inbox
 	f.inbox = nil
-	for _, deliver := range letters {
+	for _, deliver := range messages {
 		deliver()
 	}
 	for _, id := range slices.Sorted(maps.Keys(f.running)) {
@@ -133,13 +135,13 @@
 	for d, c := range f.cores {
 		c.Tick(f.now)
 		for _, e := range c.TakeEffects() {
-			f.carryOut(d, e)
+			f.applyEffect(d, e)
 		}
 	}
-	f.check()
+	f.checkIdleSlots()
 }
 
-func (f *tiedFleet) carryOut(d int, effect scheduler.Effect) {
+func (f *restrictedFleet) applyEffect(d int, effect scheduler.Effect) {
 	switch e := effect.(type) {
 	case scheduler.Send:
 		f.inbox = append(f.inbox, func() {
@@ -154,16 +156,16 @@
 			f.t.Fatalf("%s of %s runs on %s, which it may not use", e.Request, ws, e.Target)
 		}
 		delete(f.waiting, e.Request)
-		lasts := time.Duration(1+f.rng.IntN(100)) * tiedTick
-		f.running[e.Request] = &tiedRun{core: d, target: e.Target, until: f.now.Add(lasts)}
+		duration := time.Duration(1+f.rng.IntN(100)) * fleetTick
+		f.running[e.Request] = &runningRequest{core: d, target: e.Target, until: f.now.Add(duration)}
 	case scheduler.Refuse:
 		f.t.Fatalf("%s was refused: %v", e.Request, e.Failure)
 	}
 }
 
-// check fails where a slot stays free for longer than an exchange and a settling
-// of demand while work that may use it waits.
-func (f *tiedFleet) check() {
+// checkIdleSlots fails if a slot stays free for more than an exchange interval
+// and a settling time of demand while a request that may use it waits.
+func (f *restrictedFleet) checkIdleSlots() {
 	used := map[ident.Target]int{}
 	for _, r := range f.running {
 		used[r.target]++
@@ -174,31 +176,31 @@
 			wanted = wanted || f.mayUse(ws, t.Name)
 		}
 		if !wanted || used[t.Name] >= t.Slots {
-			delete(f.idle, t.Name)
+			delete(f.idleSince, t.Name)
 			continue
 		}
-		if f.idle[t.Name].IsZero() {
-			f.idle[t.Name] = f.now
+		if f.idleSince[t.Name].IsZero() {
+			f.idleSince[t.Name] = f.now
 		}
-		if idle := f.now.Sub(f.idle[t.Name]); idle > 1500*time.Millisecond {
+		if idle := f.now.Sub(f.idleSince[t.Name]); idle > 1500*time.Millisecond {
 			f.t.Fatalf("%s has a free slot for %s while work for it waits", t.Name, idle)
 		}
 	}
 }
 
-// Some workspaces may use only one or two of the targets, and callers of all
-// come to any daemon. A request that runs elsewhere breaks what the tie is for;
-// demand that is shown to an owner without such a target waits beside free
-// slots. The ties change under way, with requests waiting and running.
-func TestTiedWorkspacesUseTheirTargetsOnly(t *testing.T) {
+// Some workspaces may use only one or two of the targets, and their requests
+// arrive at any daemon. No request may run on another target, and no slot may
+// stay free because demand was reported to an owner that has no permitted
+// target. The restrictions change while requests are waiting and running.
+func TestRestrictedWorkspacesUseOnlyTheirTargets(t *testing.T) {
 	for seed := range uint64(150) {
-		f := newTiedFleet(t, seed)
+		f := newRestrictedFleet(t, seed)
 		for i := range 1000 {
 			if f.rng.IntN(4) == 0 {
 				f.submit()
 			}
 			if i == 500 {
-				f.tie()
+				f.randomizeTargets()
 			}
 			f.step()
 		}
@@ -209,7 +211,7 @@
 			f.step()
 		}
 		if len(f.waiting) > 0 {
-			t.Fatalf("seed %d: %d requests wait for ever", seed, len(f.waiting))
+			t.Fatalf("seed %d: %d requests wait for dispatch forever", seed, len(f.waiting))
 		}
 	}
 }
--- a/internal/scheduler/workspace.go
+++ b/internal/scheduler/workspace.go
@@ -57,7 +57,7 @@
 
 func (w *workspace) configure(spec Workspace) {
 	w.Workspace = spec
-	w.tie(spec.Targets)
+	w.setTargets(spec.Targets)
 	if spec.QueueLimit > 0 {
 		w.queue.SetLimit(spec.QueueLimit)
 	}
--- a/test/capacity/core.go
+++ b/test/capacity/core.go
@@ -54,7 +54,7 @@
 	w := &coreWorld{size: size, now: time.Unix(1e9, 0)}
 	w.core = scheduler.New(scheduler.Config{Self: "m", Incarnation: 1, Zone: "zone-00"}, rand.New(rand.NewPCG(1, 1)))
 	w.core.Configure(w.now, size.services())
-	w.core.Peers(w.now, size.peers())
+	w.core.SetPeers(w.now, size.peers())
 	w.submit("first", 0) // it runs here
 	for _, p := range size.peers() {
 		w.core.Receive(w.now, p.ID, size.exchange())
--- a/test/fairness/fleet.go
+++ b/test/fairness/fleet.go
@@ -121,7 +121,7 @@
 				list = append(list, scheduler.Peer{ID: p.id, Incarnation: p.incarnation, Zone: zoneName(p.zone)})
 			}
 		}
-		n.core.Peers(f.run.time(), list)
+		n.core.SetPeers(f.run.time(), list)
 	}
 }
 
@@ -223,7 +223,7 @@
 	}
 	f.down[e.Target] = true
 	now := f.run.time()
-	n.core.TargetHealth(now, serviceName, e.Target, scheduler.HealthFailed)
+	n.core.ReportTargetHealth(now, serviceName, e.Target, scheduler.HealthFailed)
 	n.core.Finish(now, e.Request, scheduler.Result{Failed: true, NotRun: true})
 	spec := f.spec(j)
 	spec.Avoid = []ident.Target{e.Target}
@@ -268,7 +268,7 @@
 			continue
 		}
 		for _, n := range f.nodes {
-			n.core.TargetHealth(f.run.time(), serviceName, targetName(t), scheduler.HealthAnswered)
+			n.core.ReportTargetHealth(f.run.time(), serviceName, targetName(t), scheduler.HealthAnswered)
 		}
 	}
 	clear(f.down)
