--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -153,12 +153,12 @@
 
 // checkLimits refuses a request that exceeds its workspace's own limits.
 func (c *Controller) checkLimits(now time.Time, w *workspace, a Arrival) *resultcode.Failure {
-	if !w.share.Concurrent.Admit(a.Running + a.Waiting) {
+	if !w.share.Concurrency.Admit(a.Running + a.Waiting) {
 		f := resultcode.Fail(resultcode.ConcurrencyFull, "the limit is %d", w.limits.Concurrent)
 		f.RetryAfter = ceilSeconds(c.timeToNextCompletion(a))
 		return f
 	}
-	w.share.Rate.Arrived()
+	w.share.Rate.RecordArrival()
 	if wait := w.share.Rate.Wait(now); wait > 0 {
 		f := resultcode.Fail(resultcode.RateLimited, "the limit is %g a second", w.limits.Rate)
 		f.RetryAfter = ceilSeconds(wait)
@@ -173,7 +173,7 @@
 // elsewhere is known. It is zero if nothing has been measured.
 func (c *Controller) timeToNextCompletion(a Arrival) time.Duration {
 	if a.Running == 0 {
-		return c.config.Limit.Exchange
+		return c.config.Limit.ExchangeInterval
 	}
 	return c.MedianServiceTime(a.Class) / time.Duration(a.Running)
 }
--- a/internal/admission/share.go
+++ b/internal/admission/share.go
@@ -20,18 +20,20 @@
 // limits, and whether it differs from the last report. It is called once per
 // exchange interval with the number of requests waiting or running at this
 // daemon.
-func (c *Controller) LimitReport(now time.Time, ws ident.Workspace, inFlight int) (limit.News, bool) {
-	return c.workspaces[ws].share.Tell(now, inFlight)
+func (c *Controller) LimitReport(now time.Time, ws ident.Workspace, inFlight int) (limit.Report, bool) {
+	return c.workspaces[ws].share.EndInterval(now, inFlight)
 }
 
 // HasReported reports whether other daemons may hold a report about a
 // workspace's limits.
-func (c *Controller) HasReported(ws ident.Workspace) bool { return c.workspaces[ws].share.Spoke() }
+func (c *Controller) HasReported(ws ident.Workspace) bool {
+	return c.workspaces[ws].share.HasReported()
+}
 
 // MergeLimitReport applies another daemon's report about a workspace.
-func (c *Controller) MergeLimitReport(now time.Time, from ident.Daemon, ws ident.Workspace, n limit.News) {
+func (c *Controller) MergeLimitReport(now time.Time, from ident.Daemon, ws ident.Workspace, n limit.Report) {
 	if w := c.workspaces[ws]; w != nil {
-		w.share.Hear(now, from, n)
+		w.share.MergeReport(now, from, n)
 	}
 }
 
--- a/internal/fleet/codec_bench_test.go
+++ b/internal/fleet/codec_bench_test.go
@@ -66,7 +66,7 @@
 			for i := range workspaces {
 				m.Limits = append(m.Limits, scheduler.LimitUsage{
 					Service: "lm-pool", Workspace: ident.Workspace(fmt.Sprintf("workspace-%04d", i)),
-					News: limit.News{Arrivals: 16 * 30, Accepted: 1<<20 + uint64(i), Wanted: 40, InFlight: 30},
+					Report: limit.Report{Arrivals: 16 * 30, Accepted: 1<<20 + uint64(i), Wanted: 40, InFlight: 30},
 				})
 			}
 			enc := newEncoder()
--- a/internal/fleet/codec_limits.go
+++ b/internal/fleet/codec_limits.go
@@ -48,7 +48,7 @@
 		}
 		m.Limits = append(m.Limits, scheduler.LimitUsage{
 			Service: p.service, Workspace: ident.Workspace(p.name),
-			News: limit.News{
+			Report: limit.Report{
 				Arrivals: at(in.Arrivals, i), Accepted: at(in.Accepted, i),
 				Wanted: at(in.Wanted, i), InFlight: at(in.InFlight, i),
 			},
--- a/internal/fleet/codec_test.go
+++ b/internal/fleet/codec_test.go
@@ -55,7 +55,7 @@
 		m.Aggregates = append(m.Aggregates, scheduler.ServedTotal{Service: service.Draw(t, "s"), Workspace: workspace.Draw(t, "w"), Served: units.Draw(t, "sum")})
 		m.Limits = append(m.Limits, scheduler.LimitUsage{
 			Service: service.Draw(t, "s"), Workspace: workspace.Draw(t, "w"),
-			News: limit.News{
+			Report: limit.Report{
 				Arrivals: rapid.Uint32().Draw(t, "arrivals"), Accepted: rapid.Uint64().Draw(t, "accepted"),
 				Wanted: rapid.Uint32Range(0, 1).Draw(t, "wanted"), InFlight: rapid.Uint32Range(0, 1).Draw(t, "in flight"),
 			},
--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -158,7 +158,7 @@
 	}
 	j.until = j.arrived.Add(left)
 	j.plan = patience.Decide(patience.Request{
-		Arrived: j.arrived, Left: left, Limit: limit, Objective: j.route.Objective,
+		Arrived: j.arrived, Remaining: left, MaxWait: limit, Objective: j.route.Objective,
 		Resumed: j.call.LastEvent > 0,
 	})
 }
--- a/internal/limit/burst_bench_test.go
+++ b/internal/limit/burst_bench_test.go
@@ -5,48 +5,49 @@
 	"testing"
 )
 
-// BenchmarkBursts has callers come to all daemons evenly and at once after a pause, for ten times
-// the limit. It reports how far above limit and bucket the fleet accepts, in seconds of the rate,
-// and how many times the limit is in flight at most.
+// BenchmarkBursts simulates callers that after a pause send ten times the limit
+// at once, evenly to all daemons. It reports how far the fleet exceeds the
+// limit and its bucket, in seconds of the rate, and the maximum number in
+// flight as a multiple of the limit.
 func BenchmarkBursts(b *testing.B) {
 	const rate, slots, pause = 100, 60, modelSteps / 4
 	for _, daemons := range []int{3, 7, 16, 67} {
 		b.Run(fmt.Sprintf("%d_daemons", daemons), func(b *testing.B) {
 			for b.Loop() {
-				above, most := 0.0, 0
+				maxExcess, maxInFlight := 0.0, 0
 				for seed := range uint64(5) {
 					m := newModel(seed, daemons, rate, 0)
 					level, least := 0.0, 0.0
 					for m.step = 1; m.step < modelSteps/2; m.step++ {
 						if m.step == pause {
-							m.even(10 * rate)
+							m.distributeEvenly(10 * rate)
 						}
 						for _, accepted := range m.arrivals(b.Fatalf) {
 							level += float64(accepted)
 						}
 						m.exchange()
 						level -= rate * modelStep.Seconds()
-						above = max(above, (level-least-m.bucket())/rate)
+						maxExcess = max(maxExcess, (level-least-m.bucket())/rate)
 						least = min(least, level)
 					}
-					f := newModel(seed, daemons, 0, slots)
-					for f.step = 1; f.step < modelSteps/2; f.step++ {
-						if f.step == pause {
-							f.even(10 * slots)
+					inFlightModel := newModel(seed, daemons, 0, slots)
+					for inFlightModel.step = 1; inFlightModel.step < modelSteps/2; inFlightModel.step++ {
+						if inFlightModel.step == pause {
+							inFlightModel.distributeEvenly(10 * slots)
 						}
-						most = max(most, f.flights())
-						f.exchange()
+						maxInFlight = max(maxInFlight, inFlightModel.stepInFlight())
+						inFlightModel.exchange()
 					}
 				}
-				b.ReportMetric(above, "s-above")
-				b.ReportMetric(float64(most)/slots, "times-in-flight")
+				b.ReportMetric(maxExcess, "s-above")
+				b.ReportMetric(float64(maxInFlight)/slots, "times-in-flight")
 			}
 		})
 	}
 }
 
-// even spreads a demand over all nodes alike.
-func (m *model) even(total float64) {
+// distributeEvenly divides a demand equally among all nodes.
+func (m *model) distributeEvenly(total float64) {
 	for _, n := range m.nodes {
 		n.demand = total / float64(len(m.nodes))
 	}
--- a/internal/limit/concurrent.go
+++ b/internal/limit/concurrent.go
@@ -8,139 +8,144 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// Concurrent is a daemon's part of a limit of requests in flight. Requests run
-// for minutes, so a part that has moved is used by the requests of before for as
-// long. Each daemon therefore tells how many it has in flight, and none admits
-// what would make too many together with those that the others told. The parts
-// matter where more is wanted than the limit: without them the daemon whose
-// request ends would always be the one to start the next.
-type Concurrent struct {
+// ConcurrencyLimit is a daemon's share of a limit on requests in flight.
+// Requests run for minutes, so after a share has moved it stays occupied by
+// earlier requests for as long. Each daemon therefore reports how many requests
+// it has in flight, and none admits a request that would exceed the limit
+// together with those reported by the others. The shares matter when demand
+// exceeds the limit: without them, the daemon whose request ends would always
+// be the one to start the next.
+type ConcurrencyLimit struct {
 	self    ident.Daemon
 	limit   int
 	daemons []ident.Daemon
-	wanted  demand
-	// told is what each other daemon has in flight, elsewhere its sum.
-	told      map[ident.Daemon]uint32
-	elsewhere int
-	// part is this daemon's, in whole requests. It grows only where that is
-	// told; stale tells that it may have to shrink.
-	part  int
-	stale bool
-	// refused counts the requests refused in this interval of the exchange, peak
-	// is the most that were in flight, first how many were when it began.
-	refused, peak, first int
+	demand  demand
+	// inFlightByPeer holds the number of requests in flight at each other daemon,
+	// and inFlightAtPeers their sum.
+	inFlightByPeer  map[ident.Daemon]uint32
+	inFlightAtPeers int
+	// share is this daemon's share in whole requests. It grows only when demand
+	// is reported; shareStale indicates that it may have to shrink.
+	share      int
+	shareStale bool
+	// rejected is the number of requests rejected in the current exchange
+	// interval, peakInFlight the maximum number in flight during it, and
+	// initialInFlight the number at its start.
+	rejected, peakInFlight, initialInFlight int
 }
 
-func (c *Concurrent) setLimit(limit int) {
+func (c *ConcurrencyLimit) setLimit(limit int) {
 	if limit == c.limit {
 		return
 	}
 	c.limit = limit
-	c.part = c.whole()
+	c.share = c.wholeShare()
 }
 
-func (c *Concurrent) setDaemons(daemons []ident.Daemon, live map[ident.Daemon]bool) {
+func (c *ConcurrencyLimit) setDaemons(daemons []ident.Daemon, live map[ident.Daemon]bool) {
 	c.daemons = daemons
-	c.wanted.keep(live)
-	for id := range c.told {
+	c.demand.retainPeers(live)
+	for id := range c.inFlightByPeer {
 		if !live[id] {
-			c.hearInFlight(id, 0)
+			c.setPeerInFlight(id, 0)
 		}
 	}
-	c.stale = true
+	c.shareStale = true
 }
 
-func (c *Concurrent) hear(from ident.Daemon, n News) {
-	c.wanted.hear(from, n.Wanted)
-	c.hearInFlight(from, n.InFlight)
-	c.stale = true
+func (c *ConcurrencyLimit) mergeReport(from ident.Daemon, report Report) {
+	c.demand.setPeer(from, report.Wanted)
+	c.setPeerInFlight(from, report.InFlight)
+	c.shareStale = true
 }
 
-func (c *Concurrent) hearInFlight(from ident.Daemon, n uint32) {
-	c.elsewhere += int(n) - int(c.told[from])
+func (c *ConcurrencyLimit) setPeerInFlight(from ident.Daemon, n uint32) {
+	c.inFlightAtPeers += int(n) - int(c.inFlightByPeer[from])
 	if n == 0 {
-		delete(c.told, from)
+		delete(c.inFlightByPeer, from)
 		return
 	}
-	c.told[from] = n
+	c.inFlightByPeer[from] = n
 }
 
-// Admit tells whether one more request may be in flight, and counts it among
-// those wanted.
-func (c *Concurrent) Admit(inFlight int) bool {
+// Admit reports whether one more request may be in flight, and counts the
+// request as demand.
+func (c *ConcurrencyLimit) Admit(inFlight int) bool {
 	if c.limit <= 0 {
 		return true
 	}
-	if c.stale {
-		c.part, c.stale = min(c.part, c.whole()), false
+	if c.shareStale {
+		c.share, c.shareStale = min(c.share, c.wholeShare()), false
 	}
-	if inFlight >= c.part+c.growth() || inFlight+c.elsewhere >= c.limit {
-		c.refused++
-		c.peak = max(c.peak, inFlight)
+	if inFlight >= c.share+c.allowedExcess() || inFlight+c.inFlightAtPeers >= c.limit {
+		c.rejected++
+		c.peakInFlight = max(c.peakInFlight, inFlight)
 		return false
 	}
-	c.peak = max(c.peak, inFlight+1)
+	c.peakInFlight = max(c.peakInFlight, inFlight+1)
 	return true
 }
 
-// growth is by how many requests a daemon may exceed its part in an interval,
-// because they are in flight nowhere by what the others told: at least one, so
-// that the first caller at a quiet daemon is served, and of all that is free a
-// share between the whole, which as many daemons could take at once as there are,
-// and an n-th, which callers that come to one daemon have used up at once. While
-// more is wanted than the limit, the share is that of the part.
-func (c *Concurrent) growth() int {
-	free := max(0, float64(c.limit-c.first-c.elsewhere))
-	share := 1 / math.Sqrt(float64(len(c.daemons)))
-	if asked := float64(c.wanted.told[0]) + float64(c.wanted.others); asked > float64(c.limit) {
-		share = float64(c.part) / float64(c.limit)
+// allowedExcess returns by how many requests a daemon may exceed its share in
+// an interval because, according to the reports, the capacity is free: at least
+// one, so that the first caller at an idle daemon is served, and a fraction of
+// all that is free. If every daemon could use all of it, the limit could be
+// exceeded as many times as there are daemons; if each could use only 1/n,
+// callers that connect to a single daemon would exhaust it immediately. The
+// fraction 1/sqrt(n) lies between the two. While demand exceeds the limit, the
+// fraction is that of the share.
+func (c *ConcurrencyLimit) allowedExcess() int {
+	free := max(0, float64(c.limit-c.initialInFlight-c.inFlightAtPeers))
+	fraction := 1 / math.Sqrt(float64(len(c.daemons)))
+	if totalDemand := float64(c.demand.reported[0]) + float64(c.demand.peerTotal); totalDemand > float64(c.limit) {
+		fraction = float64(c.share) / float64(c.limit)
 	}
-	return max(1, int(math.Ceil(free*share)))
+	return max(1, int(math.Ceil(free*fraction)))
 }
 
-// tell ends an interval and returns how many requests are wanted.
-func (c *Concurrent) tell(inFlight int) uint32 {
-	want := min(c.limit, max(c.peak, inFlight)+c.refused)
-	c.peak, c.first, c.refused = inFlight, inFlight, 0
-	wanted := c.wanted.tell(uint32(want))
-	c.part, c.stale = c.whole(), false
-	return wanted
+// endInterval ends an interval and returns the demand to report.
+func (c *ConcurrencyLimit) endInterval(inFlight int) uint32 {
+	wanted := min(c.limit, max(c.peakInFlight, inFlight)+c.rejected)
+	c.peakInFlight, c.initialInFlight, c.rejected = inFlight, inFlight, 0
+	reported := c.demand.report(uint32(wanted))
+	c.share, c.shareStale = c.wholeShare(), false
+	return reported
 }
 
-// whole is the part in whole requests. What is left over by rounding goes to the
-// daemons with the largest rests, so that all who know the same give out exactly
-// the limit.
-func (c *Concurrent) whole() int {
+// wholeShare returns the share in whole requests. What rounding leaves over
+// goes to the daemons with the largest remainders, so daemons with the same
+// information hand out exactly the limit.
+func (c *ConcurrencyLimit) wholeShare() int {
 	if c.limit <= 0 {
 		return 0
 	}
-	type rest struct {
+	type remainder struct {
 		id   ident.Daemon
 		size float64
 	}
-	limit, all := float64(c.limit), c.wanted.own()+float64(c.wanted.others)
-	left, mine := c.limit, 0
-	rests := make([]rest, 0, len(c.daemons))
+	limit, totalDemand := float64(c.limit), c.demand.confirmed()+float64(c.demand.peerTotal)
+	unassigned, own := c.limit, 0
+	remainders := make([]remainder, 0, len(c.daemons))
 	for _, id := range c.daemons {
-		wanted := float64(c.wanted.heard[id])
+		wanted := float64(c.demand.byPeer[id])
 		if id == c.self {
-			wanted = c.wanted.own()
+			wanted = c.demand.confirmed()
 		}
-		exact := part(limit, wanted, all-wanted, len(c.daemons))
+		exact := allocate(limit, wanted, totalDemand-wanted, len(c.daemons))
 		floor := math.Floor(exact)
-		left -= int(floor)
+		unassigned -= int(floor)
 		if id == c.self {
-			mine = int(floor)
+			own = int(floor)
 		}
-		rests = append(rests, rest{id, exact - floor})
+		remainders = append(remainders, remainder{id, exact - floor})
 	}
-	slices.SortFunc(rests, func(a, b rest) int {
+	slices.SortFunc(remainders, func(a, b remainder) int {
 		return cmp.Or(cmp.Compare(b.size, a.size), cmp.Compare(a.id, b.id))
 	})
-	for i := range min(left, len(rests)) {
-		if rests[i].id == c.self {
-			mine++
+	for i := range min(unassigned, len(remainders)) {
+		if remainders[i].id == c.self {
+			own++
 		}
 	}
-	return mine
+	return own
 }
--- a/internal/limit/demand.go
+++ b/internal/limit/demand.go
@@ -6,62 +6,63 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// demand is what is asked for at this daemon and at the others, in whole units,
-// so that sums do not hang on their order.
+// demand holds the demand at this daemon and at the others, in integers so that
+// sums do not depend on the order of addition.
 type demand struct {
-	// told are the last two values told, the newer one first.
-	told  [2]uint32
-	heard map[ident.Daemon]uint32
-	// others is the sum of heard.
-	others uint64
+	// reported holds the last two reported values, the newer one first.
+	reported [2]uint32
+	byPeer   map[ident.Daemon]uint32
+	// peerTotal is the sum of byPeer.
+	peerTotal uint64
 }
 
-// nearTold is how far a value may be from the last one told, as a part of that,
-// without being told: callers that come at random give another count in each
-// interval, and each would cost a row to each peer.
-const nearTold = 1.0 / 8
+// reportTolerance is the relative deviation from the last reported value below
+// which a new value is not reported. Random arrivals give a different count in
+// each interval, and each change would cost a row to every peer.
+const reportTolerance = 1.0 / 8
 
-// tell records the value of this interval and returns what to tell.
-func (d *demand) tell(value uint32) uint32 {
-	last := d.told[0]
-	near := math.Abs(float64(value)-float64(last)) <= nearTold*float64(last)
-	if near && value > 0 {
+// report records the value of this interval and returns the value to report.
+func (d *demand) report(value uint32) uint32 {
+	last := d.reported[0]
+	unchanged := math.Abs(float64(value)-float64(last)) <= reportTolerance*float64(last)
+	if unchanged && value > 0 {
 		value = last
 	}
-	d.told = [2]uint32{value, last}
+	d.reported = [2]uint32{value, last}
 	return value
 }
 
-// own is what this daemon may count on: of the last two values told the smaller
-// one, for the others may not yet have heard the newer.
-func (d *demand) own() float64 { return float64(min(d.told[0], d.told[1])) }
+// confirmed returns the demand on which this daemon may base its share: the
+// smaller of the last two reported values, because the others may not have
+// received the newer one yet.
+func (d *demand) confirmed() float64 { return float64(min(d.reported[0], d.reported[1])) }
 
-func (d *demand) hear(from ident.Daemon, value uint32) {
-	d.others = d.others - uint64(d.heard[from]) + uint64(value)
+func (d *demand) setPeer(from ident.Daemon, value uint32) {
+	d.peerTotal = d.peerTotal - uint64(d.byPeer[from]) + uint64(value)
 	if value == 0 {
-		delete(d.heard, from)
+		delete(d.byPeer, from)
 		return
 	}
-	if d.heard == nil {
-		d.heard = map[ident.Daemon]uint32{}
+	if d.byPeer == nil {
+		d.byPeer = map[ident.Daemon]uint32{}
 	}
-	d.heard[from] = value
+	d.byPeer[from] = value
 }
 
-func (d *demand) keep(live map[ident.Daemon]bool) {
-	for id := range d.heard {
+func (d *demand) retainPeers(live map[ident.Daemon]bool) {
+	for id := range d.byPeer {
 		if !live[id] {
-			d.hear(id, 0)
+			d.setPeer(id, 0)
 		}
 	}
 }
 
-// part is the part of a limit for a daemon where own is asked for while others
-// is asked for elsewhere. It falls as others grows, and over all daemons the
-// parts add up to the limit.
-func part(limit, own, others float64, daemons int) float64 {
-	if spare := limit - own - others; spare > 0 {
-		return own + spare/float64(daemons)
+// allocate returns the share of a limit for a daemon with a demand of ownDemand
+// while the other daemons have a demand of peerDemand. It decreases as
+// peerDemand grows, and the shares of all daemons add up to the limit.
+func allocate(limit, ownDemand, peerDemand float64, daemons int) float64 {
+	if spare := limit - ownDemand - peerDemand; spare > 0 {
+		return ownDemand + spare/float64(daemons)
 	}
-	return limit * own / (own + others)
+	return limit * ownDemand / (ownDemand + peerDemand)
 }
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -1,27 +1,31 @@
-// Package limit divides a workspace's own limits among the daemons of the
-// fleet, so that a limit written once holds wherever the callers connect.
+// Package limit divides a workspace's own limits among the daemons of the fleet,
+// so that a limit applies as configured regardless of which daemons the callers
+// connect to.
 //
-// The load pattern it answers: a workspace spreads its callers unevenly, over a
-// few of many daemons, and moves them. A limit that each daemon holds by itself
-// admits as many times what was written as daemons are met; one that is cut into
-// equal parts leaves the parts of the daemons unused that nobody meets.
+// The load pattern it addresses: a workspace spreads its callers unevenly over a
+// few of many daemons, and the callers move between daemons. If each daemon
+// enforced the full limit by itself, the workspace would get a multiple of it,
+// once per daemon used. If the limit were divided equally, the shares of unused
+// daemons would be wasted.
 //
-// Every daemon tells the others, with the exchange of service parts, what its
-// callers ask for and what it has admitted. Two things follow from that.
+// With each exchange of service totals, every daemon reports to the others the
+// demand of its callers and what it has admitted. This is used in two ways.
 //
-// Its part of the limit. Below the limit, that is what is asked for here and an
-// equal part of what nobody asks for; above it, the limit in proportion to what is
-// asked for, so that a caller is refused as often at any daemon. A daemon takes
-// less from the moment at which it tells so, and more only at the exchange after
-// the one that told it. So what others know of a daemon is never below what it
-// takes, and the parts add up to the limit as long as exchanges arrive.
+// The first is the daemon's share of the limit. While total demand is below the
+// limit, the share is the local demand plus an equal part of the unused capacity.
+// Above it, the limit is divided in proportion to demand, so that callers are
+// refused equally often at every daemon. A daemon lowers its share as soon as it
+// reports a lower demand, but raises it only at the exchange after the one that
+// reported a higher one. The demand that others know of a daemon is therefore
+// never below what its share is based on, and the shares add up to the limit as
+// long as exchanges arrive.
 //
-// A count of what the fleet has admitted. It stops a daemon whose part is out of
-// date, and lets it take more than its part where much is free: parts alone are
-// two exchanges behind callers that move.
+// The second is a count of what the whole fleet has admitted. It stops a daemon
+// whose share is out of date, and lets a daemon exceed its share while much
+// capacity is free. Shares alone lag two exchanges behind callers that move.
 //
-// docs/design/admission.md has the bounds and the grounds for the figures. Nothing
-// here is safe for concurrent use.
+// The bounds and the reasons for the constants are in docs/design/admission.md.
+// Nothing in this package is safe for concurrent use.
 package limit
 
 import (
@@ -33,117 +37,120 @@
 
 // Defaults of Config.
 const (
-	DefaultExchange = time.Second
-	DefaultBurst    = 2 * time.Second
+	DefaultExchangeInterval = time.Second
+	DefaultBurst            = 2 * time.Second
 )
 
-// Config sets up a Share. Zero fields take their defaults.
+// Config configures a Share. Zero fields take their defaults.
 type Config struct {
-	// Self names the daemon.
+	// Self is the name of this daemon.
 	Self ident.Daemon
-	// Exchange is the interval at which Tell is called (default 1 s).
-	Exchange time.Duration
-	// Burst is the size of the bucket of a rate as a time at that rate (default
-	// 2 s, which is two exchanges: callers that move to another daemon live on
-	// its bucket until its part has grown).
+	// ExchangeInterval is the interval at which EndInterval is called (default 1
+	// s).
+	ExchangeInterval time.Duration
+	// Burst is the size of the token bucket of a rate limit, as a time at that
+	// rate. The default is 2 s, which is two exchanges: callers that move to
+	// another daemon use its bucket until its share has grown.
 	Burst time.Duration
 }
 
 func (c Config) withDefaults() Config {
-	c.Exchange = cmp.Or(c.Exchange, DefaultExchange)
+	c.ExchangeInterval = cmp.Or(c.ExchangeInterval, DefaultExchangeInterval)
 	c.Burst = cmp.Or(c.Burst, DefaultBurst)
 	return c
 }
 
-// Most returns the most requests that so many daemons accept in a span of time
-// under a limit of requests a second, while exchanges arrive and no daemon starts.
-func (c Config) Most(rate float64, span time.Duration, daemons int) float64 {
+// MaxAccepted returns the maximum number of requests that a number of daemons
+// accept within a time span under a rate limit in requests per second, provided
+// that exchanges arrive and no daemon starts.
+func (c Config) MaxAccepted(rate float64, span time.Duration, daemons int) float64 {
 	c = c.withDefaults()
 	bucket := max(1, rate*c.Burst.Seconds())
-	return (1+floorShare)*rate*span.Seconds() + bucket + unheard(rate, c.Burst, c.Exchange, daemons)
+	return (1+floorFraction)*rate*span.Seconds() + bucket + maxUnreported(rate, c.Burst, c.ExchangeInterval, daemons)
 }
 
-// News is what a daemon tells the others of one workspace. The newest stands for
-// all before it.
-type News struct {
-	// Arrivals is the rate of requests, in sixteenths of a request a second.
+// Report is what a daemon tells the others about one workspace. A later report
+// replaces all earlier ones.
+type Report struct {
+	// Arrivals is the arrival rate, in sixteenths of a request per second.
 	Arrivals uint32
-	// Accepted counts the requests that the daemon's incarnation has accepted
-	// under a limit of the rate.
+	// Accepted is the number of requests that the daemon's current incarnation
+	// has accepted under a rate limit.
 	Accepted uint64
-	// Wanted counts the requests that were in flight or refused for too many
-	// being in flight.
+	// Wanted is the number of requests that were in flight or were rejected by
+	// the concurrency limit.
 	Wanted uint32
-	// InFlight counts the requests that wait or run.
+	// InFlight is the number of waiting and running requests.
 	InFlight uint32
 }
 
-// Share is a daemon's part of the limits of one workspace.
+// Share is a daemon's share of the limits of one workspace.
 type Share struct {
-	Rate       Rate
-	Concurrent Concurrent
-	told       News
-	// spoke tells that there were news other than zero.
-	spoke bool
+	Rate        RateLimit
+	Concurrency ConcurrencyLimit
+	lastReport  Report
+	// hasReported is true once a report other than zero has been returned.
+	hasReported bool
 }
 
-// New returns a share without limits at a daemon that is alone.
+// New returns a share without limits for a daemon without peers.
 func New(c Config) *Share {
 	c = c.withDefaults()
 	daemons := []ident.Daemon{c.Self}
 	return &Share{
-		Rate:       Rate{exchange: c.Exchange, burst: c.Burst, daemons: 1, elsewhere: elsewhere{}},
-		Concurrent: Concurrent{self: c.Self, daemons: daemons, told: map[ident.Daemon]uint32{}},
+		Rate:        RateLimit{exchangeInterval: c.ExchangeInterval, burst: c.Burst, daemons: 1, acceptedByPeer: peerCounts{}},
+		Concurrency: ConcurrencyLimit{self: c.Self, daemons: daemons, inFlightByPeer: map[ident.Daemon]uint32{}},
 	}
 }
 
-// SetLimits puts the limits of the document in force: accepted requests a second
-// and requests in flight. Zero means no limit.
+// SetLimits applies the configured limits: accepted requests per second and
+// requests in flight. Zero means no limit.
 func (s *Share) SetLimits(rate float64, concurrent int) {
 	s.Rate.setLimit(rate)
-	s.Concurrent.setLimit(concurrent)
+	s.Concurrency.setLimit(concurrent)
 }
 
-// SetDaemons tells which daemons are live, this one among them, sorted by name.
-// What was heard of others is forgotten: their callers come elsewhere. It keeps
-// the list.
+// SetDaemons sets the live daemons, including this one, sorted by name. Reports
+// of daemons that are no longer live are discarded, because their callers
+// connect elsewhere. It retains the slice.
 func (s *Share) SetDaemons(now time.Time, daemons []ident.Daemon) {
 	live := make(map[ident.Daemon]bool, len(daemons))
 	for _, id := range daemons {
 		live[id] = true
 	}
 	s.Rate.setDaemons(now, live)
-	s.Concurrent.setDaemons(daemons, live)
+	s.Concurrency.setDaemons(daemons, live)
 }
 
-// Hear takes in the news of another daemon.
-func (s *Share) Hear(now time.Time, from ident.Daemon, n News) {
-	s.Rate.hear(now, from, n)
-	s.Concurrent.hear(from, n)
+// MergeReport applies another daemon's report.
+func (s *Share) MergeReport(now time.Time, from ident.Daemon, report Report) {
+	s.Rate.mergeReport(now, from, report)
+	s.Concurrency.mergeReport(from, report)
 }
 
-// Forget drops what was heard of a daemon, whose incarnation is gone.
+// Forget discards the reports of a daemon whose incarnation has ended.
 func (s *Share) Forget(now time.Time, id ident.Daemon) {
 	s.Rate.forget(now, id)
-	s.Concurrent.hear(id, News{})
+	s.Concurrency.mergeReport(id, Report{})
 }
 
-// Spoke tells whether another daemon may know anything else than that nothing is
-// asked for.
-func (s *Share) Spoke() bool { return s.spoke }
+// HasReported reports whether other daemons may hold a report with demand from
+// this daemon.
+func (s *Share) HasReported() bool { return s.hasReported }
 
-// Tell ends one interval of the exchange: it returns the news, and whether they
-// differ from those before. A workspace without limits has none.
-func (s *Share) Tell(now time.Time, inFlight int) (News, bool) {
-	var n News
+// EndInterval ends an exchange interval. It returns the report to send, and
+// whether it differs from the previous one. The report of a workspace without
+// limits is zero.
+func (s *Share) EndInterval(now time.Time, inFlight int) (Report, bool) {
+	var report Report
 	if s.Rate.limit > 0 {
-		n.Arrivals, n.Accepted = s.Rate.tell(now), s.Rate.accepted
+		report.Arrivals, report.Accepted = s.Rate.endInterval(now), s.Rate.accepted
 	}
-	if s.Concurrent.limit > 0 {
-		n.Wanted, n.InFlight = s.Concurrent.tell(inFlight), uint32(inFlight)
+	if s.Concurrency.limit > 0 {
+		report.Wanted, report.InFlight = s.Concurrency.endInterval(inFlight), uint32(inFlight)
 	}
-	changed := n != s.told
-	s.told = n
-	s.spoke = s.spoke || changed
-	return n, changed
+	changed := report != s.lastReport
+	s.lastReport = report
+	s.hasReported = s.hasReported || changed
+	return report, changed
 }
--- a/internal/limit/measure_test.go
+++ b/internal/limit/measure_test.go
@@ -5,23 +5,25 @@
 	"testing"
 )
 
-// figures compares a fleet with one daemon that gets the same requests.
-type figures struct {
-	accepted, best int
-	// above is the most that was accepted above the limit and its bucket over any
-	// span of time, or in flight above the limit, in seconds of a rate or as part
-	// of the limit. over is its mean of what is in flight.
-	above, over float64
+// results compares a fleet with a single daemon that gets the same requests.
+type results struct {
+	accepted, baseline int
+	// maxExcess is the largest excess over any time span: for a rate, requests
+	// above the limit and its bucket, in seconds of the rate; for requests in
+	// flight, as a fraction of the limit. meanExcess is the mean of the latter.
+	maxExcess, meanExcess float64
 }
 
-// pattern is how callers come, in multiples of the limit.
+// pattern describes the arrival of requests, with the demand as a multiple of
+// the limit.
 type pattern struct {
-	name string
-	load float64
-	// move is how many steps lie between moves on average; zero: never.
-	move int
-	// restart lets a daemon start again without state every ten seconds.
-	restart bool
+	name        string
+	demandRatio float64
+	// moveInterval is the mean number of steps between moves of the callers; zero
+	// means that they never move.
+	moveInterval int
+	// restarts restarts a daemon without state every ten seconds.
+	restarts bool
 }
 
 var patterns = []pattern{
@@ -36,29 +38,29 @@
 
 const seeds = 20
 
-func (p pattern) fleet(seed uint64, daemons int, rate float64, slots int) *model {
+func (p pattern) newModel(seed uint64, daemons int, rate float64, slots int) *model {
 	m := newModel(seed, daemons, rate, slots)
-	// A request in flight takes five seconds on average.
-	total := p.load * (rate + float64(slots)/5)
-	for i, part := range []float64{0.60, 0.25, 0.15} {
-		m.nodes[i].demand = total * part
+	// A request takes five seconds on average.
+	total := p.demandRatio * (rate + float64(slots)/5)
+	for i, fraction := range []float64{0.60, 0.25, 0.15} {
+		m.nodes[i].demand = total * fraction
 	}
 	return m
 }
 
-// disturb moves the callers or restarts a daemon where it is time.
+// disturb moves the callers or restarts a daemon when due.
 func (p pattern) disturb(m *model) {
-	if p.move > 0 && m.rng.IntN(p.move) == 0 {
-		m.spread(p.load * (m.rate + float64(m.slots)/5))
+	if p.moveInterval > 0 && m.rng.IntN(p.moveInterval) == 0 {
+		m.distributeDemand(p.demandRatio * (m.rate + float64(m.slots)/5))
 	}
-	if p.restart && m.step%200 == 0 {
-		m.boot(m.nodes[m.rng.IntN(len(m.nodes))])
+	if p.restarts && m.step%200 == 0 {
+		m.restart(m.nodes[m.rng.IntN(len(m.nodes))])
 	}
 }
 
-func (p pattern) measureRate(t *testing.T, daemons int, rate float64) (f figures) {
+func (p pattern) measureRate(t *testing.T, daemons int, rate float64) (f results) {
 	for seed := range uint64(seeds) {
-		m := p.fleet(seed, daemons, rate, 0)
+		m := p.newModel(seed, daemons, rate, 0)
 		level, least := 0.0, 0.0
 		for m.step = 1; m.step < modelSteps; m.step++ {
 			p.disturb(m)
@@ -67,7 +69,7 @@
 			}
 			m.exchange()
 			level -= rate * modelStep.Seconds()
-			f.above = max(f.above, (level-least-m.bucket())/rate)
+			f.maxExcess = max(f.maxExcess, (level-least-m.bucket())/rate)
 			least = min(least, level)
 		}
 		f.add(m)
@@ -75,55 +77,55 @@
 	return f
 }
 
-func (p pattern) measureInFlight(daemons, slots int) (f figures) {
+func (p pattern) measureInFlight(daemons, slots int) (f results) {
 	for seed := range uint64(seeds) {
-		m := p.fleet(seed, daemons, 0, slots)
+		m := p.newModel(seed, daemons, 0, slots)
 		for m.step = 1; m.step < modelSteps; m.step++ {
 			p.disturb(m)
-			above := max(0, float64(m.flights()-slots)/float64(slots))
+			excess := max(0, float64(m.stepInFlight()-slots)/float64(slots))
 			m.exchange()
-			f.above = max(f.above, above)
-			f.over += above / (seeds * (modelSteps - 1))
+			f.maxExcess = max(f.maxExcess, excess)
+			f.meanExcess += excess / (seeds * (modelSteps - 1))
 		}
 		f.add(m)
 	}
 	return f
 }
 
-func (f *figures) add(m *model) {
+func (f *results) add(m *model) {
 	f.accepted += m.accepted
-	f.best += m.best
+	f.baseline += m.baselineAccepted
 }
 
-func (f *figures) used() float64 { return float64(f.accepted) / float64(f.best) }
+func (f *results) utilization() float64 { return float64(f.accepted) / float64(f.baseline) }
 
-// TestMeasured prints the figures of docs/design/admission.md (go test -v). It
-// fails where a fleet that nobody moves in leaves more than a twentieth of what
-// one daemon would accept, or exceeds what the bound allows.
+// TestMeasured prints the results quoted in docs/design/admission.md (go test
+// -v). It fails if a fleet without moves and restarts accepts less than 95% of
+// what a single daemon would, or if the bound is exceeded.
 func TestMeasured(t *testing.T) {
 	for _, p := range patterns {
 		for _, daemons := range []int{3, 7} {
 			for _, rate := range []float64{2, 20, 100} {
 				f := p.measureRate(t, daemons, rate)
-				t.Logf("%s, load %.1f, %d daemons, %3.0f/s: %.3f of the best, %.2f s above",
-					p.name, p.load, daemons, rate, f.used(), f.above)
-				if p.move == 0 && !p.restart && f.used() < 0.95 {
-					t.Error("too little is used")
+				t.Logf("%s, load %.1f, %d daemons, %3.0f/s: %.3f of a single daemon, %.2f s excess",
+					p.name, p.demandRatio, daemons, rate, f.utilization(), f.maxExcess)
+				if p.moveInterval == 0 && !p.restarts && f.utilization() < 0.95 {
+					t.Error("utilization too low")
 				}
-				most := unheard(rate, DefaultBurst, DefaultExchange, daemons)/rate + DefaultBurst.Seconds()
-				if !p.restart && f.above > most+floorShare*modelSteps*modelStep.Seconds() {
-					t.Errorf("above the bound of %.2f s", most)
+				bound := maxUnreported(rate, DefaultBurst, DefaultExchangeInterval, daemons)/rate + DefaultBurst.Seconds()
+				if !p.restarts && f.maxExcess > bound+floorFraction*modelSteps*modelStep.Seconds() {
+					t.Errorf("excess above the bound of %.2f s", bound)
 				}
 			}
 			for _, slots := range []int{4, 16, 60} {
 				f := p.measureInFlight(daemons, slots)
-				t.Logf("%s, load %.1f, %d daemons, %2d in flight: %.3f of the best, %.2f above at most, %.4f on average",
-					p.name, p.load, daemons, slots, f.used(), f.above, f.over)
-				if p.move == 0 && !p.restart && f.used() < 0.95 {
-					t.Error("too little is used")
+				t.Logf("%s, load %.1f, %d daemons, %2d in flight: %.3f of a single daemon, maximum excess %.2f, mean %.4f",
+					p.name, p.demandRatio, daemons, slots, f.utilization(), f.maxExcess, f.meanExcess)
+				if p.moveInterval == 0 && !p.restarts && f.utilization() < 0.95 {
+					t.Error("utilization too low")
 				}
-				if f.above > math.Sqrt(float64(daemons))+float64(daemons)/float64(slots) && !p.restart {
-					t.Error("above the bound")
+				if f.maxExcess > math.Sqrt(float64(daemons))+float64(daemons)/float64(slots) && !p.restarts {
+					t.Error("excess above the bound")
 				}
 			}
 		}
--- a/internal/limit/model_test.go
+++ b/internal/limit/model_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/savorystall/savorystall/internal/ident"
-	_ "github.com/savorystall/savorystall/test/fixedseed" // the same verdict each run
+	_ "github.com/savorystall/savorystall/test/fixedseed" // fixed seed for reproducible results
 )
 
 var start = time.Date(2026, 6, 1, 0, 0, 0, 0, time.UTC)
@@ -20,171 +20,177 @@
 	modelSteps    = 1200
 )
 
-// model is a fleet of daemons that divide the limits of one workspace. News take
-// up to two steps, some are lost, daemons restart without state and the fleet is
-// cut in two for a while.
+// model simulates a fleet of daemons that divide the limits of one workspace.
+// Reports take up to two steps and may be lost, daemons restart without state,
+// and the fleet may be partitioned for a while.
 type model struct {
-	rng   *rand.Rand
-	step  int
-	rate  float64
-	slots int
-	loss  float64
-	nodes []*node
-	cut   bool
-	// tokens are those of the limit's bucket where all is known at once.
-	tokens  float64
-	pending []sent
-	// accepted counts what the nodes accept, best what one daemon accepts that gets
-	// all requests: alone by the rate, and alongside those in flight there.
-	accepted, best int
-	alone          *Share
-	alongside      []int
+	rng         *rand.Rand
+	step        int
+	rate        float64
+	slots       int
+	lossRate    float64
+	nodes       []*node
+	partitioned bool
+	// tokens is the content of the fleet bucket if every request were known at
+	// once.
+	tokens    float64
+	inTransit []message
+	// accepted is the number of requests that the nodes accept, and
+	// baselineAccepted the number that a single daemon accepts that gets all
+	// requests: single under the rate limit, and singleInFlight for the requests
+	// in flight.
+	accepted, baselineAccepted int
+	single                     *Share
+	singleInFlight             []int
 }
 
-// node is one daemon and its callers.
+// node is one daemon with its callers.
 type node struct {
-	id          ident.Daemon
-	incarnation int
-	phase       int
-	share       *Share
-	told        int // how often this incarnation has told
-	heard       map[ident.Daemon]mark
-	// demand is how many requests come a second; due is what is left of one.
-	demand, due float64
-	// missing is how many requests others accepted that this one's count of the
-	// fleet does not hold.
-	missing float64
-	// ends are the steps at which the running requests end.
-	ends []int
-	side bool
+	id            ident.Daemon
+	incarnation   int
+	exchangePhase int
+	share         *Share
+	reportCount   int // reports sent by this incarnation
+	received      map[ident.Daemon]reportID
+	// demand is the number of requests per second, and fractional the part of a
+	// request carried over to the next step.
+	demand, fractional float64
+	// unreported is the number of requests accepted by others that this daemon's
+	// fleet bucket does not reflect yet.
+	unreported float64
+	// endSteps holds the steps at which the running requests end.
+	endSteps      []int
+	partitionSide bool
 }
 
-// mark says which news was last heard of a daemon.
-type mark struct{ incarnation, told int }
+// reportID identifies a report of a daemon.
+type reportID struct{ incarnation, number int }
 
-type sent struct {
-	from, to *node
-	at       int
-	mark     mark
-	news     News
+type message struct {
+	from, to  *node
+	deliverAt int
+	id        reportID
+	report    Report
 }
 
 func newModel(seed uint64, daemons int, rate float64, slots int) *model {
 	m := &model{rng: rand.New(rand.NewPCG(seed, 1)), rate: rate, slots: slots}
 	for i := range daemons {
 		m.nodes = append(m.nodes, &node{
-			id: ident.Daemon(fmt.Sprintf("d%03d", i)), phase: m.rng.IntN(modelExchange), side: m.rng.IntN(2) == 0,
+			id: ident.Daemon(fmt.Sprintf("d%03d", i)), exchangePhase: m.rng.IntN(modelExchange), partitionSide: m.rng.IntN(2) == 0,
 		})
 	}
-	m.alone = New(Config{Self: "alone"})
-	m.alone.SetLimits(rate, slots)
+	m.single = New(Config{Self: "alone"})
+	m.single.SetLimits(rate, slots)
 	m.tokens = m.bucket()
 	for _, n := range m.nodes {
-		m.boot(n)
+		m.restart(n)
 	}
 	return m
 }
 
 func (m *model) now() time.Time { return start.Add(time.Duration(m.step) * modelStep) }
 
-func (m *model) boot(n *node) {
+func (m *model) restart(n *node) {
 	n.incarnation++
 	n.share = New(Config{Self: n.id})
-	n.heard = map[ident.Daemon]mark{}
-	n.told, n.ends = 0, nil
+	n.received = map[ident.Daemon]reportID{}
+	n.reportCount, n.endSteps = 0, nil
 	n.share.SetLimits(m.rate, m.slots)
-	n.share.SetDaemons(m.now(), m.live(n))
-	n.missing = n.share.Rate.fleet - m.tokens
+	n.share.SetDaemons(m.now(), m.reachable(n))
+	n.unreported = n.share.Rate.fleetTokens - m.tokens
 	for _, p := range m.nodes {
 		if p != n && p.share != nil {
 			p.share.Forget(m.now(), n.id)
-			delete(p.heard, n.id)
+			delete(p.received, n.id)
 		}
 	}
 }
 
-// live lists the daemons that n reaches, itself among them.
-func (m *model) live(n *node) []ident.Daemon {
+// reachable returns the daemons that n can reach, including itself.
+func (m *model) reachable(n *node) []ident.Daemon {
 	var ids []ident.Daemon
 	for _, p := range m.nodes {
-		if !m.parted(n, p) {
+		if !m.separated(n, p) {
 			ids = append(ids, p.id)
 		}
 	}
 	return ids
 }
 
-func (m *model) parted(a, b *node) bool { return m.cut && a.side != b.side }
+func (m *model) separated(a, b *node) bool {
+	return m.partitioned && a.partitionSide != b.partitionSide
+}
 
-func (m *model) setCut(cut bool) {
-	m.cut = cut
+func (m *model) setPartitioned(partitioned bool) {
+	m.partitioned = partitioned
 	for _, n := range m.nodes {
-		ids := m.live(n)
+		ids := m.reachable(n)
 		n.share.SetDaemons(m.now(), ids)
-		for id := range n.heard {
+		for id := range n.received {
 			if !slices.Contains(ids, id) {
-				delete(n.heard, id)
+				delete(n.received, id)
 			}
 		}
 	}
 }
 
-// exchange tells the news whose time has come and delivers what has arrived.
+// exchange sends the reports that are due and delivers those that have arrived.
 func (m *model) exchange() {
 	for _, n := range m.nodes {
-		if (m.step+n.phase)%modelExchange != 0 {
+		if (m.step+n.exchangePhase)%modelExchange != 0 {
 			continue
 		}
-		news, _ := n.share.Tell(m.now(), len(n.ends))
-		n.told++
+		report, _ := n.share.EndInterval(m.now(), len(n.endSteps))
+		n.reportCount++
 		for _, p := range m.nodes {
-			if p == n || m.parted(n, p) || m.rng.Float64() < m.loss {
+			if p == n || m.separated(n, p) || m.rng.Float64() < m.lossRate {
 				continue
 			}
 			at := m.step + m.rng.IntN(3)
-			m.pending = append(m.pending, sent{n, p, at, mark{n.incarnation, n.told}, news})
+			m.inTransit = append(m.inTransit, message{n, p, at, reportID{n.incarnation, n.reportCount}, report})
 		}
 	}
-	m.pending = slices.DeleteFunc(m.pending, func(s sent) bool {
-		if s.at > m.step {
+	m.inTransit = slices.DeleteFunc(m.inTransit, func(msg message) bool {
+		if msg.deliverAt > m.step {
 			return false
 		}
-		if s.mark.incarnation == s.from.incarnation && !m.parted(s.from, s.to) {
-			s.to.heard[s.from.id] = s.mark
-			before := s.to.share.Rate.fleet
-			s.to.share.Hear(m.now(), s.from.id, s.news)
-			s.to.missing -= before - s.to.share.Rate.fleet
+		if msg.id.incarnation == msg.from.incarnation && !m.separated(msg.from, msg.to) {
+			msg.to.received[msg.from.id] = msg.id
+			before := msg.to.share.Rate.fleetTokens
+			msg.to.share.MergeReport(m.now(), msg.from.id, msg.report)
+			msg.to.unreported -= before - msg.to.share.Rate.fleetTokens
 		}
 		return true
 	})
 }
 
-// blind tells whether a daemon lacks news that the proof takes as heard: of
-// another daemon neither the last nor the one before, or who is there.
-func (m *model) blind(n *node) bool {
+// lacksReports reports whether a daemon lacks reports that the proof assumes it
+// has received: neither the last report of another daemon nor the one before,
+// or the membership.
+func (m *model) lacksReports(n *node) bool {
 	for _, p := range m.nodes {
 		if p == n {
 			continue
 		}
-		if h := n.heard[p.id]; m.cut || h.incarnation != p.incarnation || h.told < p.told-1 {
+		if h := n.received[p.id]; m.partitioned || h.incarnation != p.incarnation || h.number < p.reportCount-1 {
 			return true
 		}
 	}
 	return false
 }
 
-// arrive lets the callers of a node send what is due in this step, and returns
-// how many come.
-func (n *node) arrive(rng *rand.Rand) int {
-	n.due += n.demand * modelStep.Seconds() * (0.5 + rng.Float64())
-	count := int(n.due)
-	n.due -= float64(count)
+// arrivals returns the number of requests that arrive at a node in this step.
+func (n *node) arrivals(rng *rand.Rand) int {
+	n.fractional += n.demand * modelStep.Seconds() * (0.5 + rng.Float64())
+	count := int(n.fractional)
+	n.fractional -= float64(count)
 	return count
 }
 
-// spread draws a demand for each node that comes to total: even, on one node, or
-// in between.
-func (m *model) spread(total float64) {
+// distributeDemand randomly divides a total demand among the nodes: evenly, all
+// on one node, or in between.
+func (m *model) distributeDemand(total float64) {
 	skew := m.rng.Float64() * 6
 	sum := 0.0
 	weights := make([]float64, len(m.nodes))
@@ -199,21 +205,22 @@
 
 func (m *model) bucket() float64 { return max(1, m.rate*DefaultBurst.Seconds()) }
 
-// arrivals lets the callers of a step come and returns how many each node accepts
-// under the limit of the rate. It fails where a node accepts what the limit leaves
-// no token for, though it had heard of all that others accepted.
+// arrivals simulates the arrivals of one step and returns how many requests
+// each node accepts under the rate limit. It fails if a node accepts a request
+// for which the limit has no token left, even counting requests not yet
+// reported to the node.
 func (m *model) arrivals(fail func(string, ...any)) []int {
-	m.fill()
+	m.refill()
 	accepted := make([]int, len(m.nodes))
 	for i, n := range m.nodes {
-		for range n.arrive(m.rng) {
-			m.tryAlone()
-			n.share.Rate.Arrived()
+		for range n.arrivals(m.rng) {
+			m.admitAtSingle()
+			n.share.Rate.RecordArrival()
 			if n.share.Rate.Wait(m.now()) > 0 {
 				continue
 			}
-			if m.tokens < 1-n.missing-1e-6 {
-				fail("step %d: %s accepts with %.2f tokens left and %.2f not heard of", m.step, n.id, m.tokens, n.missing)
+			if m.tokens < 1-n.unreported-1e-6 {
+				fail("step %d: %s accepts with %.2f tokens left and %.2f requests unreported", m.step, n.id, m.tokens, n.unreported)
 			}
 			n.share.Rate.Take()
 			accepted[i]++
@@ -221,7 +228,7 @@
 			m.tokens--
 			for _, p := range m.nodes {
 				if p != n {
-					p.missing++
+					p.unreported++
 				}
 			}
 		}
@@ -229,52 +236,54 @@
 	return accepted
 }
 
-func (m *model) tryAlone() {
-	if m.alone.Rate.Wait(m.now()) == 0 {
-		m.alone.Rate.Take()
-		m.best++
+func (m *model) admitAtSingle() {
+	if m.single.Rate.Wait(m.now()) == 0 {
+		m.single.Rate.Take()
+		m.baselineAccepted++
 	}
 }
 
-// fill adds the tokens of one step. Nobody's count can be above a full bucket.
-func (m *model) fill() {
-	m.tokens = min(m.bucket(), m.tokens+(1+floorShare)*m.rate*modelStep.Seconds())
+// refill adds the tokens of one step. No daemon's count can exceed a full
+// bucket.
+func (m *model) refill() {
+	m.tokens = min(m.bucket(), m.tokens+(1+floorFraction)*m.rate*modelStep.Seconds())
 	for _, n := range m.nodes {
-		n.share.Rate.advance(m.now())
+		n.share.Rate.refill(m.now())
 		if m.tokens == m.bucket() {
-			n.missing = 0
+			n.unreported = 0
 		}
 	}
 }
 
-// flights lets requests come and end and returns how many are in flight.
-func (m *model) flights() int {
+// stepInFlight simulates the arrivals and completions of one step and returns
+// the number in flight.
+func (m *model) stepInFlight() int {
 	total := 0
-	m.alongside = m.running(m.alongside)
+	m.singleInFlight = m.unfinished(m.singleInFlight)
 	for _, n := range m.nodes {
-		n.ends = m.running(n.ends)
-		for range n.arrive(m.rng) {
+		n.endSteps = m.unfinished(n.endSteps)
+		for range n.arrivals(m.rng) {
 			end := m.step + 1 + m.rng.IntN(200)
-			if n.share.Concurrent.Admit(len(n.ends)) {
-				n.ends = append(n.ends, end)
+			if n.share.Concurrency.Admit(len(n.endSteps)) {
+				n.endSteps = append(n.endSteps, end)
 				m.accepted++
 			}
-			if len(m.alongside) < m.slots {
-				m.alongside = append(m.alongside, end)
-				m.best++
+			if len(m.singleInFlight) < m.slots {
+				m.singleInFlight = append(m.singleInFlight, end)
+				m.baselineAccepted++
 			}
 		}
-		total += len(n.ends)
+		total += len(n.endSteps)
 	}
 	return total
 }
 
-// running returns those of the ends that are still to come.
-func (m *model) running(ends []int) []int {
+// unfinished returns the end steps that are still in the future.
+func (m *model) unfinished(ends []int) []int {
 	return slices.DeleteFunc(ends, func(end int) bool { return end <= m.step })
 }
 
-// drawModel draws a fleet and its limits.
+// drawModel draws a random fleet and its limits.
 func drawModel(t *rapid.T, faults bool) *model {
 	m := newModel(
 		rapid.Uint64().Draw(t, "seed"),
@@ -283,7 +292,7 @@
 		rapid.IntRange(1, 60).Draw(t, "slots"),
 	)
 	if faults {
-		m.loss = rapid.Float64Range(0, 0.3).Draw(t, "loss")
+		m.lossRate = rapid.Float64Range(0, 0.3).Draw(t, "loss")
 	}
 	return m
 }
--- a/internal/limit/rate.go
+++ b/internal/limit/rate.go
@@ -8,224 +8,241 @@
 )
 
 const (
-	// arrivalUnit is the resolution of a rate between daemons: sixteenths of a
-	// request a second.
-	arrivalUnit = 16
-	// floorShare is the part of a limit that is handed out beside it, equally: a
-	// daemon that nobody met before is given something while all of the limit is
-	// in use elsewhere. Without it the callers there would be refused until two
-	// exchanges had passed. The fleet's bucket fills faster by as much: it would
-	// else fall behind for as long as this is used, and two daemons whose counts
-	// once differed would never agree again, because it is full buckets that agree.
-	floorShare = 0.1
-	// lendUntil is how much may be asked for, as a multiple of the limit, for
-	// tokens of the fleet to be lent. Callers that move are counted at both daemons
-	// for a while; above that, who is lent first would get the parts of others.
-	lendUntil = 1.1
-	// longestWait bounds the time that a caller is told.
-	longestWait = 24 * time.Hour
-	// roundingError is what sums of many small floating-point steps may be off by.
-	roundingError = 1e-9
+	// arrivalScale is the resolution of rates in reports: sixteenths of a request
+	// per second.
+	arrivalScale = 16
+	// floorFraction is the fraction of a limit that is handed out in addition to
+	// it, in equal parts, so that a previously unused daemon has a share while
+	// the whole limit is in use elsewhere. Without it, callers there would be
+	// refused until two exchanges had passed. The refill rate of the fleet bucket
+	// is higher by the same amount. Otherwise the bucket would run behind while
+	// the addition is used, and two daemons whose counts once differed would
+	// never agree again, because counts converge only when the buckets are full.
+	floorFraction = 0.1
+	// borrowDemandRatio is the demand, as a multiple of the limit, above which no
+	// tokens of the fleet bucket may be borrowed. The ratio is above 1 because
+	// callers that move are counted at both daemons for a while; at higher
+	// demand, the first daemon to borrow would take the shares of others.
+	borrowDemandRatio = 1.1
+	// maxWait bounds the wait time reported to a caller.
+	maxWait = 24 * time.Hour
+	// tokenTolerance covers the accumulated floating-point error of many small
+	// additions.
+	tokenTolerance = 1e-9
 )
 
-// Rate is a daemon's part of a limit of requests a second. Two token buckets
-// decide together, one token a request:
+// RateLimit is a daemon's share of a limit in requests per second. A request
+// needs a token of each of two token buckets:
 //
-//   - The fleet's, which fills at the limit and floorShare of it. What this daemon
-//     accepts leaves it at once, what others accept when they tell. It holds the
-//     limit over time, whatever the parts are.
-//   - The daemon's own, which fills at its part. It divides the limit while more is
-//     asked for, and bounds what all accept before they hear of each other.
-type Rate struct {
-	limit           float64
-	exchange, burst time.Duration
-	daemons         int
-	demand          demand
-	// arrivals counts those of this interval of the exchange, before those of
-	// the one before; since is when this one began.
-	arrivals, before int
-	since            time.Time
-	// accepted counts those that this daemon's incarnation has accepted.
-	accepted  uint64
-	elsewhere elsewhere
-	// fleet and own are the tokens of the buckets at the time of. extra are those
-	// that may be taken beside own ones in this interval.
-	fleet, own, extra float64
-	of                time.Time
-}
-
-// setLimit starts with full buckets.
-func (r *Rate) setLimit(limit float64) {
+//   - The fleet bucket refills at the limit plus up to floorFraction of it. It is
+//     charged at once for requests accepted by this daemon, and for those of
+//     other daemons when they report them. It enforces the limit over time,
+//     regardless of the shares.
+//   - The daemon's own bucket refills at its share. It divides the limit while
+//     demand is higher, and bounds what all daemons accept before they receive
+//     each other's reports.
+type RateLimit struct {
+	limit                   float64
+	exchangeInterval, burst time.Duration
+	daemons                 int
+	demand                  demand
+	// arrivals is the number of arrivals in the current exchange interval, which
+	// began at intervalStart, and previousArrivals the number in the interval
+	// before.
+	arrivals, previousArrivals int
+	intervalStart              time.Time
+	// accepted is the number of requests accepted by this daemon's incarnation.
+	accepted       uint64
+	acceptedByPeer peerCounts
+	// fleetTokens and ownTokens are the contents of the buckets at updatedAt.
+	// borrowable is the number of tokens that may be used in this interval when
+	// the own bucket is empty.
+	fleetTokens, ownTokens, borrowable float64
+	updatedAt                          time.Time
+}
+
+// setLimit changes the limit. A new limit starts with full buckets.
+func (r *RateLimit) setLimit(limit float64) {
 	first := r.limit <= 0
 	r.limit = limit
 	if first {
-		r.fleet, r.own = r.fleetSize(), r.ownSize()
-		r.lend()
+		r.fleetTokens, r.ownTokens = r.fleetCapacity(), r.ownCapacity()
+		r.resetBorrowable()
 	}
-	r.advance(r.of)
+	r.refill(r.updatedAt)
 }
 
-func (r *Rate) setDaemons(now time.Time, live map[ident.Daemon]bool) {
-	r.advance(now)
+func (r *RateLimit) setDaemons(now time.Time, live map[ident.Daemon]bool) {
+	r.refill(now)
 	r.daemons = len(live)
-	r.demand.keep(live)
-	r.elsewhere.keep(live)
-	r.extra = min(r.extra, r.lent())
-	r.advance(now)
+	r.demand.retainPeers(live)
+	r.acceptedByPeer.retainPeers(live)
+	r.borrowable = min(r.borrowable, r.maxBorrowable())
+	r.refill(now)
 }
 
-// hear takes in what another daemon told.
-func (r *Rate) hear(now time.Time, from ident.Daemon, n News) {
-	r.advance(now)
-	r.demand.hear(from, n.Arrivals)
-	more := r.elsewhere.hear(from, n.Accepted)
-	r.fleet = max(r.fleet-float64(more), -r.debt())
-	r.advance(now)
+// mergeReport applies another daemon's report.
+func (r *RateLimit) mergeReport(now time.Time, from ident.Daemon, report Report) {
+	r.refill(now)
+	r.demand.setPeer(from, report.Arrivals)
+	added := r.acceptedByPeer.update(from, report.Accepted)
+	r.fleetTokens = max(r.fleetTokens-float64(added), -r.maxDebt())
+	r.refill(now)
 }
 
-func (r *Rate) forget(now time.Time, id ident.Daemon) {
-	r.advance(now)
-	r.demand.hear(id, 0)
-	delete(r.elsewhere, id)
-	r.advance(now)
+func (r *RateLimit) forget(now time.Time, id ident.Daemon) {
+	r.refill(now)
+	r.demand.setPeer(id, 0)
+	delete(r.acceptedByPeer, id)
+	r.refill(now)
 }
 
-// Arrived counts a request, also one that is refused then.
-func (r *Rate) Arrived() { r.arrivals++ }
+// RecordArrival counts a request, whether or not it is then refused.
+func (r *RateLimit) RecordArrival() { r.arrivals++ }
 
-// Wait returns how long there is no token; zero means that there is one.
-func (r *Rate) Wait(now time.Time) time.Duration {
+// Wait returns the time until a token is available; zero means that one is
+// available now.
+func (r *RateLimit) Wait(now time.Time) time.Duration {
 	if r.limit <= 0 {
 		return 0
 	}
-	r.advance(now)
-	return max(lacking(1-r.fleet, r.fleetRate()), r.ownWait())
+	r.refill(now)
+	return max(refillTime(1-r.fleetTokens, r.fleetRefillRate()), r.ownBucketWait())
 }
 
-func (r *Rate) ownWait() time.Duration {
-	if holds(max(r.own, r.extra)) {
+func (r *RateLimit) ownBucketWait() time.Duration {
+	if hasToken(max(r.ownTokens, r.borrowable)) {
 		return 0
 	}
-	return min(lacking(1-r.own, r.part()), r.grown(1-r.own))
+	return min(refillTime(1-r.ownTokens, r.ownRefillRate()), r.waitForGrowth(1-r.ownTokens))
 }
 
-// holds tells whether there is a token.
-func holds(tokens float64) bool { return tokens >= 1-roundingError }
+// hasToken reports whether a whole token is available.
+func hasToken(tokens float64) bool { return tokens >= 1-tokenTolerance }
 
-// grown is how long there is no token if the callers of this interval keep
-// coming, so that the part has grown by the second exchange from now.
-func (r *Rate) grown(missing float64) time.Duration {
-	own := max(float64(r.demand.told[0])/arrivalUnit, float64(r.arrivals)/r.exchange.Seconds())
-	return 2*r.exchange + lacking(missing, r.atLeastFloor(part(r.limit, own, r.others(), r.daemons)))
+// waitForGrowth returns the time until a token is available if callers keep
+// arriving at the rate of this interval, so that the share has grown by the
+// second exchange from now.
+func (r *RateLimit) waitForGrowth(missing float64) time.Duration {
+	ownDemand := max(float64(r.demand.reported[0])/arrivalScale, float64(r.arrivals)/r.exchangeInterval.Seconds())
+	return 2*r.exchangeInterval + refillTime(missing, r.withFloor(allocate(r.limit, ownDemand, r.peerDemand(), r.daemons)))
 }
 
-// lacking is how long tokens take to come at a rate.
-func lacking(tokens, rate float64) time.Duration {
-	if tokens <= roundingError {
+// refillTime returns how long it takes to refill a number of tokens at a rate.
+func refillTime(tokens, rate float64) time.Duration {
+	if tokens <= tokenTolerance {
 		return 0
 	}
-	return time.Duration(min(tokens/rate, longestWait.Seconds()) * float64(time.Second))
+	return time.Duration(min(tokens/rate, maxWait.Seconds()) * float64(time.Second))
 }
 
-// Take uses up a token.
-func (r *Rate) Take() {
+// Take consumes a token.
+func (r *RateLimit) Take() {
 	if r.limit <= 0 {
 		return
 	}
 	r.accepted++
-	r.fleet--
-	if holds(r.own) {
-		r.own--
+	r.fleetTokens--
+	if hasToken(r.ownTokens) {
+		r.ownTokens--
 		return
 	}
-	r.extra--
+	r.borrowable--
 }
 
-// tell ends an interval and returns the arrivals over the last two, in sixteenths
-// of a request a second. One interval alone would say nothing of a limit of a few
-// requests a second.
-func (r *Rate) tell(now time.Time) uint32 {
-	r.advance(now)
-	length := max(now.Sub(r.since), r.exchange/2)
-	if r.since.IsZero() {
-		length = r.exchange
+// endInterval ends an interval and returns the arrival rate over the last two,
+// in sixteenths of a request per second. A single interval would be too short
+// for limits of a few requests per second.
+func (r *RateLimit) endInterval(now time.Time) uint32 {
+	r.refill(now)
+	length := max(now.Sub(r.intervalStart), r.exchangeInterval/2)
+	if r.intervalStart.IsZero() {
+		length = r.exchangeInterval
 	}
-	mean := float64(r.arrivals+r.before) / 2 / length.Seconds()
-	r.before, r.arrivals, r.since = r.arrivals, 0, now
-	told := r.demand.tell(uint32(min(math.Ceil(mean*arrivalUnit), math.MaxUint32)))
-	r.lend()
-	r.advance(now)
-	return told
-}
-
-// lend renews the tokens beside the own ones.
-func (r *Rate) lend() { r.extra = r.lent() }
-
-// lent is how many tokens of the fleet's bucket a daemon may take in an interval
-// beside its own. Callers that come or move come to a few daemons at once: between
-// all of them, which would let in as many bursts as there are daemons, and an
-// n-th, which moved callers have used up at once, stands the root.
-func (r *Rate) lent() float64 {
-	asked := float64(r.demand.told[0])/arrivalUnit + r.others()
-	if r.fleet < 1 || asked > lendUntil*r.limit {
+	mean := float64(r.arrivals+r.previousArrivals) / 2 / length.Seconds()
+	r.previousArrivals, r.arrivals, r.intervalStart = r.arrivals, 0, now
+	reported := r.demand.report(uint32(min(math.Ceil(mean*arrivalScale), math.MaxUint32)))
+	r.resetBorrowable()
+	r.refill(now)
+	return reported
+}
+
+// resetBorrowable sets the borrowable tokens for a new interval.
+func (r *RateLimit) resetBorrowable() { r.borrowable = r.maxBorrowable() }
+
+// maxBorrowable returns how many tokens of the fleet bucket a daemon may use in
+// an interval in addition to its own. New or moving callers connect to a few
+// daemons at once. If each daemon could borrow all tokens, the fleet could
+// admit as many bursts as there are daemons; if each could borrow only 1/n,
+// callers that moved would exhaust them immediately. The fraction 1/sqrt(n)
+// lies between the two.
+func (r *RateLimit) maxBorrowable() float64 {
+	totalDemand := float64(r.demand.reported[0])/arrivalScale + r.peerDemand()
+	if r.fleetTokens < 1 || totalDemand > borrowDemandRatio*r.limit {
 		return 0
 	}
-	return max(1, r.fleet/math.Sqrt(float64(r.daemons)))
+	return max(1, r.fleetTokens/math.Sqrt(float64(r.daemons)))
 }
 
-func (r *Rate) others() float64 { return float64(r.demand.others) / arrivalUnit }
+func (r *RateLimit) peerDemand() float64 { return float64(r.demand.peerTotal) / arrivalScale }
 
-// fleetRate is at which the fleet's bucket fills, in tokens a second.
-func (r *Rate) fleetRate() float64 { return r.limit * (1 + floorShare*r.othersShare()) }
+// fleetRefillRate returns the refill rate of the fleet bucket, in tokens per
+// second.
+func (r *RateLimit) fleetRefillRate() float64 { return r.limit * (1 + floorFraction*r.peerFraction()) }
 
-// othersShare is the part of the daemons that are not this one. Nothing is given
-// beside the limit to a daemon that is alone.
-func (r *Rate) othersShare() float64 { return 1 - 1/float64(r.daemons) }
+// peerFraction returns the fraction of the daemons that are not this one. A
+// daemon without peers gets nothing in addition to the limit.
+func (r *RateLimit) peerFraction() float64 { return 1 - 1/float64(r.daemons) }
 
-// part is this daemon's part of the limit, in tokens a second.
-func (r *Rate) part() float64 {
-	return r.atLeastFloor(part(r.limit, r.demand.own()/arrivalUnit, r.others(), r.daemons))
+// ownRefillRate returns this daemon's share of the limit, in tokens per second.
+func (r *RateLimit) ownRefillRate() float64 {
+	return r.withFloor(allocate(r.limit, r.demand.confirmed()/arrivalScale, r.peerDemand(), r.daemons))
 }
 
-func (r *Rate) atLeastFloor(rate float64) float64 {
-	return max(rate, floorShare*r.limit/float64(r.daemons))
+func (r *RateLimit) withFloor(rate float64) float64 {
+	return max(rate, floorFraction*r.limit/float64(r.daemons))
 }
 
-func (r *Rate) fleetSize() float64 { return max(1, r.limit*r.burst.Seconds()) }
+func (r *RateLimit) fleetCapacity() float64 { return max(1, r.limit*r.burst.Seconds()) }
 
-// ownSize has one token beside those of a burst, so that a part of less than one
-// request in a burst is not lost while nobody comes.
-func (r *Rate) ownSize() float64 { return 1 + r.part()*r.burst.Seconds() }
+// ownCapacity returns the capacity of the own bucket. It holds one token more
+// than a burst, so that a share of less than one request per burst can
+// accumulate a token while no requests arrive.
+func (r *RateLimit) ownCapacity() float64 { return 1 + r.ownRefillRate()*r.burst.Seconds() }
 
-// debt is how much the fleet's bucket may lack. As long as exchanges arrive it
-// never lacks as much; after a link that was silent for long it would have all
-// callers refused for as long again.
-func (r *Rate) debt() float64 { return unheard(r.limit, r.burst, r.exchange, r.daemons) }
+// maxDebt bounds how far the fleet bucket may go below zero. As long as
+// exchanges arrive it never reaches this bound. Without the bound, after a long
+// loss of connectivity all callers would be refused for as long again.
+func (r *RateLimit) maxDebt() float64 {
+	return maxUnreported(r.limit, r.burst, r.exchangeInterval, r.daemons)
+}
 
-// unheard is the most that all daemons can accept before they hear of each other:
-// what the own buckets hold and get in two intervals, and what two intervals lend.
-// It is in requests; docs/design/admission.md derives it.
-func unheard(limit float64, burst, exchange time.Duration, daemons int) float64 {
+// maxUnreported returns the maximum number of requests that all daemons can
+// accept before they receive each other's reports: the contents of the own
+// buckets plus their refill during two intervals, plus the tokens borrowable in
+// two intervals. It is derived in docs/design/admission.md.
+func maxUnreported(limit float64, burst, exchangeInterval time.Duration, daemons int) float64 {
 	n := float64(daemons)
-	perSecond := (1+floorShare)*(burst+2*exchange).Seconds() + 2*math.Sqrt(n)*burst.Seconds()
+	perSecond := (1+floorFraction)*(burst+2*exchangeInterval).Seconds() + 2*math.Sqrt(n)*burst.Seconds()
 	return limit*perSecond + 4*n
 }
 
-// advance fills the buckets. It is called before and after each change of what a
-// part hangs on. Own tokens above a size that has shrunk are gone, and one that has
-// grown brings none: otherwise demand that comes and goes at one daemon would make
-// tokens at the others.
-func (r *Rate) advance(now time.Time) {
+// refill adds the tokens for the time passed. It is called before and after
+// every change that affects a share. When the capacity of the own bucket
+// shrinks, tokens above it are lost, and when it grows, no tokens are added.
+// Otherwise demand that comes and goes at one daemon would create tokens at the
+// others.
+func (r *RateLimit) refill(now time.Time) {
 	if r.limit <= 0 {
-		r.of = now
+		r.updatedAt = now
 		return
 	}
-	if now.After(r.of) {
-		passed := now.Sub(r.of).Seconds()
-		r.own += passed * r.part()
-		r.fleet += passed * r.fleetRate()
-		r.of = now
+	if now.After(r.updatedAt) {
+		passed := now.Sub(r.updatedAt).Seconds()
+		r.ownTokens += passed * r.ownRefillRate()
+		r.fleetTokens += passed * r.fleetRefillRate()
+		r.updatedAt = now
 	}
-	r.fleet = min(r.fleet, r.fleetSize())
-	r.own = min(r.own, r.ownSize())
+	r.fleetTokens = min(r.fleetTokens, r.fleetCapacity())
+	r.ownTokens = min(r.ownTokens, r.ownCapacity())
 }
--- a/internal/patience/patience.go
+++ b/internal/patience/patience.go
@@ -1,60 +1,62 @@
-// Package patience decides by when the answer to a request has to begin, and
-// whether it can be in time at all. It has no network; times are arguments.
+// Package patience decides by when the response to a request must begin, and
+// whether the request counts as late. It does no I/O; times are arguments.
 //
-// Load pattern: callers ask twice of what the targets give, for minutes. An
-// answer within its latency objective is worth several times a late one, so time
-// on targets that goes to late answers is taken from others that would be in
-// time. Held for as long as their callers bear, all requests would end up late.
+// The load pattern it addresses: callers demand twice what the targets can serve,
+// for minutes. A response within its latency objective is worth several times a
+// late one, so target time spent on late responses is taken from requests that
+// could still meet their objectives. If every request were held until its caller
+// gives up, all of them would be late.
 //
-// So a request that can't be in time is refused with a time to come back. One that
-// comes back, or is late from the start, is worth less: it gets what is spare. By the
-// time that a caller has left only a late return shows; one that comes back early is
-// known by its prompt (package booking).
+// A request that cannot be in time is therefore refused with a time to retry. A
+// retry, or a request that is late on arrival, is worth less and gets only spare
+// capacity. The caller's remaining time reveals only late retries; early ones are
+// recognized by their prompt (package booking).
 package patience
 
 import "time"
 
-// Request is what is known of a request when it arrives.
+// Request describes a request on arrival.
 type Request struct {
 	Arrived time.Time
-	// Left is how long the caller waits at most, Limit how long the operator
-	// lets a first attempt wait.
-	Left, Limit time.Duration
-	// Objective is the time to the first event, or to the answer, within which
-	// it is in time; zero: none.
+	// Remaining is how long the caller will wait at most, and MaxWait how long
+	// the operator lets a first attempt wait.
+	Remaining, MaxWait time.Duration
+	// Objective is the latency objective for the first event, or for the response
+	// if it is not streamed; zero means none.
 	Objective time.Duration
-	// Resumed tells that the caller has a part of the answer already.
+	// Resumed reports whether the caller already has part of the response.
 	Resumed bool
 }
 
-// Plan is the decision.
+// Plan is the result of Decide.
 type Plan struct {
-	// Due is when the first byte of the answer has to be with the caller. The
-	// request is refused where it can't be.
+	// Due is when the first byte of the response must reach the caller. The
+	// request is refused if that is not possible.
 	Due time.Time
-	// Late tells that the objective had passed on arrival.
+	// Late reports whether the objective had already passed on arrival.
 	Late bool
 }
 
 const (
-	// spentBefore is the part of the limit that a caller must have used to be taken
-	// for one that comes back. Callers state what is left of their time, and not all
-	// are as patient as the operator's limit lets them be: a bound near
-	// the limit takes first requests for late ones, so that shares hold for none of them,
-	// and those who ask most have most.
-	spentBefore = 0.25
-	// wayBack is the time of the answer on its way to the caller.
-	wayBack = 5 * time.Millisecond
+	// retryFraction is the fraction of MaxWait that must have elapsed for a
+	// request to be classified as a retry. Callers state their remaining time,
+	// and not all of them wait as long as the operator allows. With a threshold
+	// near MaxWait, their first requests would be classified as late, shares
+	// would not apply to them, and the workspaces with the most requests would
+	// get the most capacity.
+	retryFraction = 0.25
+	// responseTransit is the time that the response takes to reach the caller.
+	responseTransit = 5 * time.Millisecond
 )
 
-// Decide returns the plan of a request.
+// Decide returns the plan for a request.
 func Decide(r Request) Plan {
-	spent := max(0, r.Limit-r.Left)
+	elapsed := max(0, r.MaxWait-r.Remaining)
 	switch {
 	case r.Objective <= 0:
-		return Plan{Due: r.Arrived.Add(r.Left)}
-	case float64(spent) > spentBefore*float64(r.Limit) || r.Resumed:
-		return Plan{Due: r.Arrived.Add(r.Left), Late: true}
+		return Plan{Due: r.Arrived.Add(r.Remaining)}
+	case float64(elapsed) > retryFraction*float64(r.MaxWait) || r.Resumed:
+		return Plan{Due: r.Arrived.Add(r.Remaining), Late: true}
 	}
-	return Plan{Due: r.Arrived.Add(min(r.Left, r.Objective-wayBack))}
+	return Plan{Due: r.Arrived.Add(min(r.Remaining, r.Objective-responseTransit))}
 }
--- a/internal/patience/patience_test.go
+++ b/internal/patience/patience_test.go
@@ -16,16 +16,16 @@
 		due     time.Duration
 		late    bool
 	}{
-		{"a first attempt is due by its objective", patience.Request{Left: 10 * time.Second, Limit: 10 * time.Second, Objective: 600 * ms}, 595 * ms, false},
-		{"one that was refused and comes back is late", patience.Request{Left: 7300 * ms, Limit: 10 * time.Second, Objective: 600 * ms}, 7300 * ms, true},
-		// Callers whose own patience is up to 15% below the operator's limit were all
-		// taken for late ones, and no workspace was held to its share.
-		{"a caller a little less patient than the limit", patience.Request{Left: 8500 * ms, Limit: 10 * time.Second, Objective: 600 * ms}, 595 * ms, false},
-		{"the way here is no attempt", patience.Request{Left: 9990 * ms, Limit: 10 * time.Second, Objective: 600 * ms}, 595 * ms, false},
-		{"a resumed stream is late", patience.Request{Left: 10 * time.Second, Limit: 10 * time.Second, Objective: 600 * ms, Resumed: true}, 10 * time.Second, true},
-		{"without an objective the caller's time counts", patience.Request{Left: 2 * time.Second, Limit: 10 * time.Second}, 2 * time.Second, false},
-		{"a caller of little patience", patience.Request{Left: 200 * ms, Limit: 200 * ms, Objective: 600 * ms}, 200 * ms, false},
-		{"a caller that waits longer than the operator lets it", patience.Request{Left: 3 * time.Second, Limit: 3 * time.Second, Objective: 100 * ms}, 95 * ms, false},
+		{"a first attempt is due by its objective", patience.Request{Remaining: 10 * time.Second, MaxWait: 10 * time.Second, Objective: 600 * ms}, 595 * ms, false},
+		{"a retry after a refusal is late", patience.Request{Remaining: 7300 * ms, MaxWait: 10 * time.Second, Objective: 600 * ms}, 7300 * ms, true},
+		// Callers whose own timeout was up to 15% below the operator's limit were all
+		// classified as late, so no workspace was held to its share.
+		{"a caller that waits slightly less than the limit", patience.Request{Remaining: 8500 * ms, MaxWait: 10 * time.Second, Objective: 600 * ms}, 595 * ms, false},
+		{"network transit does not count as an earlier attempt", patience.Request{Remaining: 9990 * ms, MaxWait: 10 * time.Second, Objective: 600 * ms}, 595 * ms, false},
+		{"a resumed stream is late", patience.Request{Remaining: 10 * time.Second, MaxWait: 10 * time.Second, Objective: 600 * ms, Resumed: true}, 10 * time.Second, true},
+		{"without an objective the caller's remaining time applies", patience.Request{Remaining: 2 * time.Second, MaxWait: 10 * time.Second}, 2 * time.Second, false},
+		{"a caller that waits less than the objective", patience.Request{Remaining: 200 * ms, MaxWait: 200 * ms, Objective: 600 * ms}, 200 * ms, false},
+		{"a remaining time capped at the operator's limit", patience.Request{Remaining: 3 * time.Second, MaxWait: 3 * time.Second, Objective: 100 * ms}, 95 * ms, false},
 	} {
 		c.request.Arrived = arrived
 		plan := patience.Decide(c.request)
--- a/internal/placement/cache.go
+++ b/internal/placement/cache.go
@@ -8,243 +8,250 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// CacheEvent is one change in the prefix cache of a target, as the target
-// publishes it: late, and with gaps.
+// CacheEvent is one change to a target's prefix cache as published by the
+// target. Events arrive late, and some are lost.
 type CacheEvent struct {
-	// Sequence grows by one with each event of a run of the target.
+	// Sequence increases by one with each event of a run of the target.
 	Sequence uint64
 	Prefix   uint64
-	// Stored is false for a prefix that was evicted.
+	// Stored is false if the prefix was evicted.
 	Stored bool
 }
 
-// CachePage is the answer to a poll for the events after a number.
+// CachePage is the response to a poll for the events after a sequence number.
 type CachePage struct {
-	// Run names the run of the target where it tells one; another run begins
-	// with an empty cache.
+	// Run identifies the target's current run, if the target reports one. A new
+	// run starts with an empty cache.
 	Run    string
 	Events []CacheEvent
-	// Next is the number to ask after in the next poll.
+	// Next is the sequence number to pass in the next poll.
 	Next uint64
-	// More tells that the page was full: events wait that are as old as those.
+	// More reports whether the page was full, so more events are already
+	// available.
 	More bool
 }
 
 const (
-	// ownLife is how long an own placement outlives the word that the target has
-	// evicted it, or has not got it. Events are late: an older one must not
-	// overrule what was placed since.
-	ownLife = 2 * time.Second
-	// saidLife is how long an owner's word about a target holds.
-	saidLife = 10 * time.Second
-	// summaryMost bounds the prefixes in a summary.
-	summaryMost = 32
+	// localPlacementTTL is how long a local placement takes precedence over a
+	// report that the target has evicted the prefix or does not hold it. Events
+	// arrive late, and one that predates the placement must not override it.
+	localPlacementTTL = 2 * time.Second
+	// summaryTTL is how long an owner's summary of a target's cache is valid.
+	summaryTTL = 10 * time.Second
+	// maxSummaryPrefixes bounds the number of prefixes in a summary.
+	maxSummaryPrefixes = 32
 )
 
-// cacheView is what an owner has heard of the cache of one target.
-type cacheView struct {
-	run  string
-	next uint64
-	// heard is when the last page came, behind tells that it was full. An owner
-	// that is behind knows less of the cache than an ingress that remembers its
-	// own placements.
-	heard  time.Time
-	behind bool
+// cacheFeed is the state of an owner's event feed from the cache of one target.
+type cacheFeed struct {
+	run          string
+	nextSequence uint64
+	// lastPageAt is when the last page arrived, and behind whether it was full.
+	// An owner that is behind knows less about the cache than an ingress that
+	// remembers its own placements.
+	lastPageAt time.Time
+	behind     bool
 }
 
-// said is what the owner of a target told an ingress of its cache.
-type said struct {
-	marks map[uint16]bool
-	at    time.Time
+// ownerSummary is the cache summary that an ingress received from the owner of
+// a target.
+type ownerSummary struct {
+	fingerprints map[uint16]bool
+	receivedAt   time.Time
 }
 
-// mark is a prefix in a summary. Two of thirty prefixes are mixed up in one
-// summary of a hundred and fifty, which costs one wrong hint.
-func mark(prefix uint64) uint16 { return uint16(prefix ^ prefix>>16 ^ prefix>>32 ^ prefix>>48) }
+// fingerprint returns the 16-bit hash that represents a prefix in a summary. In
+// a summary of 30 prefixes, two collide about once in 150 summaries, which
+// costs one wrong hint.
+func fingerprint(prefix uint64) uint16 { return uint16(prefix ^ prefix>>16 ^ prefix>>32 ^ prefix>>48) }
 
-// CacheNext returns the number after which the events of a target are to be
-// asked for.
-func (t *Table) CacheNext(name ident.Target) uint64 {
+// NextCacheSequence returns the sequence number after which to poll for a
+// target's events.
+func (t *Table) NextCacheSequence(name ident.Target) uint64 {
 	if e := t.targets[name]; e != nil {
-		return e.cache.next
+		return e.cacheFeed.nextSequence
 	}
 	return 0
 }
 
-// CachePage takes in the answer to a poll for the events after CacheNext.
+// ApplyCachePage applies the response to a poll for the events after
+// NextCacheSequence.
 //
-//   - A target that was started again has an empty cache. It shows in another
-//     run or in a lower number; all that was known is forgotten.
-//   - Lost events show as missing numbers. Each may have been an eviction, most
-//     probably of what was stored first: for each, the oldest prefix known is
-//     forgotten.
-//   - An eviction that is older than an own placement must not overrule it; the
-//     events bear no time, so that a placement holds for ownLife.
-func (t *Table) CachePage(now time.Time, name ident.Target, page CachePage) {
+//   - A restarted target has an empty cache. A restart is detected by a
+//     different run or a lower sequence number; all known prefixes are discarded.
+//   - Lost events are detected by missing sequence numbers. Each may have been an
+//     eviction, most likely of the prefix stored first, so the oldest known prefix
+//     is discarded for each.
+//   - An eviction older than a local placement must not override it. Events carry
+//     no timestamps, so a placement is kept for localPlacementTTL.
+func (t *Table) ApplyCachePage(now time.Time, name ident.Target, page CachePage) {
 	e := t.targets[name]
 	if e == nil {
 		return
 	}
-	v := &e.cache
-	restarted := v.run != "" && page.Run != v.run || page.Next < v.next
-	v.run, v.heard, v.behind = page.Run, now, page.More || restarted
+	feed := &e.cacheFeed
+	restarted := feed.run != "" && page.Run != feed.run || page.Next < feed.nextSequence
+	feed.run, feed.lastPageAt, feed.behind = page.Run, now, page.More || restarted
 	if restarted {
 		e.prefixes.clear()
-		v.next = 0 // the next poll asks for all of the new run
+		feed.nextSequence = 0 // the next poll requests all events of the new run
 		return
 	}
 	for _, event := range page.Events {
-		if event.Sequence <= v.next {
+		if event.Sequence <= feed.nextSequence {
 			continue
 		}
-		if v.next > 0 {
-			e.prefixes.doubt(now, event.Sequence-v.next-1)
+		if feed.nextSequence > 0 {
+			e.prefixes.evictOldest(now, event.Sequence-feed.nextSequence-1)
 		}
-		v.next = event.Sequence
+		feed.nextSequence = event.Sequence
 		if event.Stored {
 			e.prefixes.add(event.Prefix, now)
 		} else {
-			e.prefixes.evicted(event.Prefix, now)
+			e.prefixes.evict(event.Prefix, now)
 		}
 	}
-	v.next = max(v.next, page.Next)
+	feed.nextSequence = max(feed.nextSequence, page.Next)
 }
 
-// CacheSummary returns marks of the prefixes that an owned target is thought to
-// hold, those used last first; none where the target tells nothing of its cache, or
-// more than the owner keeps up with.
+// CacheSummary returns fingerprints of the prefixes that an owned target
+// probably holds, most recently used first. It returns none if the target
+// publishes no cache events, or more than the owner can keep up with.
 func (t *Table) CacheSummary(now time.Time, name ident.Target) []uint16 {
 	e := t.targets[name]
-	if e == nil || e.cache.heard.IsZero() || e.cache.behind || now.Sub(e.cache.heard) > saidLife {
+	if e == nil || e.cacheFeed.lastPageAt.IsZero() || e.cacheFeed.behind || now.Sub(e.cacheFeed.lastPageAt) > summaryTTL {
 		return nil
 	}
-	prefixes := e.prefixes.newest(summaryMost)
-	marks := make([]uint16, len(prefixes))
+	prefixes := e.prefixes.mostRecent(maxSummaryPrefixes)
+	fingerprints := make([]uint16, len(prefixes))
 	for i, p := range prefixes {
-		marks[i] = mark(p)
+		fingerprints[i] = fingerprint(p)
 	}
-	return marks
+	return fingerprints
 }
 
-// CacheSaid takes in the summary of a target's owner. It stands in place of all
-// that was known but for the latest own placements.
-func (t *Table) CacheSaid(now time.Time, name ident.Target, marks []uint16) {
+// ApplyCacheSummary applies a summary from a target's owner. It replaces
+// everything known about the target's cache except recent local placements.
+func (t *Table) ApplyCacheSummary(now time.Time, name ident.Target, fingerprints []uint16) {
 	e := t.targets[name]
 	if e == nil {
 		return
 	}
-	e.said = said{marks: make(map[uint16]bool, len(marks)), at: now}
-	for _, m := range marks {
-		e.said.marks[m] = true
+	e.ownerSummary = ownerSummary{fingerprints: make(map[uint16]bool, len(fingerprints)), receivedAt: now}
+	for _, f := range fingerprints {
+		e.ownerSummary.fingerprints[f] = true
 	}
-	e.prefixes.keepOwn(now)
+	e.prefixes.retainLocalPlacements(now)
 }
 
-// holds tells whether the target is thought to hold a prefix.
-func (e *entry) holds(prefix uint64) bool {
-	return e.prefixes.has(prefix) || e.said.marks[mark(prefix)]
+// holdsPrefix reports whether the target probably holds a prefix.
+func (e *entry) holdsPrefix(prefix uint64) bool {
+	return e.prefixes.has(prefix) || e.ownerSummary.fingerprints[fingerprint(prefix)]
 }
 
-// placed remembers an own placement.
-func (e *entry) placed(prefix uint64, now time.Time) {
+// recordPlacement records that this daemon placed a prefix on the target.
+func (e *entry) recordPlacement(prefix uint64, now time.Time) {
 	e.prefixes.place(prefix, now)
-	if now.Sub(e.said.at) > saidLife {
-		e.said = said{}
+	if now.Sub(e.ownerSummary.receivedAt) > summaryTTL {
+		e.ownerSummary = ownerSummary{}
 	}
 }
 
-// prefixSet remembers the prefixes that were used last.
-type prefixSet struct {
-	most int
-	used map[uint64]use
+// recentPrefixes is a bounded set of the most recently used prefixes.
+type recentPrefixes struct {
+	capacity int
+	uses     map[uint64]prefixUse
 }
 
-// use tells when a prefix was last heard of, and when it was placed from here.
-type use struct{ at, own time.Time }
+// prefixUse holds when a prefix was last reported or placed, and when it was
+// last placed by this daemon.
+type prefixUse struct{ lastSeen, lastPlaced time.Time }
 
-func newPrefixSet(most int) prefixSet {
-	return prefixSet{most: most, used: map[uint64]use{}}
+func newRecentPrefixes(capacity int) recentPrefixes {
+	return recentPrefixes{capacity: capacity, uses: map[uint64]prefixUse{}}
 }
 
-func (s *prefixSet) has(prefix uint64) bool {
-	_, ok := s.used[prefix]
+func (s *recentPrefixes) has(prefix uint64) bool {
+	_, ok := s.uses[prefix]
 	return ok
 }
 
-func (s *prefixSet) clear() { clear(s.used) }
+func (s *recentPrefixes) clear() { clear(s.uses) }
 
-func (s *prefixSet) add(prefix uint64, now time.Time) {
-	s.set(prefix, use{at: now, own: s.used[prefix].own})
+func (s *recentPrefixes) add(prefix uint64, now time.Time) {
+	s.set(prefix, prefixUse{lastSeen: now, lastPlaced: s.uses[prefix].lastPlaced})
 }
 
-func (s *prefixSet) place(prefix uint64, now time.Time) { s.set(prefix, use{at: now, own: now}) }
+func (s *recentPrefixes) place(prefix uint64, now time.Time) {
+	s.set(prefix, prefixUse{lastSeen: now, lastPlaced: now})
+}
 
-func (s *prefixSet) set(prefix uint64, u use) {
-	if len(s.used) >= s.most && !s.has(prefix) {
-		s.dropOldest()
+func (s *recentPrefixes) set(prefix uint64, u prefixUse) {
+	if len(s.uses) >= s.capacity && !s.has(prefix) {
+		s.makeRoom()
 	}
-	s.used[prefix] = u
+	s.uses[prefix] = u
 }
 
-// evicted forgets a prefix unless it was placed from here of late.
-func (s *prefixSet) evicted(prefix uint64, now time.Time) {
-	if now.Sub(s.used[prefix].own) > ownLife {
-		delete(s.used, prefix)
+// evict removes a prefix unless this daemon placed it recently.
+func (s *recentPrefixes) evict(prefix uint64, now time.Time) {
+	if now.Sub(s.uses[prefix].lastPlaced) > localPlacementTTL {
+		delete(s.uses, prefix)
 	}
 }
 
-// keepOwn forgets all but the own placements of late.
-func (s *prefixSet) keepOwn(now time.Time) {
-	for p := range s.used {
-		s.evicted(p, now)
+// retainLocalPlacements removes all prefixes except recent local placements.
+func (s *recentPrefixes) retainLocalPlacements(now time.Time) {
+	for p := range s.uses {
+		s.evict(p, now)
 	}
 }
 
-// doubt forgets the oldest prefix for each lost event.
-func (s *prefixSet) doubt(now time.Time, lost uint64) {
+// evictOldest evicts the oldest prefix for each lost event.
+func (s *recentPrefixes) evictOldest(now time.Time, lost uint64) {
 	if lost == 0 {
 		return
 	}
-	all := s.newest(len(s.used))
+	all := s.mostRecent(len(s.uses))
 	for _, p := range all[len(all)-int(min(lost, uint64(len(all)))):] {
-		s.evicted(p, now)
+		s.evict(p, now)
 	}
 }
 
-// newest returns at most so many prefixes, those heard of last first.
-func (s *prefixSet) newest(most int) []uint64 {
-	all := make([]uint64, 0, len(s.used))
-	for p := range s.used {
+// mostRecent returns up to n prefixes, most recently seen first.
+func (s *recentPrefixes) mostRecent(n int) []uint64 {
+	all := make([]uint64, 0, len(s.uses))
+	for p := range s.uses {
 		all = append(all, p)
 	}
 	slices.SortFunc(all, func(a, b uint64) int {
-		if c := s.used[b].at.Compare(s.used[a].at); c != 0 {
+		if c := s.uses[b].lastSeen.Compare(s.uses[a].lastSeen); c != 0 {
 			return c
 		}
 		return cmp.Compare(a, b)
 	})
-	return all[:min(most, len(all))]
+	return all[:min(n, len(all))]
 }
 
-// dropOldest makes room by an eighth, so that its scan is paid for by many
-// additions.
-func (s *prefixSet) dropOldest() {
-	oldest, newest := s.span()
+// makeRoom removes the prefixes in the oldest eighth of the time range, so that
+// the cost of the scan is amortized over many additions.
+func (s *recentPrefixes) makeRoom() {
+	oldest, newest := s.timeRange()
 	cutoff := oldest.Add(newest.Sub(oldest) / 8)
-	for p, u := range s.used {
-		if !u.at.After(cutoff) {
-			delete(s.used, p)
+	for p, u := range s.uses {
+		if !u.lastSeen.After(cutoff) {
+			delete(s.uses, p)
 		}
 	}
 }
 
-func (s *prefixSet) span() (oldest, newest time.Time) {
-	for _, u := range s.used {
-		if oldest.IsZero() || u.at.Before(oldest) {
-			oldest = u.at
+func (s *recentPrefixes) timeRange() (oldest, newest time.Time) {
+	for _, u := range s.uses {
+		if oldest.IsZero() || u.lastSeen.Before(oldest) {
+			oldest = u.lastSeen
 		}
-		if u.at.After(newest) {
-			newest = u.at
+		if u.lastSeen.After(newest) {
+			newest = u.lastSeen
 		}
 	}
 	return oldest, newest
--- a/internal/placement/cache_test.go
+++ b/internal/placement/cache_test.go
@@ -9,26 +9,26 @@
 	"github.com/savorystall/savorystall/internal/placement"
 )
 
-// stored is an event, evicted another.
-func stored(sequence, prefix uint64) placement.CacheEvent {
+// storedEvent returns an event for a prefix that was stored.
+func storedEvent(sequence, prefix uint64) placement.CacheEvent {
 	return placement.CacheEvent{Sequence: sequence, Prefix: prefix, Stored: true}
 }
 
-func evicted(sequence, prefix uint64) placement.CacheEvent {
+func evictedEvent(sequence, prefix uint64) placement.CacheEvent {
 	return placement.CacheEvent{Sequence: sequence, Prefix: prefix}
 }
 
-func heldOf(table *placement.Table, prefixes ...uint64) []uint64 {
+func heldPrefixes(table *placement.Table, prefixes ...uint64) []uint64 {
 	var held []uint64
 	for _, p := range prefixes {
-		if table.Holds("a", p) {
+		if table.HoldsPrefix("a", p) {
 			held = append(held, p)
 		}
 	}
 	return held
 }
 
-func page(run string, events ...placement.CacheEvent) placement.CachePage {
+func pageOf(run string, events ...placement.CacheEvent) placement.CachePage {
 	p := placement.CachePage{Run: run, Events: events}
 	if len(events) > 0 {
 		p.Next = events[len(events)-1].Sequence
@@ -40,83 +40,84 @@
 	later := func(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 	cases := map[string]struct {
 		pages []placement.CachePage
-		// own is the time of an own placement of prefix 9; zero: none.
-		own  time.Time
-		held []uint64
-		next uint64
+		// placedAt is when prefix 9 was placed locally; zero means never.
+		placedAt time.Time
+		held     []uint64
+		next     uint64
 	}{
 		"stored and evicted": {
-			pages: []placement.CachePage{page("r", stored(1, 7), stored(2, 8)), page("r", evicted(3, 7))},
+			pages: []placement.CachePage{pageOf("r", storedEvent(1, 7), storedEvent(2, 8)), pageOf("r", evictedEvent(3, 7))},
 			held:  []uint64{8}, next: 3,
 		},
-		"an event that was had before changes nothing": {
-			pages: []placement.CachePage{page("r", stored(1, 7), evicted(2, 7)), page("r", stored(1, 7), evicted(2, 7))},
+		"a duplicate event changes nothing": {
+			pages: []placement.CachePage{pageOf("r", storedEvent(1, 7), evictedEvent(2, 7)), pageOf("r", storedEvent(1, 7), evictedEvent(2, 7))},
 			next:  2,
 		},
-		"a gap makes the oldest doubtful": {
-			pages: []placement.CachePage{page("r", stored(1, 6)), page("r", stored(2, 7)), page("r", stored(4, 8))},
+		"a gap evicts the oldest prefix": {
+			pages: []placement.CachePage{pageOf("r", storedEvent(1, 6)), pageOf("r", storedEvent(2, 7)), pageOf("r", storedEvent(4, 8))},
 			held:  []uint64{7, 8}, next: 4,
 		},
-		"a gap longer than all that is known": {
-			pages: []placement.CachePage{page("r", stored(1, 6), stored(2, 7)), page("r", stored(90, 8))},
+		"a gap longer than the known prefixes evicts all of them": {
+			pages: []placement.CachePage{pageOf("r", storedEvent(1, 6), storedEvent(2, 7)), pageOf("r", storedEvent(90, 8))},
 			held:  []uint64{8}, next: 90,
 		},
-		"what came before the first poll is no gap": {
-			pages: []placement.CachePage{page("r", stored(50, 6), stored(51, 7))},
+		"events before the first poll are not a gap": {
+			pages: []placement.CachePage{pageOf("r", storedEvent(50, 6), storedEvent(51, 7))},
 			held:  []uint64{6, 7}, next: 51,
 		},
-		"another run starts empty": {
-			pages: []placement.CachePage{page("r", stored(1, 6), stored(2, 7)), page("s", stored(3, 8))},
-			next:  0, // and is asked for all its events
+		"a new run starts empty": {
+			pages: []placement.CachePage{pageOf("r", storedEvent(1, 6), storedEvent(2, 7)), pageOf("s", storedEvent(3, 8))},
+			next:  0, // all events of the new run are requested
 		},
-		"a lower number is another run where none is named": {
-			pages: []placement.CachePage{page("", stored(1, 6), stored(2, 7)), page("", stored(1, 8))},
+		"a lower sequence number means a new run if none is named": {
+			pages: []placement.CachePage{pageOf("", storedEvent(1, 6), storedEvent(2, 7)), pageOf("", storedEvent(1, 8))},
 			next:  0,
 		},
-		"after another run": {
-			pages: []placement.CachePage{page("r", stored(1, 6)), page("s", stored(1, 7)), page("s", stored(1, 7), stored(2, 8))},
+		"events after a restart": {
+			pages: []placement.CachePage{pageOf("r", storedEvent(1, 6)), pageOf("s", storedEvent(1, 7)), pageOf("s", storedEvent(1, 7), storedEvent(2, 8))},
 			held:  []uint64{7, 8}, next: 2,
 		},
-		"a late eviction does not overrule a new placement": {
-			pages: []placement.CachePage{page("r", stored(1, 9)), page("r", evicted(2, 9))},
-			own:   later(0), held: []uint64{9}, next: 2,
+		"a late eviction does not override a recent placement": {
+			pages:    []placement.CachePage{pageOf("r", storedEvent(1, 9)), pageOf("r", evictedEvent(2, 9))},
+			placedAt: later(0), held: []uint64{9}, next: 2,
 		},
-		"an eviction overrules an old placement": {
-			pages: []placement.CachePage{page("r", stored(1, 9)), page("r", evicted(2, 9))},
-			own:   later(-60), next: 2,
+		"an eviction overrides an old placement": {
+			pages:    []placement.CachePage{pageOf("r", storedEvent(1, 9)), pageOf("r", evictedEvent(2, 9))},
+			placedAt: later(-60), next: 2,
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			table := newTable(placement.Target{Name: "a"})
-			if !c.own.IsZero() {
-				table.CacheStored(c.own, "a", 9)
+			if !c.placedAt.IsZero() {
+				table.RecordPlacement(c.placedAt, "a", 9)
 			}
 			for i, p := range c.pages {
-				table.CachePage(start.Add(time.Duration(i)*time.Millisecond), "a", p)
+				table.ApplyCachePage(start.Add(time.Duration(i)*time.Millisecond), "a", p)
 			}
-			is.Equal(heldOf(table, 6, 7, 8, 9), c.held)
-			is.Equal(table.CacheNext("a"), c.next)
+			is.Equal(heldPrefixes(table, 6, 7, 8, 9), c.held)
+			is.Equal(table.NextCacheSequence("a"), c.next)
 		})
 	}
 }
 
-// The owner's word takes the place of what an ingress remembers: its placements
-// of a minute ago may long be evicted. What it placed a second ago the owner
-// cannot have seen.
-func TestOwnersWordReplacesOldPlacements(t *testing.T) {
+// The owner's summary replaces what an ingress remembers, because prefixes
+// placed a minute ago may have been evicted since. Placements made a second ago
+// are kept: the owner may not have seen them yet.
+func TestOwnerSummaryReplacesOldPlacements(t *testing.T) {
 	is := is.New(t)
 	owner, ingress := newTable(placement.Target{Name: "a"}), newTable(placement.Target{Name: "a"})
-	is.Equal(len(owner.CacheSummary(start, "a")), 0) // it has heard nothing
-	owner.CachePage(start, "a", page("r", stored(1, 6)))
-	ingress.CacheStored(start.Add(-time.Minute), "a", 7)
-	ingress.CacheStored(start.Add(-time.Second), "a", 8)
-	ingress.CacheSaid(start, "a", owner.CacheSummary(start, "a"))
-	is.Equal(heldOf(ingress, 6, 7, 8), []uint64{6, 8})
+	is.Equal(len(owner.CacheSummary(start, "a")), 0) // no events received yet
+	owner.ApplyCachePage(start, "a", pageOf("r", storedEvent(1, 6)))
+	ingress.RecordPlacement(start.Add(-time.Minute), "a", 7)
+	ingress.RecordPlacement(start.Add(-time.Second), "a", 8)
+	ingress.ApplyCacheSummary(start, "a", owner.CacheSummary(start, "a"))
+	is.Equal(heldPrefixes(ingress, 6, 7, 8), []uint64{6, 8})
 
-	// An owner that hears nothing any more says nothing, and its word lapses.
+	// An owner that receives no more events sends no summary, and its last
+	// summary expires.
 	is.Equal(len(owner.CacheSummary(start.Add(time.Minute), "a")), 0)
-	ingress.CacheStored(start.Add(time.Minute), "a", 9)
-	is.Equal(heldOf(ingress, 6, 8, 9), []uint64{8, 9})
+	ingress.RecordPlacement(start.Add(time.Minute), "a", 9)
+	is.Equal(heldPrefixes(ingress, 6, 8, 9), []uint64{8, 9})
 }
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -6,18 +6,19 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// Free is a target with a free slot.
-type Free struct {
+// FreeTarget is a target with a free slot.
+type FreeTarget struct {
 	Target ident.Target
-	// InFlight counts the requests on it.
+	// InFlight is the number of requests on the target.
 	InFlight int
 }
 
-// Choose returns the free target that is to take a request: one of the own zone
-// where there is one, among these the emptiest in proportion to its limit. It
-// returns false where none is usable. The order of free decides between equals.
-func (t *Table) Choose(free []Free) (ident.Target, bool) {
-	best := t.emptiest(free)
+// Choose returns the free target to send a request to. Targets in the daemon's
+// own availability zone are preferred, and among these the one with the lowest
+// load relative to its limit; ties are broken by the order of free. It returns
+// false if no target is usable.
+func (t *Table) Choose(free []FreeTarget) (ident.Target, bool) {
+	best := t.leastLoaded(free)
 	if best == nil {
 		return "", false
 	}
@@ -31,7 +32,7 @@
 	local bool
 }
 
-func (t *Table) candidate(f Free) *candidate {
+func (t *Table) candidate(f FreeTarget) *candidate {
 	limit := t.Limit(f.Target)
 	if f.InFlight >= limit {
 		return nil
@@ -40,7 +41,7 @@
 	return &candidate{entry: e, load: float64(f.InFlight) / float64(limit), local: e.Zone == t.cfg.Zone}
 }
 
-func (t *Table) emptiest(free []Free) *candidate {
+func (t *Table) leastLoaded(free []FreeTarget) *candidate {
 	var best *candidate
 	for _, f := range free {
 		c := t.candidate(f)
@@ -54,15 +55,15 @@
 	return best
 }
 
-// CacheStored takes in that a prefix was placed on a target from here.
-func (t *Table) CacheStored(now time.Time, name ident.Target, prefix uint64) {
+// RecordPlacement records that this daemon placed a prefix on a target.
+func (t *Table) RecordPlacement(now time.Time, name ident.Target, prefix uint64) {
 	if e := t.targets[name]; e != nil {
-		e.placed(prefix, now)
+		e.recordPlacement(prefix, now)
 	}
 }
 
-// Holds tells whether a target is thought to hold a prefix.
-func (t *Table) Holds(name ident.Target, prefix uint64) bool {
+// HoldsPrefix reports whether a target probably holds a prefix.
+func (t *Table) HoldsPrefix(name ident.Target, prefix uint64) bool {
 	e := t.targets[name]
-	return e != nil && e.holds(prefix)
+	return e != nil && e.holdsPrefix(prefix)
 }
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -1,39 +1,40 @@
 // Package placement decides how much work each target of a service gets and
-// which of the free targets takes the next request.
+// which free target takes the next request.
 //
-// Load patterns and what happens without it:
+// Load patterns it addresses:
 //
-//   - A target takes more requests than it can run at once and queues the rest
-//     itself, first come first served. That work is bound to it, out of reach of
-//     the fair share and of idle targets. The concurrency limit keeps the queue
-//     at the daemons.
-//   - A target becomes much slower than its peers (a failing accelerator, a noisy
-//     neighbour). It holds its slots for long and a fixed part of all callers
-//     waits many times as long as the others. Probation gives it one request at a
-//     time until it keeps pace again.
-//   - A target fails at once. It is always free, so that it attracts all work and
-//     fails it. A suspect target gets nothing until a probe is answered.
-//   - Many requests share the start of their prompts. Spread at random, each
-//     target computes each start again. The prefix hint, from own placements and
-//     the targets' cache events, chooses among the requests of the workspace that
-//     has the slot, and among targets that are about equally free, so that a hot
-//     prefix makes neither a hot target nor a wider gap.
-//   - Work waits from the first moment on, for targets whose documents promise too
-//     much. Each wait looks ordinary and the queue stays in the target. The proof
-//     of the base (proof.go) finds it out.
+//   - A target accepts more requests than it can run at once and queues the rest
+//     itself, in arrival order. Requests queued there cannot be reordered by fair
+//     sharing or moved to idle targets. The concurrency limit keeps the queue at
+//     the daemons.
+//   - A target becomes much slower than its peers (failing accelerator, noisy
+//     neighbor). Its slots stay occupied longer, and a constant fraction of all
+//     callers waits many times as long as the others. Probation limits it to one
+//     request at a time until its speed recovers.
+//   - A target fails requests immediately. It always has free slots, so it
+//     attracts all work and fails it. A suspect target gets no work until it
+//     answers a probe.
+//   - Many requests share a prompt prefix. If they are spread at random, every
+//     target computes every prefix again. The prefix hint, based on local
+//     placements and the targets' cache events, selects among the requests of the
+//     workspace that has the slot, and among targets with similar load, so a
+//     popular prefix neither overloads a target nor widens the fairness gap.
+//   - Requests queue in a target from the start because the configuration allows
+//     it more than it can run. Every wait then looks normal, and the queue stays
+//     in the target. The baseline check (proof.go) detects this.
 //
-// The limit is found from completions alone. A target that queues shows it in
-// the time to the first byte: it grows by the time that a request waits for a
-// slot, while the time of the run stays. By Little's law the part of the
-// requests that waits is (first - base) / run, with base the time to the first
-// byte without a queue. That is a ratio of times: no step time and no unit of
-// it is assumed. (The step time of engines was reported without its unit.)
+// The limit is derived from completions alone. When a target queues requests, the
+// time to first byte grows by the time that a request waits for a slot, while the
+// run time stays the same. By Little's law the ratio of waiting to running
+// requests is (first - base) / run, where base is the time to first byte without a
+// queue. This is a ratio of times, so it needs neither the engine's step time nor
+// its unit. (Engines reported their step time without a unit.)
 //
-// What the defaults protect: MinWindow 32 completions put the early quantile
-// within a factor of two for the most spread prompts (exponential). Queue 0.05
-// lets one or two requests wait in an engine of 20 to 50 slots, so that a slot
-// that becomes free is refilled without a round trip to the daemons. SlowFactor 8
-// is far beyond the spread between target generations (factor 2 to 3), which share
-// out by their own limits: a target at a quarter of its speed still does a quarter
-// of its work.
+// The defaults protect against the following. A MinWindow of 32 completions
+// estimates the early quantile within a factor of two even for the most widely
+// spread prompts (exponential). A QueueFraction of 0.05 lets one or two requests
+// wait in an engine with 20 to 50 slots, so a freed slot is refilled without a
+// round trip to the daemons. A SlowFactor of 8 is far above the difference between
+// target generations (factor 2 to 3), which is balanced by their individual
+// limits: a target at a quarter of the speed still does a quarter of the work.
 package placement
--- a/internal/placement/limit.go
+++ b/internal/placement/limit.go
@@ -6,44 +6,46 @@
 	"time"
 )
 
-// limiter finds the concurrency limit of one target.
+// limiter determines the concurrency limit of one target.
 type limiter struct {
 	cfg Config
-	// ceiling is the document's number of slots; zero means none.
+	// ceiling is the number of slots in the configuration document; zero means
+	// none.
 	ceiling int
 	value   float64
-	// ramping is true until the first sign of a queue; the limit of a target
-	// without a ceiling doubles in each window until then.
-	ramping bool
+	// doubling is true until the first sign of a queue. Until then, the limit of
+	// a target without a ceiling doubles in each window.
+	doubling bool
 
-	// first are the times to the first byte in the present window, slotTime
-	// the sum of all times in it.
-	first    []time.Duration
-	slotTime time.Duration
-	// peak is the largest number in flight in the present window.
-	peak int
-	// base is the early quantile of the time to the first byte without a queue.
-	base float64
-	// proof tells whether that is so.
-	proof proof
-	// quick is the same of the last window.
-	quick float64
-	// held is the number of windows in which the limit must not grow.
-	held int
-	// windows counts them, for the dips.
-	windows int
-	// skip is the number of requests that were dispatched under a former, higher
-	// limit; how they end says nothing about the present one.
-	skip int
-	// before is the state when the limit began to shrink, or when shrinking it
-	// had last helped.
-	before struct {
-		value, quick float64
+	// firstByteTimes holds the times to first byte in the current window, and
+	// totalTime the sum of the total request times.
+	firstByteTimes []time.Duration
+	totalTime      time.Duration
+	// peakInFlight is the largest number in flight in the current window.
+	peakInFlight int
+	// baseline is the early quantile of the time to first byte without a queue.
+	baseline float64
+	// baselineCheck verifies that baseline does not include a queue.
+	baselineCheck baselineCheck
+	// lastQuantile is the early quantile of the last window.
+	lastQuantile float64
+	// holdWindows is the number of windows in which the limit must not grow.
+	holdWindows int
+	// windowCount counts the windows; it schedules the dips.
+	windowCount int
+	// samplesToSkip is the number of requests still to finish that were
+	// dispatched under an earlier, higher limit; they say nothing about the
+	// current limit.
+	samplesToSkip int
+	// beforeShrink is the state when the limit began to shrink, or when shrinking
+	// it last helped.
+	beforeShrink struct {
+		value, quantile float64
 	}
 }
 
 func newLimiter(cfg Config) *limiter {
-	return &limiter{cfg: cfg, value: float64(cfg.Initial), ramping: true}
+	return &limiter{cfg: cfg, value: float64(cfg.InitialLimit), doubling: true}
 }
 
 func (l *limiter) setCeiling(slots int) {
@@ -52,229 +54,241 @@
 	}
 	l.ceiling = slots
 	if slots > 0 {
-		// The operator's figure is the best guess there is, and the most that
-		// the target may be given.
+		// The configured number of slots is the best initial estimate, and an upper
+		// bound.
 		l.value = float64(slots)
-		l.ramping = false
-		l.proof = proof{} // it would put the former limit back
+		l.doubling = false
+		l.baselineCheck = baselineCheck{} // its result would restore the previous limit
 	}
 }
 
-// limit returns the present limit, at least one.
+// limit returns the current limit, at least one.
 func (l *limiter) limit() int {
 	v := l.value
-	if l.dipping() {
-		v *= dipShare
+	if l.inDip() {
+		v *= dipFactor
 	}
 	return max(1, int(math.Round(v)))
 }
 
-// dipping is true for one window in dipEvery, in which the target gets a little
-// less. A daemon that starts before a target with a standing queue would take
-// the wait in it for normal; in the dip the queue drains and shows itself.
-func (l *limiter) dipping() bool { return l.windows%dipEvery == dipEvery-1 }
+// inDip reports whether the current window is the one in dipInterval with a
+// slightly lower limit. A daemon that starts when a target already has a
+// standing queue would include the wait in its baseline; during the dip the
+// queue drains and becomes visible.
+func (l *limiter) inDip() bool { return l.windowCount%dipInterval == dipInterval-1 }
 
-// refused takes in that the target was full with this many in flight.
-func (l *limiter) refused(inFlight int) {
-	if l.skip > 0 {
-		l.skip--
+// recordRefusal records that the target was full with inFlight requests in
+// flight.
+func (l *limiter) recordRefusal(inFlight int) {
+	if l.samplesToSkip > 0 {
+		l.samplesToSkip--
 		return
 	}
 	if inFlight < 1 {
 		return
 	}
-	// What else is in flight may be refused as well; one stands for all.
-	l.skip = inFlight - 1
-	l.value = math.Max(1, math.Min(l.value, float64(inFlight)*refusedShare))
-	l.ramping = false
-	l.held = heldWindows
-	l.proof = proof{} // likewise
+	// The other requests in flight may be refused too; together they count as one
+	// refusal.
+	l.samplesToSkip = inFlight - 1
+	l.value = math.Max(1, math.Min(l.value, float64(inFlight)*refusalBackoffFactor))
+	l.doubling = false
+	l.holdWindows = refusalHoldWindows
+	l.baselineCheck = baselineCheck{} // its result would restore the previous limit
 }
 
 const (
-	// refusedShare is what is kept of the number in flight at a refusal.
-	refusedShare = 0.9
-	// heldWindows is how long the limit stays after a refusal.
-	heldWindows = 4
-	// growth is the part by which the limit grows in a window.
-	growth = 1.0 / 16
-	// saturated is the part of the limit that must have been in use for a
-	// window to say anything about a higher one.
-	saturated = 0.9
-	// dipEvery and dipShare cost at most (1-0.8)/64, 0.3% of the slots.
-	dipEvery = 64
-	dipShare = 0.8
-	// early is the quantile that shows a queue: where one stands, nearly all
-	// requests wait, the quickest as well; and the quickest, with the shortest
-	// prompts, vary least otherwise.
-	early = 0.2
-	// confidence is the number of standard errors by which the quantile of a
-	// window must differ from the base to count: 95 in 100 on one side.
-	confidence = 1.64
-	// falling and rising are the weights of a window in the base where it is
-	// surely shorter, and otherwise. A longer time is a queue more often than
-	// a change of the prompts, so that the base follows it over some five
-	// hundred windows only.
-	falling = 0.25
-	sinking = 0.05
-	rising  = 0.002
-	// helpTrial is the part by which the limit is lowered before it is judged
-	// whether that helps, helpShare the part of the wait that must have gone.
-	helpTrial = 0.25
-	// atTheEnd is the part of the time before the first byte from which on an
-	// answer counts as coming at the end; plainQueue is the factor of the queue
-	// allowed then.
-	atTheEnd   = 0.9
-	plainQueue = 3
-	helpShare  = 0.2
+	// refusalBackoffFactor is applied to the number in flight at a refusal to get
+	// the new limit.
+	refusalBackoffFactor = 0.9
+	// refusalHoldWindows is for how many windows the limit does not grow after a
+	// refusal.
+	refusalHoldWindows = 4
+	// growthFraction is the fraction by which the limit grows per window.
+	growthFraction = 1.0 / 16
+	// saturationFraction is the fraction of the limit that must have been in use
+	// for a window to justify a higher limit.
+	saturationFraction = 0.9
+	// dipInterval and dipFactor cost at most (1-0.8)/64, or 0.3%, of the slots.
+	dipInterval = 64
+	dipFactor   = 0.8
+	// earlyQuantile is the quantile used to detect a queue. When there is one,
+	// nearly all requests wait, including the fastest, and the fastest, which
+	// have the shortest prompts, vary least otherwise.
+	earlyQuantile = 0.2
+	// confidenceZScore is the number of standard errors by which the quantile of
+	// a window must differ from the baseline to count, which is 95% one-sided.
+	confidenceZScore = 1.64
+	// The weights are those of a new window in the baseline:
+	// confidentDecreaseWeight if the window is lower with confidence,
+	// decreaseWeight if it is lower without confidence, and increaseWeight if it
+	// is higher. A longer time is more often caused by a queue than by a change
+	// of the prompts, so the baseline follows an increase only over some 500
+	// windows.
+	confidentDecreaseWeight = 0.25
+	decreaseWeight          = 0.05
+	increaseWeight          = 0.002
+	// trialReduction is the fraction by which the limit is lowered before the
+	// effect is evaluated, and minTrialImprovement the fraction of the wait that
+	// must have disappeared by then.
+	trialReduction = 0.25
+	// singleResponseFraction is the fraction of the total time before the first
+	// byte from which on responses count as sent at the end of the run rather
+	// than streamed; singleResponseQueueFactor multiplies the allowed queue in
+	// that case.
+	singleResponseFraction    = 0.9
+	singleResponseQueueFactor = 3
+	minTrialImprovement       = 0.2
 )
 
-// completed takes in a request that ran to its end.
-func (l *limiter) completed(s Sample) {
-	if l.skip > 0 {
-		l.skip--
+// recordCompletion records a request that ran to completion.
+func (l *limiter) recordCompletion(s Sample) {
+	if l.samplesToSkip > 0 {
+		l.samplesToSkip--
 		return
 	}
-	l.first = append(l.first, s.First)
-	l.slotTime += s.Elapsed
-	l.peak = max(l.peak, s.InFlight)
-	if len(l.first) < l.wanted() {
+	l.firstByteTimes = append(l.firstByteTimes, s.TimeToFirstByte)
+	l.totalTime += s.Elapsed
+	l.peakInFlight = max(l.peakInFlight, s.InFlight)
+	if len(l.firstByteTimes) < l.windowSize() {
 		return
 	}
 	l.closeWindow()
-	l.windows++
-	l.first, l.slotTime, l.peak = l.first[:0], 0, 0
+	l.windowCount++
+	l.firstByteTimes, l.totalTime, l.peakInFlight = l.firstByteTimes[:0], 0, 0
 }
 
-// wanted is the number of completions in the present window.
-func (l *limiter) wanted() int {
-	return max(l.proof.wanted(l.cfg.MinWindow), l.limit())
+// windowSize is the number of completions in the current window.
+func (l *limiter) windowSize() int {
+	return max(l.baselineCheck.windowSize(l.cfg.MinWindow), l.limit())
 }
 
-// full tells whether the target had as many as it may have in the present window.
-func (l *limiter) full() bool { return float64(l.peak) >= saturated*float64(l.limit()) }
+// saturated reports whether the limit was nearly reached in the current window.
+func (l *limiter) saturated() bool {
+	return float64(l.peakInFlight) >= saturationFraction*float64(l.limit())
+}
 
 func (l *limiter) closeWindow() {
-	full := l.full()
-	w := l.measure()
-	l.quick = w.quick
-	if l.base == 0 {
-		l.base = w.quick
+	saturated := l.saturated()
+	w := l.summarizeWindow()
+	l.lastQuantile = w.quantile
+	if l.baseline == 0 {
+		l.baseline = w.quantile
 	}
-	if l.prove(w, full) {
+	if l.checkBaseline(w, saturated) {
 		return
 	}
-	waiting := l.waiting(w)
-	allowed := l.allowed()
+	waiting := l.updateWaitingRatio(w)
+	allowed := l.allowedWaitingRatio()
 	switch {
 	case waiting > 2*allowed:
 		l.shrink(waiting)
-		l.skip = l.peak
+		l.samplesToSkip = l.peakInFlight
 	case waiting < allowed:
-		l.before.value = 0
-		if full && !l.dipping() {
+		l.beforeShrink.value = 0
+		if saturated && !l.inDip() {
 			l.grow()
 		}
 	}
 }
 
-// measure sums the present window up.
-func (l *limiter) measure() window {
-	slices.Sort(l.first)
-	w := quantileBounds(l.first)
+// summarizeWindow returns the statistics of the current window.
+func (l *limiter) summarizeWindow() window {
+	slices.Sort(l.firstByteTimes)
+	w := summarizeFirstByteTimes(l.firstByteTimes)
 	var first time.Duration
-	for _, d := range l.first {
+	for _, d := range l.firstByteTimes {
 		first += d
 	}
-	w.mean = l.slotTime.Seconds() / float64(len(l.first))
-	w.rest = w.mean - first.Seconds()/float64(len(l.first))
+	w.meanTime = l.totalTime.Seconds() / float64(len(l.firstByteTimes))
+	w.meanAfterFirstByte = w.meanTime - first.Seconds()/float64(len(l.firstByteTimes))
 	return w
 }
 
-// waiting estimates the requests that wait in the target, as a part of those
-// that run in it, and moves the base. It returns zero where the window does not
-// surely show any.
-func (l *limiter) waiting(w window) float64 {
-	wait := w.quick - l.base
-	run := w.mean - max(0, wait)
-	sure := w.low > l.base
+// updateWaitingRatio estimates the ratio of requests waiting in the target to
+// those running, and updates the baseline. It returns zero unless the window
+// shows a queue with confidence.
+func (l *limiter) updateWaitingRatio(w window) float64 {
+	wait := w.quantile - l.baseline
+	run := w.meanTime - max(0, wait)
+	confident := w.lowerBound > l.baseline
 	switch {
-	case w.high < l.base:
-		l.base += falling * wait
+	case w.upperBound < l.baseline:
+		l.baseline += confidentDecreaseWeight * wait
 	case wait < 0:
-		l.base += sinking * wait
+		l.baseline += decreaseWeight * wait
 	default:
-		l.base += rising * wait
+		l.baseline += increaseWeight * wait
 	}
-	if !sure || run <= 0 {
+	if !confident || run <= 0 {
 		return 0
 	}
 	return wait / run
 }
 
-// allowed returns the part of the limit that may wait in the target. Where
-// answers come only at the end of the run, the run's own spread hides a small
-// queue; the allowance is then larger, so that it does not empty slots.
-func (l *limiter) allowed() float64 {
+// allowedWaitingRatio returns the fraction of the limit that may wait in the
+// target. If responses are sent only at the end of the run, the variation of
+// run times hides a small queue, so the allowance is larger to avoid leaving
+// slots empty.
+func (l *limiter) allowedWaitingRatio() float64 {
 	var sum time.Duration
-	for _, d := range l.first {
+	for _, d := range l.firstByteTimes {
 		sum += d
 	}
-	if float64(sum) > atTheEnd*float64(l.slotTime) {
-		return plainQueue * l.cfg.Queue
+	if float64(sum) > singleResponseFraction*float64(l.totalTime) {
+		return singleResponseQueueFactor * l.cfg.QueueFraction
 	}
-	return l.cfg.Queue
+	return l.cfg.QueueFraction
 }
 
-// quantileBounds returns the early quantile of sorted times and the bounds
-// between which the quantile of all requests surely lies.
-func quantileBounds(sorted []time.Duration) window {
+// summarizeFirstByteTimes returns the early quantile of the sorted times and
+// its confidence bounds.
+func summarizeFirstByteTimes(sorted []time.Duration) window {
 	n := float64(len(sorted))
-	spread := confidence * math.Sqrt(n*early*(1-early))
+	spread := confidenceZScore * math.Sqrt(n*earlyQuantile*(1-earlyQuantile))
 	at := func(rank float64) float64 {
 		return sorted[max(0, min(len(sorted)-1, int(rank)))].Seconds()
 	}
-	return window{low: at(n*early - spread), quick: at(n * early), high: at(n*early + spread)}
+	return window{lowerBound: at(n*earlyQuantile - spread), quantile: at(n * earlyQuantile), upperBound: at(n*earlyQuantile + spread)}
 }
 
-// shrink takes away what waits in the target beyond the queue that it is
-// allowed, at most half in a window.
+// shrink lowers the limit by the estimated queue in excess of the allowed one, by
+// at most half per window.
 //
-// Longer prompts raise the time to the first byte as a queue does, but a lower
-// limit does not bring it down. Where a quarter less has not helped, the limit
-// goes back and the longer time is the new base; without this the limit would
-// fall to one.
+// Longer prompts increase the time to first byte as a queue does, but a lower
+// limit does not reduce it. If lowering the limit by a quarter has not helped,
+// the limit is restored and the longer time becomes the new baseline. Otherwise
+// the limit would fall to one.
 func (l *limiter) shrink(waiting float64) {
-	l.ramping = false
-	gone := l.before.quick - l.quick
-	least := helpShare * (l.before.quick - l.base)
-	tried := l.value <= l.before.value*(1-helpTrial)
+	l.doubling = false
+	improvement := l.beforeShrink.quantile - l.lastQuantile
+	minImprovement := minTrialImprovement * (l.beforeShrink.quantile - l.baseline)
+	reducedEnough := l.value <= l.beforeShrink.value*(1-trialReduction)
 	switch {
-	case l.before.value == 0 || gone < -least || tried && gone >= least:
-		l.before.value, l.before.quick = l.value, l.quick
-	case tried:
-		l.value, l.base = l.before.value, l.quick
-		l.before.value = 0
+	case l.beforeShrink.value == 0 || improvement < -minImprovement || reducedEnough && improvement >= minImprovement:
+		l.beforeShrink.value, l.beforeShrink.quantile = l.value, l.lastQuantile
+	case reducedEnough:
+		l.value, l.baseline = l.beforeShrink.value, l.lastQuantile
+		l.beforeShrink.value = 0
 		return
 	}
-	keep := (1 + l.allowed()) / (1 + waiting)
-	l.value = math.Max(1, l.value*math.Max(0.5, keep))
+	factor := (1 + l.allowedWaitingRatio()) / (1 + waiting)
+	l.value = math.Max(1, l.value*math.Max(0.5, factor))
 }
 
 func (l *limiter) grow() {
-	if l.held > 0 {
-		l.held--
+	if l.holdWindows > 0 {
+		l.holdWindows--
 		return
 	}
-	if l.ramping {
+	if l.doubling {
 		l.value *= 2
-		l.skip = l.peak
+		l.samplesToSkip = l.peakInFlight
 	} else {
-		l.value += math.Max(1, l.value*growth)
+		l.value += math.Max(1, l.value*growthFraction)
 	}
-	most := l.cfg.Most
+	maxLimit := l.cfg.MaxLimit
 	if l.ceiling > 0 {
-		most = l.ceiling
+		maxLimit = l.ceiling
 	}
-	l.value = math.Min(l.value, float64(most))
+	l.value = math.Min(l.value, float64(maxLimit))
 }
--- a/internal/placement/pace.go
+++ b/internal/placement/pace.go
@@ -7,50 +7,51 @@
 )
 
 const (
-	// paceWeight is the weight of a new sample in the mean.
-	paceWeight = 0.25
-	// paceSamples is how many samples a pace needs to count.
-	paceSamples = 8
-	// probationSamples is how many samples end a probation.
-	probationSamples = 4
+	// minPaceWeight is the weight of a new sample in the moving average once
+	// there are enough samples.
+	minPaceWeight = 0.25
+	// minPaceSamples is how many samples are needed before a pace is used.
+	minPaceSamples = 8
+	// minProbationSamples is how many samples are needed to end a probation.
+	minProbationSamples = 4
 )
 
-// pace is the mean logarithm of the time that a target takes for a token (a
-// plain service: for a request). The logarithm keeps one request that was cut
-// short or had to wait from standing for all.
+// pace is the moving average of the logarithm of a target's time per token (per
+// request for a plain service). The logarithm limits the effect of a single
+// request that was truncated or had to wait.
 type pace struct {
-	mean    float64
+	meanLog float64
 	samples int
 }
 
 func (p *pace) add(tokens int, first, elapsed time.Duration) {
-	per := elapsed.Seconds()
+	secondsPerToken := elapsed.Seconds()
 	if tokens > 1 {
-		per = (elapsed - first).Seconds() / float64(tokens-1)
+		secondsPerToken = (elapsed - first).Seconds() / float64(tokens-1)
 	}
-	if per <= 0 {
+	if secondsPerToken <= 0 {
 		return
 	}
-	value := math.Log(per)
+	value := math.Log(secondsPerToken)
 	p.samples++
-	// The first samples weigh alike, so that the mean does not hang on the
-	// very first.
-	weight := max(paceWeight, 1/float64(p.samples))
-	p.mean += weight * (value - p.mean)
+	// The first samples have equal weight, so that the average does not depend
+	// mainly on the very first.
+	weight := max(minPaceWeight, 1/float64(p.samples))
+	p.meanLog += weight * (value - p.meanLog)
 }
 
-// judgePace puts a target that is much slower than the others on probation, or
-// ends it. It returns true where the state has changed.
-func (t *Table) judgePace(e *entry) bool {
-	switch e.life.State() {
+// updateProbation puts a target that is much slower than its peers on
+// probation, or ends its probation. It reports whether the state changed.
+func (t *Table) updateProbation(e *entry) bool {
+	switch e.machine.State() {
 	case Live:
-		if e.pace.samples < paceSamples || !t.slower(e, t.cfg.SlowFactor) {
+		if e.pace.samples < minPaceSamples || !t.slowerThanPeers(e, t.cfg.SlowFactor) {
 			return false
 		}
 		e.pace = pace{}
 		return e.fire(Slow)
 	case Probation:
-		if e.pace.samples < probationSamples || t.slower(e, t.cfg.RecoverFactor) {
+		if e.pace.samples < minProbationSamples || t.slowerThanPeers(e, t.cfg.RecoverFactor) {
 			return false
 		}
 		return e.fire(Recovered)
@@ -58,19 +59,20 @@
 	return false
 }
 
-// slower tells whether a target takes more than factor times as long as the
-// median of its peers. Without a peer nobody can tell a slow target from a
-// long-winded service, and it would be the only one anyway.
-func (t *Table) slower(e *entry, factor float64) bool {
-	t.paces = t.paces[:0]
+// slowerThanPeers reports whether a target takes more than factor times as long
+// as the median of its peers. Without peers, a slow target cannot be
+// distinguished from a service with long responses, and there is no alternative
+// target anyway.
+func (t *Table) slowerThanPeers(e *entry, factor float64) bool {
+	t.peerPaces = t.peerPaces[:0]
 	for _, peer := range t.targets {
-		if peer != e && peer.life.State() == Live && peer.pace.samples >= paceSamples {
-			t.paces = append(t.paces, peer.pace.mean)
+		if peer != e && peer.machine.State() == Live && peer.pace.samples >= minPaceSamples {
+			t.peerPaces = append(t.peerPaces, peer.pace.meanLog)
 		}
 	}
-	if len(t.paces) == 0 {
+	if len(t.peerPaces) == 0 {
 		return false
 	}
-	slices.Sort(t.paces)
-	return e.pace.mean-t.paces[(len(t.paces)-1)/2] > math.Log(factor)
+	slices.Sort(t.peerPaces)
+	return e.pace.meanLog-t.peerPaces[(len(t.peerPaces)-1)/2] > math.Log(factor)
 }
--- a/internal/placement/proof.go
+++ b/internal/placement/proof.go
@@ -2,165 +2,175 @@
 
 import "math"
 
-// proof tells whether the base of a limiter is the time to the first byte of an
-// empty target.
+// baselineCheck verifies that the baseline of a limiter is the time to first byte
+// of an idle target.
 //
-// The failure that it answers: work waits from the daemon's first moment on, the
-// document gives the target more than it runs at once, and each request whose
-// end the owner sees has waited in it (those of the first moment have not, but
-// their grants go on to further requests). The base then holds that wait, no
-// later window is longer than the base, and the limit stays where it is. It shows
-// as a time to the first byte that is long beside the rest of the answer; so do
-// long prompts and answers that come only at the end. A lower limit tells them
-// apart: it shortens the wait in a queue and nothing else. So the limit is lowered
-// by a quarter. Where that does not surely shorten the time, it goes back and the
-// base holds. Where it does, it is lowered by as much as may wait, which empties
-// the queue and shows the base.
-type proof struct {
-	stage proofStage
-	// warm is set after the first window that filled the limit, strong where so
-	// many would wait that there is hardly another reason.
-	warm, strong bool
-	// doubted is set after the first time that a strong suspicion was not
-	// confirmed: one window of unequal answers is not enough to drop it.
-	doubted bool
-	// value is the limit before it was lowered, full the window under it.
-	value float64
-	full  window
+// It guards against the following failure. Requests queue in the target from the
+// daemon's start, because the configuration allows the target more than it can
+// run at once, so that every request whose completion the owner sees has waited
+// in the target. (The very first requests have not, but their grants are reused
+// for further requests.) The baseline then includes that wait, no later window is
+// longer than the baseline, and the limit never changes. The symptom is a time to
+// first byte that is long compared with the rest of the response, which long
+// prompts and responses sent only at the end also cause. A lower limit
+// distinguishes these cases, because it shortens only the wait in a queue. The
+// limit is therefore lowered by a quarter. If this does not shorten the time with
+// confidence, the limit is restored and the baseline is accepted. If it does, the
+// limit is lowered by the estimated size of the queue, which drains the queue and
+// reveals the baseline.
+type baselineCheck struct {
+	stage checkStage
+	// sawSaturatedWindow is set after the first window that reached the limit.
+	// strongSuspicion is set if the estimated queue is so large that another
+	// cause is unlikely.
+	sawSaturatedWindow, strongSuspicion bool
+	// strongSuspicionRejected is set the first time a strong suspicion is not
+	// confirmed: one window of responses of unequal length is not enough to
+	// dismiss it.
+	strongSuspicionRejected bool
+	// originalLimit is the limit before it was lowered, and originalWindow the
+	// window measured under it.
+	originalLimit  float64
+	originalWindow window
 }
 
-type proofStage uint8
+type checkStage uint8
 
 const (
-	// unproved is the stage until a window filled the limit.
-	unproved proofStage = iota
-	// lowered and drained are the stages with the limit a little, and much, lower.
-	lowered
-	drained
-	proved
+	// unchecked is the stage until a window has reached the limit.
+	unchecked checkStage = iota
+	// limitReduced and queueDrained are the stages with the limit slightly and
+	// greatly reduced.
+	limitReduced
+	queueDrained
+	checked
 )
 
-// window is what a window of completions says of the time to the first byte, in
-// seconds: its early quantile, the bounds of that, the mean time of a request and
-// the mean of what follows the first byte.
+// window holds the statistics of a window of completions, in seconds: the early
+// quantile of the time to first byte with its confidence bounds, the mean
+// request time and the mean time after the first byte.
 type window struct {
-	low, quick, high float64
-	mean, rest       float64
+	lowerBound, quantile, upperBound float64
+	meanTime, meanAfterFirstByte     float64
 }
 
 const (
-	// proofWindow is the number of completions of a window with a lowered limit.
-	// The owner of a target sees one result of a grant that its ingress uses
-	// again, so that 32 from a batch of 4 take 18 s.
-	proofWindow = 12
-	// strongWait is the part of those that run beyond which the suspicion is
-	// strong. The limit is then lowered for an ordinary window and in more than
-	// one step, to be surer: where a queue stands that costs nothing. Short plain
-	// requests come near it without a queue, since an owner sees the last request
-	// of a grant and that is mostly a long one.
-	strongWait = 1
-	// goneShare is the part of what a queue would have lost, with the limit
-	// lowered so far, from which on a strong suspicion lowers it once more.
-	goneShare = 0.5
-	// leastDrain is the least part of the limit that is left to drain a queue.
-	leastDrain = 0.25
+	// checkWindow is the number of completions in a window with a reduced limit.
+	// The owner of a target sees only one result of a grant that its ingress
+	// reuses, so 32 completions take 18 s with a batch size of 4.
+	checkWindow = 12
+	// strongWaitingRatio is the ratio of waiting to running requests above which
+	// the suspicion is strong. The limit is then lowered for a full window and in
+	// more than one step to increase confidence, which costs nothing if there is
+	// a queue. Short plain requests come close to this ratio without a queue,
+	// because an owner sees only the last request of a grant, which is usually a
+	// long one.
+	strongWaitingRatio = 1
+	// minReductionEffect is the fraction of the expected decrease, given a queue
+	// and the reduction so far, above which a strong suspicion lowers the limit
+	// once more.
+	minReductionEffect = 0.5
+	// minDrainFraction is the smallest fraction of the limit that is kept while
+	// draining a queue.
+	minDrainFraction = 0.25
 )
 
-// wanted is the least number of completions of the present window, where least
-// is that of an ordinary one.
-func (p *proof) wanted(least int) int {
+// windowSize is the minimum number of completions in the current window, where
+// minSize is that of a regular window.
+func (c *baselineCheck) windowSize(minSize int) int {
 	switch {
-	case p.stage == unproved && p.warm:
-		return 2 * least // it costs nothing, and the others are compared with it
-	case p.stage == lowered && p.strong:
-		return least
-	case p.stage == lowered, p.stage == drained:
-		return proofWindow
+	case c.stage == unchecked && c.sawSaturatedWindow:
+		return 2 * minSize // costs nothing, and later windows are compared with it
+	case c.stage == limitReduced && c.strongSuspicion:
+		return minSize
+	case c.stage == limitReduced, c.stage == queueDrained:
+		return checkWindow
 	}
-	return least
+	return minSize
 }
 
-// prove takes in a window and returns true where it belongs to the proof: it
-// then says nothing else about the limit.
-func (l *limiter) prove(w window, full bool) bool {
-	switch l.proof.stage {
-	case unproved:
-		return full && l.peak > 0 && l.suspect(w)
-	case lowered:
-		l.compare(w)
+// checkBaseline processes a window and reports whether the window was used by
+// the check, in which case it must not affect the limit otherwise.
+func (l *limiter) checkBaseline(w window, saturated bool) bool {
+	switch l.baselineCheck.stage {
+	case unchecked:
+		return saturated && l.peakInFlight > 0 && l.beginBaselineCheck(w)
+	case limitReduced:
+		l.evaluateReducedLimit(w)
 		return true
-	case drained:
-		l.settle(w)
+	case queueDrained:
+		l.evaluateDrain(w)
 		return true
 	}
 	return false
 }
 
-// suspect begins to lower the limit where the base may hold a wait.
-func (l *limiter) suspect(w window) bool {
-	p := &l.proof
-	if !p.warm {
-		p.warm = true // a queue has only begun to build up
+// beginBaselineCheck lowers the limit if the baseline may include a wait.
+func (l *limiter) beginBaselineCheck(w window) bool {
+	check := &l.baselineCheck
+	if !check.sawSaturatedWindow {
+		check.sawSaturatedWindow = true // a queue may only be starting to build up
 		return false
 	}
-	if w.waits(l.base) <= 2*l.allowed() {
-		p.stage = proved
+	if w.waitingRatio(l.baseline) <= 2*l.allowedWaitingRatio() {
+		check.stage = checked
 		return false
 	}
-	l.ramping = false
-	p.stage, p.strong, p.value, p.full = lowered, w.waits(w.quick) > strongWait, l.value, w
-	l.lower(l.value * (1 - helpTrial))
+	l.doubling = false
+	check.stage, check.strongSuspicion, check.originalLimit, check.originalWindow = limitReduced, w.waitingRatio(w.quantile) > strongWaitingRatio, l.value, w
+	l.lowerLimit(l.value * (1 - trialReduction))
 	return true
 }
 
-// compare decides whether the lowered limit has shortened the time.
-func (l *limiter) compare(w window) {
-	p := &l.proof
-	cut := 1 - l.value/p.value
-	// Where a queue stands its waits are sums of runs: other work than in the full
-	// window makes them longer or shorter as well.
-	same := 1.0
-	if p.strong && w.rest > 0 && p.full.rest > 0 {
-		same = math.Min(1, p.full.rest/w.rest)
+// evaluateReducedLimit decides whether the reduced limit has shortened the time
+// to first byte.
+func (l *limiter) evaluateReducedLimit(w window) {
+	check := &l.baselineCheck
+	reduction := 1 - l.value/check.originalLimit
+	// The waits in a queue are sums of run times, so a different workload than in
+	// the original window changes them too.
+	workloadScale := 1.0
+	if check.strongSuspicion && w.meanAfterFirstByte > 0 && check.originalWindow.meanAfterFirstByte > 0 {
+		workloadScale = math.Min(1, check.originalWindow.meanAfterFirstByte/w.meanAfterFirstByte)
 	}
 	switch {
-	case w.high*same < p.full.low:
-		l.base = math.Min(l.base, w.quick)
-		p.stage = drained
-		l.lower(p.value * math.Max(leastDrain, 1/(1+p.full.waits(p.full.quick))))
-	case p.strong && w.quick*same < p.full.quick*(1-goneShare*cut) && l.value > leastDrain*p.value:
-		l.lower(l.value * (1 - helpTrial))
+	case w.upperBound*workloadScale < check.originalWindow.lowerBound:
+		l.baseline = math.Min(l.baseline, w.quantile)
+		check.stage = queueDrained
+		l.lowerLimit(check.originalLimit * math.Max(minDrainFraction, 1/(1+check.originalWindow.waitingRatio(check.originalWindow.quantile))))
+	case check.strongSuspicion && w.quantile*workloadScale < check.originalWindow.quantile*(1-minReductionEffect*reduction) && l.value > minDrainFraction*check.originalLimit:
+		l.lowerLimit(l.value * (1 - trialReduction))
 	default:
-		p.stage, l.value = proved, p.value
-		if p.strong && !p.doubted {
-			p.stage, p.doubted = unproved, true
+		check.stage, l.value = checked, check.originalLimit
+		if check.strongSuspicion && !check.strongSuspicionRejected {
+			check.stage, check.strongSuspicionRejected = unchecked, true
 		}
 	}
 }
 
-// settle takes what the drained window shows for the base and sets the limit
-// that this base gives for the full window. Another queue may hide in what is
-// left, so that the proof starts again.
-func (l *limiter) settle(w window) {
-	p := &l.proof
-	p.stage = unproved
-	l.base = math.Min(l.base, w.quick)
-	keep := (1 + l.allowed()) / (1 + p.full.waits(p.full.quick-l.base))
-	l.value = math.Max(1, p.value*math.Max(leastDrain/2, keep))
+// evaluateDrain takes the baseline from the drained window and sets the limit
+// that follows from it for the original window. The remaining time may still
+// hide a queue, so the check starts over.
+func (l *limiter) evaluateDrain(w window) {
+	check := &l.baselineCheck
+	check.stage = unchecked
+	l.baseline = math.Min(l.baseline, w.quantile)
+	factor := (1 + l.allowedWaitingRatio()) / (1 + check.originalWindow.waitingRatio(check.originalWindow.quantile-l.baseline))
+	l.value = math.Max(1, check.originalLimit*math.Max(minDrainFraction/2, factor))
 }
 
-// lower sets a lower limit; the next window holds only what was dispatched
-// under it.
-func (l *limiter) lower(value float64) {
+// lowerLimit sets a lower limit. The next window contains only requests
+// dispatched under it.
+func (l *limiter) lowerLimit(value float64) {
 	l.value = math.Max(1, value)
-	l.skip = l.peak
+	l.samplesToSkip = l.peakInFlight
 }
 
-// waits is how many requests wait in the target for each that runs, if this
-// much of the time to the first byte were a wait.
-func (w window) waits(wait float64) float64 {
-	if wait >= w.mean {
+// waitingRatio returns the ratio of waiting to running requests in the target,
+// assuming that wait of the time to first byte was spent waiting.
+func (w window) waitingRatio(wait float64) float64 {
+	if wait >= w.meanTime {
 		return math.Inf(1)
 	}
-	return wait / (w.mean - wait)
+	return wait / (w.meanTime - wait)
 }
--- a/internal/placement/sim_test.go
+++ b/internal/placement/sim_test.go
@@ -10,35 +10,37 @@
 	"github.com/savorystall/savorystall/internal/placement"
 )
 
-// backend is a target of the tests: it runs slots requests at once, queues the
-// others first come first served, and tells nobody.
+// backend simulates a target that runs up to slots requests at once and queues
+// the others in arrival order without reporting it.
 type backend struct {
 	name  ident.Target
 	slots int
-	// step is the time for a token.
-	step    time.Duration
-	running int
-	queue   []*job
-	held    int
+	// step is the time per token.
+	step     time.Duration
+	running  int
+	queue    []*job
+	inFlight int
 }
 
-// job is one request: it waits for a dispatch, then perhaps in the target.
+// job is one request. It waits to be dispatched and then possibly in the
+// target.
 type job struct {
-	tokens, prefill    int
-	dispatched, begins time.Time
-	ends               time.Time
-	// granted is when its slot was given to it or to one before it.
-	granted time.Time
-	on      *backend
+	tokens, prefill        int
+	dispatchedAt, startsAt time.Time
+	endsAt                 time.Time
+	// grantedAt is when its slot was granted, to this request or to an earlier
+	// one that used the same grant.
+	grantedAt time.Time
+	backend   *backend
 }
 
-type byEnd []*job
+type jobHeap []*job
 
-func (h byEnd) Len() int           { return len(h) }
-func (h byEnd) Less(i, j int) bool { return h[i].ends.Before(h[j].ends) }
-func (h byEnd) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *byEnd) Push(x any)        { *h = append(*h, x.(*job)) }
-func (h *byEnd) Pop() any {
+func (h jobHeap) Len() int           { return len(h) }
+func (h jobHeap) Less(i, j int) bool { return h[i].endsAt.Before(h[j].endsAt) }
+func (h jobHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *jobHeap) Push(x any)        { *h = append(*h, x.(*job)) }
+func (h *jobHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -50,170 +52,170 @@
 	meanTokens   = 100
 )
 
-// pool drives a table over backends on a clock of its own, always with work
-// waiting.
-type pool struct {
-	table    *placement.Table
-	backends []*backend
-	now      time.Time
-	rng      *rand.Rand
-	running  byEnd
-	done     []*job
-	tokens   int
-	// kind is the kind of work: "" and "steady" have equal prompts, "mixed" has
-	// prompts that take as long as the answers, "plain" answers at the end, and
-	// "recaps" have the lengths of examples/kettleford/load.yaml, as has "longer"
-	// after 40 s in which they are shorter.
-	kind string
-	// prefill is the least number of steps before the first token.
-	prefill int
-	// slice is how long a request's slot goes on to further ones, whose results
-	// the table does not see but for the last one's.
-	slice time.Duration
-	// second, where set, sees all results as a daemon that is not the owner.
-	second *placement.Table
-	// onDone is called after each completion.
+// simulation drives a table over backends on a simulated clock, always with
+// work waiting.
+type simulation struct {
+	table     *placement.Table
+	backends  []*backend
+	now       time.Time
+	rng       *rand.Rand
+	running   jobHeap
+	completed []*job
+	tokens    int
+	// workload is the kind of work: "" and "steady" have equal prompts, "mixed"
+	// has prompts that take as long as the responses, "plain" responds only at
+	// the end, "recaps" has the lengths in examples/kettleford/load.yaml, and
+	// "longer" has shorter ones for 40 s and then these.
+	workload string
+	// minPrefill is the minimum number of steps before the first token.
+	minPrefill int
+	// grantReuse is for how long a slot is reused for further requests; the table
+	// sees only the result of the last one.
+	grantReuse time.Duration
+	// observer, if set, receives all results, as a daemon that is not the owner.
+	observer *placement.Table
+	// onDone, if set, is called after each completion.
 	onDone func(done int)
 }
 
-func newPool(cfg placement.Config, ceiling int, backends ...*backend) *pool {
-	p := &pool{
-		prefill:  prefillSteps,
-		table:    placement.New(cfg, rand.New(rand.NewPCG(3, 4))),
-		backends: backends,
-		now:      time.Unix(1, 0),
-		rng:      rand.New(rand.NewPCG(1, 2)),
+func newSimulation(cfg placement.Config, ceiling int, backends ...*backend) *simulation {
+	s := &simulation{
+		minPrefill: prefillSteps,
+		table:      placement.New(cfg, rand.New(rand.NewPCG(3, 4))),
+		backends:   backends,
+		now:        time.Unix(1, 0),
+		rng:        rand.New(rand.NewPCG(1, 2)),
 	}
 	targets := make([]placement.Target, len(backends))
 	for i, b := range backends {
 		targets[i] = placement.Target{Name: b.name, Slots: ceiling}
 	}
-	p.table.SetTargets(targets)
-	return p
+	s.table.SetTargets(targets)
+	return s
 }
 
-// run ends after a number of completions.
-func (p *pool) run(completions int) {
-	for len(p.done) < completions {
-		p.fill()
-		j := heap.Pop(&p.running).(*job)
-		p.now = j.ends
-		p.finish(j)
+// run runs the simulation until a number of requests have completed.
+func (s *simulation) run(completions int) {
+	for len(s.completed) < completions {
+		s.dispatchAll()
+		j := heap.Pop(&s.running).(*job)
+		s.now = j.endsAt
+		s.finish(j)
 	}
 }
 
-// until ends after a time since the start and returns the limit of the first
-// target.
-func (p *pool) until(since time.Duration) int {
-	for p.now.Before(time.Unix(1, 0).Add(since)) {
-		p.run(len(p.done) + 1)
+// runUntil runs the simulation until a time since the start and returns the
+// limit of the first target.
+func (s *simulation) runUntil(since time.Duration) int {
+	for s.now.Before(time.Unix(1, 0).Add(since)) {
+		s.run(len(s.completed) + 1)
 	}
-	return p.table.Limit(p.backends[0].name)
+	return s.table.Limit(s.backends[0].name)
 }
 
-func (p *pool) fill() {
+func (s *simulation) dispatchAll() {
 	for {
-		free := make([]placement.Free, len(p.backends))
-		for i, b := range p.backends {
-			free[i] = placement.Free{Target: b.name, InFlight: b.held}
+		free := make([]placement.FreeTarget, len(s.backends))
+		for i, b := range s.backends {
+			free[i] = placement.FreeTarget{Target: b.name, InFlight: b.inFlight}
 		}
-		name, ok := p.table.Choose(free)
+		name, ok := s.table.Choose(free)
 		if !ok {
 			return
 		}
-		i := slices.IndexFunc(p.backends, func(b *backend) bool { return b.name == name })
-		p.backends[i].held++
-		p.dispatch(p.backends[i], p.now)
+		i := slices.IndexFunc(s.backends, func(b *backend) bool { return b.name == name })
+		s.backends[i].inFlight++
+		s.dispatch(s.backends[i], s.now)
 	}
 }
 
-func (p *pool) dispatch(b *backend, granted time.Time) {
-	j := &job{tokens: 1 + int(p.rng.ExpFloat64()*meanTokens), dispatched: p.now, granted: granted, on: b}
+func (s *simulation) dispatch(b *backend, grantedAt time.Time) {
+	j := &job{tokens: 1 + int(s.rng.ExpFloat64()*meanTokens), dispatchedAt: s.now, grantedAt: grantedAt, backend: b}
 	switch {
-	case p.kind == "recaps", p.kind == "longer" && p.now.After(time.Unix(41, 0)):
-		j.tokens = []int{200, 200, 200, 60, 60, 20}[p.rng.IntN(6)]
-	case p.kind == "longer":
-		j.tokens = []int{200, 60, 60, 20}[p.rng.IntN(4)]
+	case s.workload == "recaps", s.workload == "longer" && s.now.After(time.Unix(41, 0)):
+		j.tokens = []int{200, 200, 200, 60, 60, 20}[s.rng.IntN(6)]
+	case s.workload == "longer":
+		j.tokens = []int{200, 60, 60, 20}[s.rng.IntN(4)]
 	}
-	j.prefill = p.prefill
-	if p.kind == "mixed" {
-		j.prefill += int(p.rng.ExpFloat64() * meanTokens)
+	j.prefill = s.minPrefill
+	if s.workload == "mixed" {
+		j.prefill += int(s.rng.ExpFloat64() * meanTokens)
 	}
 	b.queue = append(b.queue, j)
-	p.admit(b)
+	s.admit(b)
 }
 
-func (p *pool) admit(b *backend) {
+func (s *simulation) admit(b *backend) {
 	for b.running < b.slots && len(b.queue) > 0 {
 		j := b.queue[0]
 		b.queue = b.queue[1:]
 		b.running++
-		j.begins = p.now
-		j.ends = p.now.Add(time.Duration(j.prefill+j.tokens) * b.step)
-		heap.Push(&p.running, j)
+		j.startsAt = s.now
+		j.endsAt = s.now.Add(time.Duration(j.prefill+j.tokens) * b.step)
+		heap.Push(&s.running, j)
 	}
 }
 
-func (p *pool) finish(j *job) {
-	b := j.on
+func (s *simulation) finish(j *job) {
+	b := j.backend
 	b.running--
-	p.admit(b)
-	p.done = append(p.done, j)
-	p.tokens += j.tokens
+	s.admit(b)
+	s.completed = append(s.completed, j)
+	s.tokens += j.tokens
 	sample := placement.Sample{
-		Tokens:   j.tokens,
-		First:    j.begins.Sub(j.dispatched) + time.Duration(j.prefill+1)*b.step,
-		Elapsed:  p.now.Sub(j.dispatched),
-		InFlight: b.held,
+		Tokens:          j.tokens,
+		TimeToFirstByte: j.startsAt.Sub(j.dispatchedAt) + time.Duration(j.prefill+1)*b.step,
+		Elapsed:         s.now.Sub(j.dispatchedAt),
+		InFlight:        b.inFlight,
 	}
-	if p.kind == "plain" {
-		sample.Tokens, sample.First = 0, sample.Elapsed
+	if s.workload == "plain" {
+		sample.Tokens, sample.TimeToFirstByte = 0, sample.Elapsed
 	}
-	if p.now.Sub(j.granted) < p.slice {
-		p.dispatch(b, j.granted)
+	if s.now.Sub(j.grantedAt) < s.grantReuse {
+		s.dispatch(b, j.grantedAt)
 	} else {
-		p.table.Observe(p.now, b.name, sample)
-		b.held--
+		s.table.Observe(s.now, b.name, sample)
+		b.inFlight--
 	}
-	if p.second != nil {
+	if s.observer != nil {
 		sample.InFlight = 0
-		p.second.Observe(p.now, b.name, sample)
+		s.observer.Observe(s.now, b.name, sample)
 	}
-	if p.onDone != nil {
-		p.onDone(len(p.done))
+	if s.onDone != nil {
+		s.onDone(len(s.completed))
 	}
 }
 
-// utilisation is the part of all slots that was busy since a moment, by the
-// requests completed from then on.
-func (p *pool) utilisation(from int) float64 {
+// utilization returns the fraction of all slot time that was busy, starting at
+// the completion of the request with index from.
+func (s *simulation) utilization(from int) float64 {
 	var busy, slots time.Duration
-	begin := p.done[from].ends
-	for _, j := range p.done[from:] {
-		began := j.begins
-		if began.Before(begin) {
-			began = begin
+	windowStart := s.completed[from].endsAt
+	for _, j := range s.completed[from:] {
+		began := j.startsAt
+		if began.Before(windowStart) {
+			began = windowStart
 		}
-		busy += j.ends.Sub(began)
+		busy += j.endsAt.Sub(began)
 	}
-	for _, j := range p.running {
-		if began := j.begins; began.Before(begin) {
-			busy += p.now.Sub(begin)
+	for _, j := range s.running {
+		if began := j.startsAt; began.Before(windowStart) {
+			busy += s.now.Sub(windowStart)
 		} else {
-			busy += p.now.Sub(began)
+			busy += s.now.Sub(began)
 		}
 	}
-	for _, b := range p.backends {
-		slots += time.Duration(b.slots) * p.now.Sub(begin)
+	for _, b := range s.backends {
+		slots += time.Duration(b.slots) * s.now.Sub(windowStart)
 	}
 	return float64(busy) / float64(slots)
 }
 
-// latencies are the times from dispatch to the end, per token, sorted.
-func (p *pool) latencies(from int) []time.Duration {
-	out := make([]time.Duration, 0, len(p.done)-from)
-	for _, j := range p.done[from:] {
-		out = append(out, j.ends.Sub(j.dispatched)/time.Duration(j.prefill+j.tokens))
+// latencies returns the sorted times from dispatch to the end, per token.
+func (s *simulation) latencies(from int) []time.Duration {
+	out := make([]time.Duration, 0, len(s.completed)-from)
+	for _, j := range s.completed[from:] {
+		out = append(out, j.endsAt.Sub(j.dispatchedAt)/time.Duration(j.prefill+j.tokens))
 	}
 	slices.Sort(out)
 	return out
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -10,74 +10,78 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// Config holds the figures of a Table. The zero value is good.
+// Config configures a Table. The zero value is valid.
 type Config struct {
-	// Zone is the daemon's own availability zone; its targets go first.
+	// Zone is the daemon's own availability zone; its targets are preferred.
 	Zone ident.Zone
-	// Initial is the limit of a target without a number of slots in its
-	// document, before anything was measured. Default: 8.
-	Initial int
-	// Most bounds that limit. Default: 1024.
-	Most int
-	// MinWindow is the least number of completions that a change of the limit
-	// is based on. Default: 32.
+	// InitialLimit is the limit of a target without a number of slots in its
+	// configuration document, before any measurement. Default: 8.
+	InitialLimit int
+	// MaxLimit bounds the limit of such a target. Default: 1024.
+	MaxLimit int
+	// MinWindow is the minimum number of completions on which a change of the
+	// limit is based. Default: 32.
 	MinWindow int
-	// Queue is the part of the limit that may wait in the target. Default: 0.05.
-	Queue float64
-	// SlowFactor is how many times the pace of its peers a target may take
-	// for a token before it is put on probation. Default: 8.
+	// QueueFraction is the fraction of the limit that may wait in the target.
+	// Default: 0.05.
+	QueueFraction float64
+	// SlowFactor is how many times the time per token of its peers a target may
+	// take before it is put on probation. Default: 8.
 	SlowFactor float64
-	// RecoverFactor ends the probation. Default: 6; a target that is put on
-	// probation by chance would never leave it at a factor below its true one.
+	// RecoverFactor is the factor below which the probation ends. Default: 6. A
+	// target put on probation by chance would never leave it if the factor were
+	// below the target's actual one.
 	RecoverFactor float64
-	// ProbeWait is the longest time for which a target that became suspect again,
-	// without a served request between, is not believed when it answers a probe.
-	// It doubles up to MaxProbeWait with each further time. Defaults: 100 ms and
+	// MinProbeBackoff is the maximum time for which probe responses are ignored
+	// after a target becomes suspect again without having served a request in
+	// between. It doubles each time, up to MaxProbeBackoff. Defaults: 100 ms and
 	// 5 s.
-	ProbeWait, MaxProbeWait time.Duration
-	// PrefixEntries bounds the prefixes remembered per target. Default: 32; a
-	// longer memory believes in what the target's cache has lost.
-	PrefixEntries int
+	MinProbeBackoff, MaxProbeBackoff time.Duration
+	// MaxPrefixes bounds the prefixes remembered per target. Default: 32. With a
+	// larger number, prefixes that the target has already evicted are assumed to
+	// be cached.
+	MaxPrefixes int
 }
 
 func (c Config) withDefaults() Config {
-	c.Initial = cmp.Or(c.Initial, 8)
-	c.Most = cmp.Or(c.Most, 1024)
+	c.InitialLimit = cmp.Or(c.InitialLimit, 8)
+	c.MaxLimit = cmp.Or(c.MaxLimit, 1024)
 	c.MinWindow = cmp.Or(c.MinWindow, 32)
-	c.Queue = cmp.Or(c.Queue, 0.05)
+	c.QueueFraction = cmp.Or(c.QueueFraction, 0.05)
 	c.SlowFactor = cmp.Or(c.SlowFactor, 8)
 	c.RecoverFactor = cmp.Or(c.RecoverFactor, 6)
-	c.ProbeWait = cmp.Or(c.ProbeWait, 100*time.Millisecond)
-	c.MaxProbeWait = cmp.Or(c.MaxProbeWait, 5*time.Second)
-	c.PrefixEntries = cmp.Or(c.PrefixEntries, 32)
+	c.MinProbeBackoff = cmp.Or(c.MinProbeBackoff, 100*time.Millisecond)
+	c.MaxProbeBackoff = cmp.Or(c.MaxProbeBackoff, 5*time.Second)
+	c.MaxPrefixes = cmp.Or(c.MaxPrefixes, 32)
 	return c
 }
 
-// Target is one back end as its document describes it.
+// Target is one backend as described by its configuration document.
 type Target struct {
 	Name ident.Target
 	Zone ident.Zone
-	// Slots is the most that it may be given at once; zero means no bound.
+	// Slots is the maximum number of concurrent requests; zero means no bound.
 	Slots int
 }
 
-// Sample tells how an attempt on a target ended.
+// Sample is the outcome of an attempt on a target.
 type Sample struct {
-	// Tokens is the length of the answer; zero for a plain service.
+	// Tokens is the length of the response; zero for a plain service.
 	Tokens int
-	// First runs from dispatch to the first byte, Elapsed to the end.
-	First, Elapsed time.Duration
-	// Failed tells that the target or the way to it failed.
+	// TimeToFirstByte and Elapsed are the times from dispatch to the first byte
+	// and to the end.
+	TimeToFirstByte, Elapsed time.Duration
+	// Failed reports whether the target or the connection to it failed.
 	Failed bool
-	// NotRun tells that the request did not run: the target was full, or could
-	// not be reached where Failed is set too.
+	// NotRun reports that the request did not run: the target was full or, if
+	// Failed is set too, unreachable.
 	NotRun bool
-	// InFlight counts the requests on the target with this one; zero where
-	// this daemon does not know.
+	// InFlight is the number of requests on the target including this one; zero
+	// if this daemon does not know it.
 	InFlight int
 }
 
-// Triggers of charts/target.yaml.
+// Triggers defined in charts/target.yaml.
 const (
 	Answered  chart.Trigger = "answered"
 	Failed    chart.Trigger = "failed"
@@ -88,7 +92,7 @@
 	Removed   chart.Trigger = "removed"
 )
 
-// States of charts/target.yaml.
+// States defined in charts/target.yaml.
 const (
 	Unknown   chart.State = "unknown"
 	Live      chart.State = "live"
@@ -98,92 +102,94 @@
 	Gone      chart.State = "gone"
 )
 
-var lifeChart = chart.MustParse(charts.Target,
+var targetChart = chart.MustParse(charts.Target,
 	[]chart.State{Unknown, Live, Probation, Suspect, IsLeaving, Gone},
 	[]chart.Trigger{Answered, Failed, Slow, Recovered, Leaving, Returned, Removed},
 )
 
-// Table is what one daemon knows of the targets of one service. It is not safe
-// for concurrent use.
+// Table holds what one daemon knows about the targets of one service. It is not
+// safe for concurrent use.
 type Table struct {
 	cfg     Config
 	rng     *rand.Rand
 	targets map[ident.Target]*entry
-	// paces is scratch space.
-	paces []float64
+	// peerPaces is scratch space of slowerThanPeers.
+	peerPaces []float64
 }
 
 // entry is the state of one target.
 type entry struct {
 	Target
-	life  *chart.Machine
-	limit *limiter
-	pace  pace
-	// failures counts the failed requests since the last good one.
-	failures int
-	probe    probe
-	prefixes prefixSet
-	cache    cacheView
-	said     said
+	machine *chart.Machine
+	limit   *limiter
+	pace    pace
+	// failures is the number of failed requests since the last success.
+	failures     int
+	probeBackoff probeBackoff
+	prefixes     recentPrefixes
+	cacheFeed    cacheFeed
+	ownerSummary ownerSummary
 }
 
-// New returns a table without targets. The rng spreads probes.
+// New returns a table without targets. The rng provides the jitter of the probe
+// backoff.
 func New(cfg Config, rng *rand.Rand) *Table {
 	return &Table{cfg: cfg.withDefaults(), rng: rng, targets: map[ident.Target]*entry{}}
 }
 
-// SetTargets replaces the list of targets. What is known of those that stay is
+// SetTargets replaces the list of targets. The state of targets that remain is
 // kept.
 func (t *Table) SetTargets(targets []Target) {
-	kept := make(map[ident.Target]*entry, len(targets))
+	retained := make(map[ident.Target]*entry, len(targets))
 	for _, spec := range targets {
 		e := t.targets[spec.Name]
 		if e == nil {
-			e = &entry{life: lifeChart.New(), limit: newLimiter(t.cfg), prefixes: newPrefixSet(t.cfg.PrefixEntries)}
+			e = &entry{machine: targetChart.New(), limit: newLimiter(t.cfg), prefixes: newRecentPrefixes(t.cfg.MaxPrefixes)}
 		}
 		e.Target = spec
 		e.limit.setCeiling(spec.Slots)
-		kept[spec.Name] = e
+		retained[spec.Name] = e
 	}
 	for name, e := range t.targets {
-		if kept[name] == nil {
+		if retained[name] == nil {
 			e.fire(Removed)
 		}
 	}
-	t.targets = kept
+	t.targets = retained
 }
 
-// fire follows a trigger where the state accepts it. A trigger that it does not
-// accept is old news, such as an answer to old work from a leaving target.
+// fire fires a trigger if the current state accepts it, and reports whether the
+// state changed. A trigger that is not accepted is outdated, such as the
+// completion of an earlier request on a leaving target.
 func (e *entry) fire(trigger chart.Trigger) bool {
-	if !e.life.Can(trigger) {
+	if !e.machine.Can(trigger) {
 		return false
 	}
-	before := e.life.State()
-	after, err := e.life.Fire(trigger)
+	before := e.machine.State()
+	after, err := e.machine.Fire(trigger)
 	return err == nil && after != before
 }
 
-// State returns the state of a target, Gone for one that is not in the table.
+// State returns the state of a target, or Gone if it is not in the table.
 func (t *Table) State(name ident.Target) chart.State {
 	e := t.targets[name]
 	if e == nil {
 		return Gone
 	}
-	return e.life.State()
+	return e.machine.State()
 }
 
-// Usable tells whether a target may get new work.
+// Usable reports whether a target may get new work.
 func (t *Table) Usable(name ident.Target) bool { return t.Limit(name) > 0 }
 
-// Limit returns how many requests a target may have at once: zero where it may
-// get no new work, one on probation.
+// Limit returns how many requests a target may have at once: zero if it may get
+// no new work, and one on probation.
 func (t *Table) Limit(name ident.Target) int {
 	e := t.targets[name]
 	if e == nil {
 		return 0
 	}
-	switch e.life.State() {
+	switch e.machine.State() {
 	case Unknown, Live:
 		return e.limit.limit()
 	case Probation:
@@ -192,33 +198,33 @@
 	return 0
 }
 
-// Learn takes in news of a target that do not come from a request: the answer
-// to a probe (Answered, Failed), the VM list or the target's or a peer's word
-// (Leaving, Returned). It returns true where the state has changed.
-func (t *Table) Learn(now time.Time, name ident.Target, news chart.Trigger) bool {
+// ApplyTrigger applies information about a target that does not come from a
+// request: a probe result (Answered, Failed), or a notice from the VM list, the
+// target or a peer (Leaving, Returned). It reports whether the state changed.
+func (t *Table) ApplyTrigger(now time.Time, name ident.Target, trigger chart.Trigger) bool {
 	e := t.targets[name]
 	if e == nil {
 		return false
 	}
-	changed := e.fire(news)
-	if changed && news == Returned {
-		// What refusals said of it while it was leaving holds no longer.
+	changed := e.fire(trigger)
+	if changed && trigger == Returned {
+		// Refusals that the target sent while leaving no longer apply.
 		e.limit = newLimiter(t.cfg)
 		e.limit.setCeiling(e.Slots)
 	}
-	if changed && e.life.State() == Suspect {
-		e.probe.plan(now, t.cfg, t.rng)
+	if changed && e.machine.State() == Suspect {
+		e.probeBackoff.schedule(now, t.cfg, t.rng)
 	}
 	return changed
 }
 
-// failuresToSuspect is how many requests must fail in a row, with no good one
-// between them, for a target to be suspect: a request that by itself makes the
-// target fail must not take it from all others.
+// failuresToSuspect is how many consecutive requests must fail for a target to
+// become suspect. One request that always makes the target fail must not make
+// it unavailable to all others.
 const failuresToSuspect = 2
 
-// Observe takes in how an attempt ended. It returns true where the state of
-// the target has changed.
+// Observe records the outcome of an attempt. It reports whether the state of
+// the target changed.
 func (t *Table) Observe(now time.Time, name ident.Target, s Sample) bool {
 	e := t.targets[name]
 	if e == nil {
@@ -230,16 +236,16 @@
 	e.failures = 0
 	changed := e.fire(Answered)
 	if s.NotRun {
-		e.limit.refused(s.InFlight)
+		e.limit.recordRefusal(s.InFlight)
 		return changed
 	}
-	e.probe = probe{}
-	if s.First <= 0 {
-		return changed // it was canceled or refused, and tells no time
+	e.probeBackoff = probeBackoff{}
+	if s.TimeToFirstByte <= 0 {
+		return changed // canceled or refused, so there are no times to record
 	}
-	e.limit.completed(s)
-	e.pace.add(s.Tokens, s.First, s.Elapsed)
-	return t.judgePace(e) || changed
+	e.limit.recordCompletion(s)
+	e.pace.add(s.Tokens, s.TimeToFirstByte, s.Elapsed)
+	return t.updateProbation(e) || changed
 }
 
 func (t *Table) observeFailure(now time.Time, e *entry, s Sample) bool {
@@ -251,31 +257,33 @@
 		return false
 	}
 	e.failures = 0
-	e.probe.plan(now, t.cfg, t.rng)
+	e.probeBackoff.schedule(now, t.cfg, t.rng)
 	return true
 }
 
-// ProbeDue tells whether an answered probe may end the suspicion of a target by
-// now; it is true of a target that is not suspect. A target that answers probes
-// and fails each request would otherwise get all the work that fits on it after
-// each probe.
+// ProbeDue reports whether a successful probe may now end the suspicion of a
+// target; it is true for a target that is not suspect. Without this delay, a
+// target that answers probes but fails every request would get its full share
+// of work after each probe.
 func (t *Table) ProbeDue(now time.Time, name ident.Target) bool {
 	e := t.targets[name]
-	return e == nil || e.life.State() != Suspect || !now.Before(e.probe.at)
+	return e == nil || e.machine.State() != Suspect || !now.Before(e.probeBackoff.notBefore)
 }
 
-// probe tells from when on a suspect target is believed when it answers.
-type probe struct {
-	at time.Time
-	// wait bounds the next wait.
-	wait time.Duration
+// probeBackoff delays the time from which a suspect target's probe responses
+// count.
+type probeBackoff struct {
+	notBefore time.Time
+	// maxDelay bounds the next delay.
+	maxDelay time.Duration
 }
 
-// plan sets the wait of a target that has become suspect, none the first time. It
-// starts anew only after a request was served: a target that answers probes and fails requests
-// gets work ever less often, up to once in MaxProbeWait. The full jitter keeps
-// several such targets from getting it in one moment.
-func (p *probe) plan(now time.Time, cfg Config, rng *rand.Rand) {
-	p.at = now.Add(time.Duration(rng.Float64() * float64(p.wait)))
-	p.wait = min(max(2*p.wait, cfg.ProbeWait), cfg.MaxProbeWait)
+// schedule sets the delay for a target that has become suspect; the first delay
+// is zero. The backoff is reset only after a request was served, so a target
+// that answers probes but fails requests gets work less and less often, down to
+// once per MaxProbeBackoff. Full jitter keeps several such targets from getting
+// work at the same moment.
+func (b *probeBackoff) schedule(now time.Time, cfg Config, rng *rand.Rand) {
+	b.notBefore = now.Add(time.Duration(rng.Float64() * float64(b.maxDelay)))
+	b.maxDelay = min(max(2*b.maxDelay, cfg.MinProbeBackoff), cfg.MaxProbeBackoff)
 }
--- a/internal/scheduler/cache.go
+++ b/internal/scheduler/cache.go
@@ -49,7 +49,7 @@
 // after CacheCursor.
 func (c *Core) ApplyCachePage(now time.Time, service ident.Service, name ident.Target, page placement.CachePage) {
 	if s := c.services[service]; s != nil {
-		s.placement.CachePage(now, name, page)
+		s.placement.ApplyCachePage(now, name, page)
 	}
 }
 
@@ -57,7 +57,7 @@
 // to be polled.
 func (c *Core) CacheCursor(service ident.Service, name ident.Target) uint64 {
 	if s := c.services[service]; s != nil {
-		return s.placement.CacheNext(name)
+		return s.placement.NextCacheSequence(name)
 	}
 	return 0
 }
@@ -78,7 +78,7 @@
 // applySummary records the cache summary that came with a grant.
 func (c *Core) applySummary(now time.Time, g Grant) {
 	if s := c.services[g.Service]; s != nil && len(g.CachedPrefixes) > 0 {
-		s.placement.CacheSaid(now, g.Target, g.CachedPrefixes)
+		s.placement.ApplyCacheSummary(now, g.Target, g.CachedPrefixes)
 	}
 }
 
--- a/internal/scheduler/exchange.go
+++ b/internal/scheduler/exchange.go
@@ -25,7 +25,7 @@
 	}
 	for _, l := range m.Limits {
 		if s := c.services[l.Service]; s != nil {
-			s.admission.MergeLimitReport(now, from, l.Workspace, l.News)
+			s.admission.MergeLimitReport(now, from, l.Workspace, l.Report)
 		}
 	}
 	for _, update := range m.HealthUpdates {
--- a/internal/scheduler/limits.go
+++ b/internal/scheduler/limits.go
@@ -11,7 +11,7 @@
 
 // newAdmission returns the admission controller for a new service.
 func (c *Core) newAdmission() *admission.Controller {
-	a := admission.New(admission.Config{Limit: limit.Config{Self: c.cfg.Self, Exchange: c.cfg.ExchangeInterval}})
+	a := admission.New(admission.Config{Limit: limit.Config{Self: c.cfg.Self, ExchangeInterval: c.cfg.ExchangeInterval}})
 	a.SetDaemons(time.Time{}, c.daemons())
 	return a
 }
@@ -47,7 +47,7 @@
 	var changed, all []LimitUsage
 	for _, w := range s.sortedWorkspaces {
 		usage, differs := s.admission.LimitReport(now, w.Name, w.waiting()+w.running)
-		update := LimitUsage{Service: s.name, Workspace: w.Name, News: usage}
+		update := LimitUsage{Service: s.name, Workspace: w.Name, Report: usage}
 		if differs {
 			changed = append(changed, update)
 		}
--- a/internal/scheduler/places.go
+++ b/internal/scheduler/places.go
@@ -20,7 +20,7 @@
 	// rate per token.
 	plain bool
 	// free is a buffer reused by listFreeTargets.
-	free []placement.Free
+	free []placement.FreeTarget
 }
 
 func newTargetTable(zone ident.Zone, rng *rand.Rand) *targetTable {
@@ -39,7 +39,7 @@
 // updateHealth applies a health observation. Its values are the triggers of
 // charts/target.yaml.
 func (tt *targetTable) updateHealth(now time.Time, name ident.Target, health Health) bool {
-	return tt.Learn(now, name, chart.Trigger(health))
+	return tt.ApplyTrigger(now, name, chart.Trigger(health))
 }
 
 // recordResult records how an attempt ended on a target. inFlight is the number
@@ -50,7 +50,7 @@
 		return // nothing was dispatched, or the result says nothing about the target
 	}
 	sample := placement.Sample{
-		First: r.FirstByte, Elapsed: r.Elapsed, Failed: r.Failed, NotRun: r.NotRun, InFlight: inFlight,
+		TimeToFirstByte: r.FirstByte, Elapsed: r.Elapsed, Failed: r.Failed, NotRun: r.NotRun, InFlight: inFlight,
 	}
 	if !tt.plain {
 		sample.Tokens = int(r.Served)
@@ -65,7 +65,7 @@
 func (tt *targetTable) prefixMatcher(target ident.Target) func(queue.Item[*request]) bool {
 	return func(it queue.Item[*request]) bool {
 		r := it.Value
-		return r.Prefix != 0 && len(r.Avoid) == 0 && tt.Holds(target, r.Prefix)
+		return r.Prefix != 0 && len(r.Avoid) == 0 && tt.HoldsPrefix(target, r.Prefix)
 	}
 }
 
@@ -73,7 +73,7 @@
 // prefix.
 func (tt *targetTable) recordDispatch(now time.Time, target ident.Target, r *request) {
 	if r.Prefix != 0 {
-		tt.CacheStored(now, target, r.Prefix)
+		tt.RecordPlacement(now, target, r.Prefix)
 	}
 }
 
@@ -85,11 +85,11 @@
 
 // listFreeTargets returns the owned targets with a free slot. The result shares
 // a buffer that the next call and chooseTarget overwrite.
-func (s *service) listFreeTargets() []placement.Free {
+func (s *service) listFreeTargets() []placement.FreeTarget {
 	s.placement.free = s.placement.free[:0]
 	for _, t := range s.owned {
 		if n := len(t.grants); n < t.limit() {
-			s.placement.free = append(s.placement.free, placement.Free{Target: t.Name, InFlight: n})
+			s.placement.free = append(s.placement.free, placement.FreeTarget{Target: t.Name, InFlight: n})
 		}
 	}
 	return s.placement.free
@@ -100,7 +100,7 @@
 func (c *Core) chooseTarget(s *service, w *workspace) *target {
 	free := s.placement.free
 	if w.allowedTargets != nil {
-		free = slices.DeleteFunc(free, func(f placement.Free) bool { return !w.allowedTargets[f.Target] })
+		free = slices.DeleteFunc(free, func(f placement.FreeTarget) bool { return !w.allowedTargets[f.Target] })
 	}
 	name, ok := s.placement.Choose(free)
 	if !ok {
--- a/internal/scheduler/tied.go
+++ b/internal/scheduler/tied.go
@@ -42,7 +42,7 @@
 }
 
 // mayUseAny reports whether the workspace may use one of the free targets.
-func (w *workspace) mayUseAny(free []placement.Free) bool {
+func (w *workspace) mayUseAny(free []placement.FreeTarget) bool {
 	if w.allowedTargets == nil {
 		return len(free) > 0
 	}
--- a/internal/scheduler/types.go
+++ b/internal/scheduler/types.go
@@ -179,7 +179,7 @@
 type LimitUsage struct {
 	Service   ident.Service
 	Workspace ident.Workspace
-	limit.News
+	limit.Report
 }
 
 // TargetHealthUpdate propagates a daemon's observation about a target.
--- a/test/integration/limits_test.go
+++ b/test/integration/limits_test.go
@@ -46,7 +46,7 @@
 	callers.Wait()
 	span := time.Since(began)
 	counts := check(t, f, requests)
-	most := limit.Config{}.Most(limitedRate, span, daemonCount)
+	most := limit.Config{}.MaxAccepted(limitedRate, span, daemonCount)
 	t.Logf("%d accepted in %v, at most %.0f", counts[complete], span.Round(time.Millisecond), most)
 	is.True(float64(counts[complete]) <= most)
 	is.True(counts[complete] >= limitedRate) // callers are served
