--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -113,16 +113,16 @@
 // passOn takes a new connection over that a neighbour is to serve, and tells whether it did.
 func (h *handovers) passOn(caller *readingConn) bool {
 	load := h.load()
-	if load.Part() == 0 {
+	if load.ForwardFraction() == 0 {
 		return false
 	}
-	to, choice := h.offer(load.Part())
+	to, choice := h.offer(load.ForwardFraction())
 	switch choice {
-	case handover.Here:
+	case handover.Local:
 		caller.admitted = true
 		return false
-	case handover.Nobody:
-		caller.crowded = load.Crowded()
+	case handover.NoNeighbour:
+		caller.crowded = load.Saturated()
 		return false
 	}
 	h.active.Add(1)
@@ -136,7 +136,7 @@
 
 // load is that of this daemon now.
 func (h *handovers) load() handover.Load {
-	return handover.Load{Refuse: h.watch.shedShare(), Unread: h.unread(time.Now())}
+	return handover.Load{ShedFraction: h.watch.shedShare(), UnreadConns: h.unread(time.Now())}
 }
 
 // pass passes a connection on until it ends, or gives it back to this daemon where nobody
@@ -183,7 +183,7 @@
 func (h *handovers) offer(part float64) (handover.Neighbour, handover.Choice) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.picker.Offer(time.Now(), h.rng, part)
+	return h.picker.Route(time.Now(), h.rng, part)
 }
 
 // another notes that a neighbour did not take a connection, and chooses the next one to ask.
@@ -195,13 +195,13 @@
 	if tries >= takeoverTries {
 		return handover.Neighbour{}, false
 	}
-	return h.picker.Choose(now, h.rng)
+	return h.picker.Pick(now, h.rng)
 }
 
 func (h *handovers) begun(id ident.Daemon, p *passage) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.picker.Taken()
+	h.picker.OfferAnswered()
 	if h.passages[id] == nil {
 		h.passages[id] = map[*passage]bool{}
 	}
@@ -211,7 +211,7 @@
 func (h *handovers) ended(id ident.Daemon, p *passage) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.picker.Ended(id)
+	h.picker.Closed(id)
 	delete(h.passages[id], p)
 	if len(h.passages[id]) == 0 {
 		delete(h.passages, id)
--- a/internal/daemon/load.go
+++ b/internal/daemon/load.go
@@ -68,12 +68,12 @@
 	if share == 0 {
 		return false
 	}
-	return rand.Float64() < overload.Part(share, firstOnConnection(ctx))
+	return rand.Float64() < overload.ShedFractionFor(share, firstOnConnection(ctx))
 }
 
 // shedShare is the part of new requests to refuse.
 func (l *loadWatch) shedShare() float64 {
-	return max(float64(l.shed.Load())/shedUnit, overload.Waiting(l.waiting()))
+	return max(float64(l.shed.Load())/shedUnit, overload.PendingShedFraction(l.waiting()))
 }
 
 // busy tells whether a part of new requests is refused at once.
@@ -179,11 +179,11 @@
 		case <-ticker.C:
 		}
 		now, wait := l.probe()
-		share := shedder.Note(now, wait)
-		l.accepts.Store(int64(overload.AcceptRate(detector.Mean())))
+		share := shedder.Observe(now, wait)
+		l.accepts.Store(int64(overload.AcceptRate(detector.MeanLatency())))
 		l.shed.Store(int64(shedUnit * share))
-		over := detector.Note(now, overload.Observation{
-			Wait: wait, Shed: share, Holds: l.zone.Load() >= holdFrom, Arrived: conns.arrived(),
+		over := detector.Observe(now, overload.Observation{
+			SchedLatency: wait, ShedFraction: share, MayHold: l.zone.Load() >= holdFrom, NewConns: conns.arrived(),
 		})
 		if l.over.Swap(over) == over {
 			continue
@@ -194,7 +194,7 @@
 			line, since, lasted = event.Overloaded, now.Sub(l.started), 0
 		}
 		l.since.Store(int64(since))
-		line.Log(log, "wait_ms", detector.Mean().Milliseconds(), "sheds", share, "callers", conns.open(),
-			"hold_ms", detector.Hold().Milliseconds(), "lasted_ms", lasted.Milliseconds(), "arrived", detector.Arrived(), "zone_daemons", l.zone.Load())
+		line.Log(log, "wait_ms", detector.MeanLatency().Milliseconds(), "sheds", share, "callers", conns.open(),
+			"hold_ms", detector.Hold().Milliseconds(), "lasted_ms", lasted.Milliseconds(), "arrived", detector.NewConns(), "zone_daemons", l.zone.Load())
 	}
 }
--- a/internal/daemon/routedservers.go
+++ b/internal/daemon/routedservers.go
@@ -46,7 +46,7 @@
 		}
 	}
 	if s.Fleet.Handover != settings.HandoverNone {
-		takes := func() bool { return h.load().Takes() && life.State() == StateReady }
+		takes := func() bool { return h.load().AcceptsForwarded() && life.State() == StateReady }
 		if r.takeoverListener, err = listenTakeover(s.Fleet, takes, h.version); err != nil {
 			return nil, merry.Prepend(err, "listener for connections of neighbours")
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -231,7 +231,7 @@
 func (s *Server) mayRepeat(service ident.Service, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budget(service).Take(now)
+	return s.budget(service).Allow(now)
 }
 
 func (s *Server) budget(service ident.Service) *retry.Window {
--- a/internal/gateway/respond.go
+++ b/internal/gateway/respond.go
@@ -54,7 +54,7 @@
 // busy is the refusal for want of processor time.
 func busy() *resultcode.Failure {
 	f := resultcode.Fail(resultcode.DaemonBusy, "")
-	f.RetryAfter = overload.BackAtOnce
+	f.RetryAfter = overload.ImmediateRetryDelay
 	return f
 }
 
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -88,7 +88,7 @@
 		if r.failure == nil {
 			return nil
 		}
-		outcome = retry.Worst(outcome, r.failure.Code.Outcome)
+		outcome = retry.WorstOutcome(outcome, r.failure.Code.Outcome)
 		if ctx.Err() != nil {
 			return s.expired(ctx, j, outcome)
 		}
@@ -185,7 +185,7 @@
 	if outcome == resultcode.Ran {
 		outcome = resultcode.MayHaveRun
 	}
-	reason := retry.Forbids(retry.Attempt{
+	reason := retry.ReasonAgainst(retry.Attempt{
 		Outcome: outcome, Status: r.status,
 		Attempts: j.trace.sends, Runs: j.trace.runs,
 		Delivered:  j.began && !(j.route.Repeat == route.Stream && j.route.Resumable),
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,15 +1,16 @@
-// Package handover decides which new connections of callers a daemon passes on, unread, to
-// a neighbour in its availability zone, and to which one. It has no network; time and
+// Package handover decides which new connections of callers a daemon forwards, unread, to
+// a neighbour in its availability zone, and to which one. It does no I/O; time and
 // randomness are arguments.
 //
-// Load pattern: a balancer leads callers to daemons by a hash, so that all callers of one
-// workspace may reach one small VM. It has the processor time for a fraction of what they
-// send while its neighbours idle. However targets are shared, the workspace gets what that
-// VM can read: refused callers come back late, or not at all.
+// The load pattern it addresses: a balancer directs callers to daemons by a hash, so that
+// all callers of one workspace may reach one small VM. It has the processor time for a
+// fraction of what they send, while its neighbours idle. However fairly targets are
+// shared, the workspace gets only what that VM can read: refused callers come back late,
+// or not at all.
 //
-// Of two neighbours drawn at random the one goes first that has fewer of this daemon's
-// connections: a slow or busy one keeps them for longer, so that nobody has to tell its
-// load. A neighbour that did not take a connection is passed over for a moment.
+// Of two neighbours drawn at random, the one with fewer connections from this daemon is
+// chosen: a slow or busy neighbour keeps connections for longer, so that no load needs to
+// be reported. A neighbour that refused a connection is skipped for a short time.
 package handover
 
 import (
@@ -21,77 +22,82 @@
 )
 
 const (
-	// unreadMost is the number of new connections of which nothing has been read from which
-	// on further ones are passed on. It needs no time to show: the part to refuse follows
-	// waits for turns, of which a VM that has just been flooded measures few.
-	unreadMost = 16
-	// unreadTaken is the number of them below which connections are taken over, and
-	// refusedTaken the part of new requests to refuse.
-	unreadTaken  = 8
-	refusedTaken = 0.3
+	// unreadLimit is the number of unread connections at which all further ones are
+	// forwarded. It takes effect at once, whereas the shed fraction depends on samples of
+	// the scheduling latency, of which a VM that has just been flooded takes few.
+	unreadLimit = 16
+	// acceptUnreadLimit and acceptShedLimit are the number of unread connections and the
+	// shed fraction below which a daemon accepts forwarded connections.
+	acceptUnreadLimit = 8
+	acceptShedLimit   = 0.3
 )
 
-// Load is what a daemon knows of its own load.
+// Load describes a daemon's own load.
 type Load struct {
-	// Refuse is the part of new requests to refuse for want of processor time.
-	Refuse float64
-	// Unread is how many connections of callers it has of which nothing has been read.
-	Unread int
+	// ShedFraction is the fraction of new requests to refuse for lack of processor time.
+	ShedFraction float64
+	// UnreadConns is the number of callers' connections from which nothing has been read.
+	UnreadConns int
 }
 
-// Part returns the part of new connections to pass on.
-func (l Load) Part() float64 {
-	if l.Unread >= unreadMost {
+// ForwardFraction returns the fraction of new connections to forward.
+func (l Load) ForwardFraction() float64 {
+	if l.UnreadConns >= unreadLimit {
 		return 1
 	}
-	return overload.Part(l.Refuse, true)
+	return overload.ShedFractionFor(l.ShedFraction, true)
 }
 
-// Crowded tells whether connections are to be refused that nobody takes: they would be read too
-// late. Unread ones alone do not show it, since callers may have sent nothing on them yet.
-func (l Load) Crowded() bool { return l.Unread >= unreadMost && l.Refuse > 0 }
+// Saturated reports whether to refuse connections that no neighbour accepts because they
+// would be read too late. Unread connections alone do not prove that, since callers may
+// not have sent anything on them yet.
+func (l Load) Saturated() bool { return l.UnreadConns >= unreadLimit && l.ShedFraction > 0 }
 
-// Takes tells whether connections of neighbours are to be taken over.
-func (l Load) Takes() bool { return l.Refuse < refusedTaken && l.Unread < unreadTaken }
+// AcceptsForwarded reports whether to accept connections forwarded by neighbours.
+func (l Load) AcceptsForwarded() bool {
+	return l.ShedFraction < acceptShedLimit && l.UnreadConns < acceptUnreadLimit
+}
 
-// rest is how long a neighbour is passed over that did not take a connection.
-const rest = 250 * time.Millisecond
+// refusalBackoff is how long a neighbour that refused a connection is skipped.
+const refusalBackoff = 250 * time.Millisecond
 
-// askingMost bounds the connections that neighbours are being asked to take: more than a small
-// VM has the processor time to ask for wait for their turns, and so does all else there.
-const askingMost = 24
+// maxPendingOffers bounds the connections offered to neighbours and not answered yet.
+// With more offers than a small VM has the processor time for, the offers wait to be
+// scheduled, and so does all other work of the daemon.
+const maxPendingOffers = 24
 
-// Neighbour is another daemon of the availability zone that takes connections over.
+// Neighbour is another daemon of the availability zone that accepts forwarded
+// connections.
 type Neighbour struct {
 	ID ident.Daemon
-	// Address is where it takes them, host:port.
+	// Address is the host:port at which it accepts them.
 	Address string
 }
 
-// Picker chooses neighbours and counts the connections that they have. It is not safe for
-// concurrent use.
+// Picker chooses neighbours and counts the connections forwarded to each. It is not safe
+// for concurrent use.
 type Picker struct {
-	// most bounds the connections that are passed on at a time.
-	most, open int
-	// asking counts those that no neighbour has taken yet.
-	asking     int
-	neighbours []Neighbour
-	states     map[ident.Daemon]*state
+	// maxOpen bounds the forwarded connections that are open at a time.
+	maxOpen, open int
+	// pendingOffers counts the offered connections that no neighbour has answered yet.
+	pendingOffers int
+	neighbours    []Neighbour
+	states        map[ident.Daemon]*neighbourState
 }
 
-// state is what is known of a neighbour.
-type state struct {
-	open  int
-	rests time.Time
+// neighbourState tracks one neighbour.
+type neighbourState struct {
+	open       int
+	avoidUntil time.Time
 }
 
-// NewPicker returns a Picker without neighbours that passes on so many connections at a
-// time at most; zero means no bound.
-func NewPicker(most int) *Picker {
-	return &Picker{most: most, states: map[ident.Daemon]*state{}}
+// NewPicker returns a Picker without neighbours. maxOpen bounds the connections that are
+// forwarded at a time; zero means no limit.
+func NewPicker(maxOpen int) *Picker {
+	return &Picker{maxOpen: maxOpen, states: map[ident.Daemon]*neighbourState{}}
 }
 
-// SetNeighbours replaces the neighbours. Connections that one of those before has still
+// SetNeighbours replaces the neighbours. Open connections of removed neighbours still
 // count.
 func (p *Picker) SetNeighbours(list []Neighbour) {
 	p.neighbours = list
@@ -99,7 +105,7 @@
 	for _, n := range list {
 		present[n.ID] = true
 		if p.states[n.ID] == nil {
-			p.states[n.ID] = &state{}
+			p.states[n.ID] = &neighbourState{}
 		}
 	}
 	for id, s := range p.states {
@@ -109,74 +115,76 @@
 	}
 }
 
-// Choice says who serves a new connection.
+// Choice states who serves a new connection.
 type Choice uint8
 
 const (
-	// Nobody means that there is no neighbour that could take it.
-	Nobody Choice = iota
-	// Here means that this daemon is to serve it, while neighbours get others.
-	Here
-	// Neighbours means that a neighbour is to serve it.
-	Neighbours
+	// NoNeighbour means that no neighbour can accept the connection.
+	NoNeighbour Choice = iota
+	// Local means that this daemon is to serve the connection although a neighbour could
+	// accept it.
+	Local
+	// Forward means that a neighbour is to serve the connection.
+	Forward
 )
 
-// Offer chooses who serves a new connection where part of them, from 0 to 1, are to be passed
-// on. Where it is a neighbour, Refused or Taken and Ended have to follow.
-func (p *Picker) Offer(now time.Time, rng *rand.Rand, part float64) (Neighbour, Choice) {
-	if p.asking >= askingMost {
-		return Neighbour{}, Nobody
+// Route chooses who serves a new connection if the given fraction of them, from 0 to 1,
+// is to be forwarded. After Forward the caller must call Refused, or OfferAnswered and
+// later Closed.
+func (p *Picker) Route(now time.Time, rng *rand.Rand, fraction float64) (Neighbour, Choice) {
+	if p.pendingOffers >= maxPendingOffers {
+		return Neighbour{}, NoNeighbour
 	}
-	n, ok := p.Choose(now, rng)
+	n, ok := p.Pick(now, rng)
 	switch {
 	case !ok:
-		return Neighbour{}, Nobody
-	case rng.Float64() < part:
-		return n, Neighbours
+		return Neighbour{}, NoNeighbour
+	case rng.Float64() < fraction:
+		return n, Forward
 	}
-	p.Taken()
-	p.Ended(n.ID)
-	return Neighbour{}, Here
+	p.OfferAnswered()
+	p.Closed(n.ID)
+	return Neighbour{}, Local
 }
 
-// Choose chooses the neighbour for a connection that is to be passed on. Where ok, Refused
-// or Taken and Ended have to follow.
-func (p *Picker) Choose(now time.Time, rng *rand.Rand) (n Neighbour, ok bool) {
-	var awake []Neighbour
+// Pick chooses the neighbour for a connection to be forwarded. If ok is true, the caller
+// must call Refused, or OfferAnswered and later Closed.
+func (p *Picker) Pick(now time.Time, rng *rand.Rand) (n Neighbour, ok bool) {
+	var available []Neighbour
 	for _, n := range p.neighbours {
-		if !now.Before(p.states[n.ID].rests) {
-			awake = append(awake, n)
+		if !now.Before(p.states[n.ID].avoidUntil) {
+			available = append(available, n)
 		}
 	}
-	if len(awake) == 0 || p.full() {
+	if len(available) == 0 || p.full() {
 		return Neighbour{}, false
 	}
-	n = awake[rng.IntN(len(awake))]
-	if other := awake[rng.IntN(len(awake))]; p.states[other.ID].open < p.states[n.ID].open {
+	n = available[rng.IntN(len(available))]
+	if other := available[rng.IntN(len(available))]; p.states[other.ID].open < p.states[n.ID].open {
 		n = other
 	}
 	p.states[n.ID].open++
 	p.open++
-	p.asking++
+	p.pendingOffers++
 	return n, true
 }
 
-func (p *Picker) full() bool { return p.most > 0 && p.open >= p.most }
+func (p *Picker) full() bool { return p.maxOpen > 0 && p.open >= p.maxOpen }
 
-// Refused notes that a neighbour did not take a connection.
+// Refused records that a neighbour did not accept a connection.
 func (p *Picker) Refused(now time.Time, id ident.Daemon) {
-	p.Taken()
-	p.Ended(id)
+	p.OfferAnswered()
+	p.Closed(id)
 	if s := p.states[id]; s != nil {
-		s.rests = now.Add(rest)
+		s.avoidUntil = now.Add(refusalBackoff)
 	}
 }
 
-// Taken notes that a neighbour has taken a connection.
-func (p *Picker) Taken() { p.asking-- }
+// OfferAnswered records that a neighbour has answered the offer of a connection.
+func (p *Picker) OfferAnswered() { p.pendingOffers-- }
 
-// Ended notes the end of a connection that was passed on.
-func (p *Picker) Ended(id ident.Daemon) {
+// Closed records that a forwarded connection has ended.
+func (p *Picker) Closed(id ident.Daemon) {
 	if s := p.states[id]; s != nil && s.open > 0 {
 		s.open--
 		p.open--
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -21,111 +21,113 @@
 }
 
 var (
-	start = time.Unix(1000, 0)
-	seed  = func(n uint64) *rand.Rand { return rand.New(rand.NewPCG(n, 1)) }
+	testStart = time.Unix(1000, 0)
+	newRand   = func(n uint64) *rand.Rand { return rand.New(rand.NewPCG(n, 1)) }
 )
 
-func TestAboutThePartGoesToNeighbours(t *testing.T) {
+func TestRouteForwardsRequestedFraction(t *testing.T) {
 	is := is.New(t)
 	p := handover.NewPicker(0)
 	p.SetNeighbours(neighbours(16))
-	rng, passed := seed(1), 0
+	rng, forwarded := newRand(1), 0
 	for range 1000 {
-		n, choice := p.Offer(start, rng, 0.3)
-		is.True(choice != handover.Nobody)
-		if choice == handover.Neighbours {
-			passed++
-			p.Taken()
-			p.Ended(n.ID)
+		n, choice := p.Route(testStart, rng, 0.3)
+		is.True(choice != handover.NoNeighbour)
+		if choice == handover.Forward {
+			forwarded++
+			p.OfferAnswered()
+			p.Closed(n.ID)
 		}
 	}
-	is.True(passed > 250 && passed < 350)
-	is.Equal(handover.Load{Unread: 3}.Part(), 0.0) // nothing is passed on where nothing is refused
+	is.True(forwarded > 250 && forwarded < 350)
+	is.Equal(handover.Load{UnreadConns: 3}.ForwardFraction(), 0.0) // nothing is forwarded while nothing is shed
 }
 
-// Connections that stay long on a slow neighbour must not pile up there while others idle.
-func TestASlowNeighbourGetsLittle(t *testing.T) {
+// Long-lived connections to a slow neighbour must not accumulate there while other
+// neighbours idle.
+func TestSlowNeighbourGetsFewConnections(t *testing.T) {
 	is := is.New(t)
 	p := handover.NewPicker(0)
 	p.SetNeighbours(neighbours(8))
-	rng, slow := seed(2), 0
+	rng, toSlow := newRand(2), 0
 	for range 2000 {
-		n, ok := p.Choose(start, rng)
+		n, ok := p.Pick(testStart, rng)
 		is.True(ok)
 		if n.ID == "d00" {
-			slow++ // and never ends
+			toSlow++ // and stays open
 			continue
 		}
-		p.Taken()
-		p.Ended(n.ID)
+		p.OfferAnswered()
+		p.Closed(n.ID)
 	}
-	is.True(slow < 60) // 250 of them by chance
+	is.True(toSlow < 60) // a random choice would give 250
 }
 
-// A neighbour that stands still must not hold up one connection after the other.
-func TestANeighbourThatTakesNothingIsPassedOver(t *testing.T) {
+// A neighbour that has stalled must not delay one connection after the other.
+func TestRefusingNeighbourIsSkipped(t *testing.T) {
 	is := is.New(t)
 	p := handover.NewPicker(0)
 	p.SetNeighbours(neighbours(2))
-	rng := seed(3)
-	first, ok := p.Choose(start, rng)
+	rng := newRand(3)
+	first, ok := p.Pick(testStart, rng)
 	is.True(ok)
-	p.Refused(start, first.ID)
+	p.Refused(testStart, first.ID)
 	for range 50 {
-		n, ok := p.Choose(start.Add(50*time.Millisecond), rng)
+		n, ok := p.Pick(testStart.Add(50*time.Millisecond), rng)
 		is.True(ok)
 		is.True(n.ID != first.ID)
-		p.Taken()
-		p.Ended(n.ID)
+		p.OfferAnswered()
+		p.Closed(n.ID)
 	}
-	second, _ := p.Choose(start, rng)
-	p.Refused(start, second.ID)
-	_, ok = p.Choose(start, rng)
-	is.True(!ok) // nobody is left
-	_, ok = p.Choose(start.Add(time.Second), rng)
+	second, _ := p.Pick(testStart, rng)
+	p.Refused(testStart, second.ID)
+	_, ok = p.Pick(testStart, rng)
+	is.True(!ok) // no neighbour is left
+	_, ok = p.Pick(testStart.Add(time.Second), rng)
 	is.True(ok)
 }
 
-// Connections that are passed on take descriptors and memory of this daemon, too.
-func TestConnectionsThatArePassedOnAreBounded(t *testing.T) {
+// Forwarded connections use file descriptors and memory of this daemon, too.
+func TestForwardedConnectionsAreBounded(t *testing.T) {
 	is := is.New(t)
 	p := handover.NewPicker(3)
 	p.SetNeighbours(neighbours(4))
-	rng := seed(4)
+	rng := newRand(4)
 	var last handover.Neighbour
 	for range 3 {
-		n, choice := p.Offer(start, rng, 1)
-		is.Equal(choice, handover.Neighbours)
+		n, choice := p.Route(testStart, rng, 1)
+		is.Equal(choice, handover.Forward)
 		last = n
 	}
-	_, choice := p.Offer(start, rng, 1)
-	is.Equal(choice, handover.Nobody)
-	p.SetNeighbours(nil) // those that it has still count
+	_, choice := p.Route(testStart, rng, 1)
+	is.Equal(choice, handover.NoNeighbour)
+	p.SetNeighbours(nil) // open connections still count
 	p.SetNeighbours(neighbours(4))
-	_, choice = p.Offer(start, rng, 1)
-	is.Equal(choice, handover.Nobody)
-	p.Taken()
-	p.Ended(last.ID)
-	_, choice = p.Offer(start, rng, 1)
-	is.Equal(choice, handover.Neighbours)
+	_, choice = p.Route(testStart, rng, 1)
+	is.Equal(choice, handover.NoNeighbour)
+	p.OfferAnswered()
+	p.Closed(last.ID)
+	_, choice = p.Route(testStart, rng, 1)
+	is.Equal(choice, handover.Forward)
 }
 
-func TestWithoutNeighboursNothingIsPassedOn(t *testing.T) {
-	_, choice := handover.NewPicker(0).Offer(start, seed(5), 1)
-	is.New(t).Equal(choice, handover.Nobody)
+func TestNothingIsForwardedWithoutNeighbours(t *testing.T) {
+	_, choice := handover.NewPicker(0).Route(testStart, newRand(5), 1)
+	is.New(t).Equal(choice, handover.NoNeighbour)
 }
 
-// A VM that a flood has just reached measures few waits for a turn: what stands unread shows it
-// at once, and one that has much of it must not be given more.
-func TestUnreadConnectionsShowAFloodAtOnce(t *testing.T) {
+// A VM that has just been flooded takes few samples of its scheduling latency. Its unread
+// connections show the overload at once, and while it has many of them it must not be
+// given more.
+func TestUnreadConnectionsIndicateOverload(t *testing.T) {
 	is := is.New(t)
-	is.Equal(handover.Load{Unread: 16}.Part(), 1.0)
-	is.Equal(handover.Load{Unread: 15}.Part(), 0.0)
-	is.True(handover.Load{Unread: 16, Refuse: 0.01}.Crowded())
-	is.True(!handover.Load{Unread: 16}.Crowded()) // callers may have opened them in advance
-	is.True(!handover.Load{Refuse: 0.9}.Crowded())
-	is.True(handover.Load{}.Takes())
-	is.True(!handover.Load{Unread: 8}.Takes())
-	is.True(!handover.Load{Refuse: 0.3}.Takes())
-	is.True(handover.Load{Refuse: 0.1}.Part() > 0)
+	is.Equal(handover.Load{UnreadConns: 16}.ForwardFraction(), 1.0)
+	is.Equal(handover.Load{UnreadConns: 15}.ForwardFraction(), 0.0)
+	is.True(handover.Load{UnreadConns: 16, ShedFraction: 0.01}.Saturated())
+	is.True(!handover.Load{UnreadConns: 16}.Saturated()) // callers may have opened them in advance
+	is.True(!handover.Load{ShedFraction: 0.9}.Saturated())
+	is.True(handover.Load{}.AcceptsForwarded())
+	is.True(!handover.Load{UnreadConns: 8}.AcceptsForwarded())
+	is.True(!handover.Load{ShedFraction: 0.3}.AcceptsForwarded())
+	is.True(handover.Load{ShedFraction: 0.1}.ForwardFraction() > 0)
 }
--- a/internal/ingress/place.go
+++ b/internal/ingress/place.go
@@ -74,7 +74,7 @@
 		Outcome: last.Outcome, Status: last.Status,
 		Attempts: tried.attempts, Runs: tried.runs,
 		Delivered: j.delivered(last), Repeatable: j.repeatable(),
-		CallerGone: ctx.Err() != nil, Left: j.left(time.Now()),
+		CallerGone: ctx.Err() != nil, TimeLeft: j.left(time.Now()),
 	})
 	if !decision.Retry {
 		return false
@@ -82,7 +82,7 @@
 	if hold != nil && !hold.NotRun() {
 		return false
 	}
-	timer := time.NewTimer(decision.Wait)
+	timer := time.NewTimer(decision.Backoff)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/lease/explore_test.go
+++ b/internal/lease/explore_test.go
@@ -12,266 +12,272 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// The world below is one target, one lease row and three daemons whose clocks
-// run at different rates, driven by random interleavings of lost and late
-// writes, late orders, lost answers, pauses and restarts.
+// The simulation consists of one target, one lease row and three daemons whose
+// clocks run at different rates. It is driven by random interleavings of lost
+// and late writes, late orders, lost responses, pauses and restarts.
 
 func init() { fixedseed.Explore(3000, 60) }
 
-type node struct {
-	claim Claim
-	state State
-	rate  float64
-	// ready is set between the check of the clock and the first byte.
-	ready *order
+type simDaemon struct {
+	claim     Claim
+	state     State
+	clockRate float64
+	// readyOrder is set between the check of the clock and the first byte.
+	readyOrder *simOrder
 }
 
-type writing struct {
-	from *node
-	row  Record
-	at   uint64 // the revision required
-	sent time.Time
-	inc  uint64
+type pendingWrite struct {
+	sender      *simDaemon
+	row         Record
+	revision    uint64 // the revision that the write is conditional on
+	sent        time.Time
+	incarnation uint64
 }
 
-type order struct {
-	from              *node
-	inc               uint64
-	fencing, document uint64
-	sent              time.Time // real time
+type simOrder struct {
+	sender                 *simDaemon
+	incarnation            uint64
+	fencingToken, document uint64
+	sentAt                 time.Time // real time
 }
 
-type world struct {
+type simulation struct {
 	start, now time.Time
 	fenced     bool
-	// pauses permits any pause between the check and the first byte, and orders
-	// that take longer than the longest.
-	pauses   bool
-	term     time.Duration
-	longest  time.Duration
-	row      Row
-	older    Row // for stale reads
-	revision uint64
-	document uint64
-	nodes    []*node
-	writes   []writing
-	orders   []order
-	target   order // the last one that it took
+	// unboundedDelays permits pauses of any length between the check and the
+	// first byte, and orders that are in flight for longer than longestOrder.
+	unboundedDelays bool
+	term            time.Duration
+	longestOrder    time.Duration
+	row             Row
+	staleRow        Row // the previous row, returned by stale reads
+	revision        uint64
+	document        uint64
+	daemons         []*simDaemon
+	writes          []pendingWrite
+	orders          []simOrder
+	targetOrder     simOrder // the last order that the target accepted
 }
 
-func newWorld(t *rapid.T, fenced, pauses bool) *world {
-	w := &world{start: time.Now(), fenced: fenced, pauses: pauses, document: 1}
-	w.term = rapid.SampledFrom([]time.Duration{20 * time.Second, 100 * time.Second}).Draw(t, "term")
-	w.longest = rapid.SampledFrom([]time.Duration{10 * time.Second, 100 * time.Second}).Draw(t, "longest")
-	w.now = w.start
+func newSimulation(t *rapid.T, fenced, unboundedDelays bool) *simulation {
+	s := &simulation{start: time.Now(), fenced: fenced, unboundedDelays: unboundedDelays, document: 1}
+	s.term = rapid.SampledFrom([]time.Duration{20 * time.Second, 100 * time.Second}).Draw(t, "term")
+	s.longestOrder = rapid.SampledFrom([]time.Duration{10 * time.Second, 100 * time.Second}).Draw(t, "longest")
+	s.now = s.start
 	for i, rate := range []float64{0.96, 1, 1.04} {
-		w.nodes = append(w.nodes, &node{rate: rate, claim: Claim{
+		s.daemons = append(s.daemons, &simDaemon{clockRate: rate, claim: Claim{
 			Holder: ident.Daemon(fmt.Sprint("d", i)), Incarnation: 1,
-			Fenced: fenced, LongestOrder: w.longest, Document: 1,
+			Fenced: fenced, LongestOrder: s.longestOrder, Document: 1,
 		}})
 	}
-	return w
+	return s
 }
 
-// local returns a daemon's own monotonic clock.
-func (w *world) local(n *node) time.Time {
-	return w.start.Add(time.Duration(float64(w.now.Sub(w.start)) * n.rate))
+// localNow returns the time of a daemon's own monotonic clock.
+func (s *simulation) localNow(d *simDaemon) time.Time {
+	return s.start.Add(time.Duration(float64(s.now.Sub(s.start)) * d.clockRate))
 }
 
-func (w *world) read(n *node, row Row) { n.state.Observe(row, w.local(n)) }
+func (s *simulation) read(d *simDaemon, row Row) { d.state.Observe(row, s.localNow(d)) }
 
-func (w *world) acquire(n *node) {
-	now := w.local(n)
-	if v, _ := n.state.Judge(n.claim, now); v == Take {
-		w.write(n, n.claim.next(w.term), now)
+func (s *simulation) acquire(d *simDaemon) {
+	now := s.localNow(d)
+	if v, _ := d.state.Evaluate(d.claim, now); v == Available {
+		s.startWrite(d, d.claim.record(s.term), now)
 	}
 }
 
-func (w *world) write(n *node, r Record, sent time.Time) {
-	w.writes = append(w.writes, writing{n, r, n.state.row.Revision, sent, n.claim.Incarnation})
+func (s *simulation) startWrite(d *simDaemon, r Record, sent time.Time) {
+	s.writes = append(s.writes, pendingWrite{d, r, d.state.row.Revision, sent, d.claim.Incarnation})
 }
 
-// apply lets a write reach the table, and its answer the writer if heard.
-func (w *world) apply(m writing, heard bool) {
-	alive := m.from.claim.Incarnation == m.inc
-	if m.at != w.row.Revision {
-		if heard && alive {
-			w.read(m.from, w.row)
+// finishWrite applies a write to the table; the writer gets the response if
+// responded is set.
+func (s *simulation) finishWrite(m pendingWrite, responded bool) {
+	alive := m.sender.claim.Incarnation == m.incarnation
+	if m.revision != s.row.Revision {
+		if responded && alive {
+			s.read(m.sender, s.row)
 		}
 		return
 	}
-	w.revision++
-	w.older, w.row = w.row, Row{Record: m.row, Revision: w.revision}
-	if heard && alive {
-		c := m.from.claim
+	s.revision++
+	s.staleRow, s.row = s.row, Row{Record: m.row, Revision: s.revision}
+	if responded && alive {
+		c := m.sender.claim
 		c.Document = m.row.Document
-		m.from.state.Written(c, m.row, w.revision, m.sent)
+		m.sender.state.Committed(c, m.row, s.revision, m.sent)
 	}
 }
 
-// check is the moment at which a daemon asks its clock.
-func (w *world) check(n *node) {
-	if !n.state.Valid(w.local(n)) || n.state.row.Document != n.claim.Document {
+// checkLease performs the check of the clock that precedes an order.
+func (s *simulation) checkLease(d *simDaemon) {
+	if !d.state.Valid(s.localNow(d)) || d.state.row.Document != d.claim.Document {
 		return
 	}
-	n.state.Ordered(w.local(n), w.longest)
-	n.ready = &order{n, n.claim.Incarnation, n.state.Fencing(), n.state.row.Document, w.now}
+	d.state.OrderSent(s.localNow(d), s.longestOrder)
+	d.readyOrder = &simOrder{d, d.claim.Incarnation, d.state.FencingToken(), d.state.row.Document, s.now}
 }
 
-func (w *world) send(n *node) {
-	if n.ready == nil {
+func (s *simulation) sendOrder(d *simDaemon) {
+	if d.readyOrder == nil {
 		return
 	}
-	n.ready.sent = w.now
-	w.orders = append(w.orders, *n.ready)
-	n.ready = nil
+	d.readyOrder.sentAt = s.now
+	s.orders = append(s.orders, *d.readyOrder)
+	d.readyOrder = nil
 }
 
-// take lets an order reach the target.
-func (w *world) take(t *rapid.T, o order, heard bool) {
-	accepted := !w.fenced || o.fencing >= w.target.fencing
+// deliver delivers an order to the target; the sender gets the response if
+// responded is set.
+func (s *simulation) deliver(t *rapid.T, o simOrder, responded bool) {
+	accepted := !s.fenced || o.fencingToken >= s.targetOrder.fencingToken
 	if accepted {
-		if o.document < w.target.document && (w.fenced || !w.pauses) {
-			t.Fatalf("order %d for document %d undid order %d for document %d",
-				o.fencing, o.document, w.target.fencing, w.target.document)
+		if o.document < s.targetOrder.document && (s.fenced || !s.unboundedDelays) {
+			t.Fatalf("order %d for document %d replaced order %d for document %d",
+				o.fencingToken, o.document, s.targetOrder.fencingToken, s.targetOrder.document)
 		}
-		w.target = o
+		s.targetOrder = o
 	}
-	if heard && o.from.claim.Incarnation == o.inc && o.from.state.row.Revision == o.fencing {
-		o.from.state.Answered()
+	if responded && o.sender.claim.Incarnation == o.incarnation && o.sender.state.row.Revision == o.fencingToken {
+		o.sender.state.OrdersAnswered()
 	}
 }
 
-// pass lets time go on, but not beyond what is known of orders on their way.
-func (w *world) pass(t *rapid.T, d time.Duration) {
-	if !w.pauses {
-		for _, n := range w.nodes {
-			w.send(n)
+// advance advances the time. Unless delays are unbounded, it first sends
+// prepared orders and delivers those that would exceed longestOrder.
+func (s *simulation) advance(t *rapid.T, d time.Duration) {
+	if !s.unboundedDelays {
+		for _, n := range s.daemons {
+			s.sendOrder(n)
 		}
-		for i := 0; i < len(w.orders); {
-			if w.now.Add(d).Sub(w.orders[i].sent) < w.longest {
+		for i := 0; i < len(s.orders); {
+			if s.now.Add(d).Sub(s.orders[i].sentAt) < s.longestOrder {
 				i++
 				continue
 			}
-			w.take(t, w.removeOrder(i), false)
+			s.deliver(t, s.removeOrder(i), false)
 		}
 	}
-	w.now = w.now.Add(d)
+	s.now = s.now.Add(d)
 }
 
-func (w *world) removeOrder(i int) order {
-	o := w.orders[i]
-	w.orders = append(w.orders[:i:i], w.orders[i+1:]...)
+func (s *simulation) removeOrder(i int) simOrder {
+	o := s.orders[i]
+	s.orders = append(s.orders[:i:i], s.orders[i+1:]...)
 	return o
 }
 
-func (w *world) removeWrite(i int) writing {
-	m := w.writes[i]
-	w.writes = append(w.writes[:i:i], w.writes[i+1:]...)
+func (s *simulation) removeWrite(i int) pendingWrite {
+	m := s.writes[i]
+	s.writes = append(s.writes[:i:i], s.writes[i+1:]...)
 	return m
 }
 
-func (w *world) pick(t *rapid.T) *node { return rapid.SampledFrom(w.nodes).Draw(t, "daemon") }
+func (s *simulation) pickDaemon(t *rapid.T) *simDaemon {
+	return rapid.SampledFrom(s.daemons).Draw(t, "daemon")
+}
 
-func index(t *rapid.T, n int) int {
+func drawIndex(t *rapid.T, n int) int {
 	if n == 0 {
-		t.Skip("nothing on its way")
+		t.Skip("nothing in flight")
 	}
 	return rapid.IntRange(0, n-1).Draw(t, "index")
 }
 
-func (w *world) actions() map[string]func(*rapid.T) {
-	heard := rapid.Bool()
+func (s *simulation) actions() map[string]func(*rapid.T) {
+	drawResponded := rapid.Bool()
 	return map[string]func(*rapid.T){
-		"read":       func(t *rapid.T) { w.read(w.pick(t), w.row) },
-		"read stale": func(t *rapid.T) { w.read(w.pick(t), w.older) },
-		"acquire":    func(t *rapid.T) { w.acquire(w.pick(t)) },
+		"read":       func(t *rapid.T) { s.read(s.pickDaemon(t), s.row) },
+		"read stale": func(t *rapid.T) { s.read(s.pickDaemon(t), s.staleRow) },
+		"acquire":    func(t *rapid.T) { s.acquire(s.pickDaemon(t)) },
 		"acquire whole": func(t *rapid.T) {
-			n := w.pick(t)
-			w.read(n, w.row)
-			w.acquire(n)
-			if len(w.writes) > 0 {
-				w.apply(w.removeWrite(len(w.writes)-1), true)
+			d := s.pickDaemon(t)
+			s.read(d, s.row)
+			s.acquire(d)
+			if len(s.writes) > 0 {
+				s.finishWrite(s.removeWrite(len(s.writes)-1), true)
 			}
 		},
 		"write": func(t *rapid.T) {
-			i := index(t, len(w.writes))
-			w.apply(w.removeWrite(i), heard.Draw(t, "heard"))
+			i := drawIndex(t, len(s.writes))
+			s.finishWrite(s.removeWrite(i), drawResponded.Draw(t, "heard"))
 		},
-		"lose write": func(t *rapid.T) { w.removeWrite(index(t, len(w.writes))) },
+		"lose write": func(t *rapid.T) { s.removeWrite(drawIndex(t, len(s.writes))) },
 		"release": func(t *rapid.T) {
-			if n := w.pick(t); n.state.held && n.ready == nil {
-				w.write(n, n.state.Release(w.local(n)), w.local(n))
+			if d := s.pickDaemon(t); d.state.held && d.readyOrder == nil {
+				s.startWrite(d, d.state.Release(s.localNow(d)), s.localNow(d))
 			}
 		},
-		"check": func(t *rapid.T) { w.check(w.pick(t)) },
-		"send":  func(t *rapid.T) { w.send(w.pick(t)) },
+		"check": func(t *rapid.T) { s.checkLease(s.pickDaemon(t)) },
+		"send":  func(t *rapid.T) { s.sendOrder(s.pickDaemon(t)) },
 		"order": func(t *rapid.T) {
-			n := w.pick(t)
-			w.check(n)
-			w.send(n)
+			d := s.pickDaemon(t)
+			s.checkLease(d)
+			s.sendOrder(d)
 		},
 		"take": func(t *rapid.T) {
-			i := index(t, len(w.orders))
-			w.take(t, w.removeOrder(i), heard.Draw(t, "heard"))
+			i := drawIndex(t, len(s.orders))
+			s.deliver(t, s.removeOrder(i), drawResponded.Draw(t, "heard"))
 		},
-		"lose order": func(t *rapid.T) { w.removeOrder(index(t, len(w.orders))) },
+		"lose order": func(t *rapid.T) { s.removeOrder(drawIndex(t, len(s.orders))) },
 		"time": func(t *rapid.T) {
-			w.pass(t, time.Duration(rapid.SampledFrom([]int{1, 4, 12, 90}).Draw(t, "seconds"))*time.Second)
+			s.advance(t, time.Duration(rapid.SampledFrom([]int{1, 4, 12, 90}).Draw(t, "seconds"))*time.Second)
 		},
-		"edit":  func(*rapid.T) { w.document++ },
-		"learn": func(t *rapid.T) { w.pick(t).claim.Document = w.document },
+		"edit":  func(*rapid.T) { s.document++ },
+		"learn": func(t *rapid.T) { s.pickDaemon(t).claim.Document = s.document },
 		"restart": func(t *rapid.T) {
-			n := w.pick(t)
-			n.claim.Incarnation++
-			n.state, n.ready = State{}, nil
+			d := s.pickDaemon(t)
+			d.claim.Incarnation++
+			d.state, d.readyOrder = State{}, nil
 		},
 	}
 }
 
-// settle ends the faults and lets one daemon with the latest document do what a
-// reconciler does: read back, and order until the state is the wanted one.
-func (w *world) settle(t *rapid.T, n *node) {
-	for _, o := range w.nodes {
-		w.send(o)
+// converge stops all faults and lets one daemon with the latest document do
+// what a reconciler does: read back, and send orders until the target has the
+// desired state.
+func (s *simulation) converge(t *rapid.T, d *simDaemon) {
+	for _, o := range s.daemons {
+		s.sendOrder(o)
 	}
-	for len(w.writes) > 0 {
-		w.apply(w.removeWrite(0), true)
+	for len(s.writes) > 0 {
+		s.finishWrite(s.removeWrite(0), true)
 	}
-	for len(w.orders) > 0 {
-		w.take(t, w.removeOrder(0), true)
+	for len(s.orders) > 0 {
+		s.deliver(t, s.removeOrder(0), true)
 	}
-	n.claim.Document = w.document
+	d.claim.Document = s.document
 	for range 50 {
-		if w.target.document == w.document {
+		if s.targetOrder.document == s.document {
 			return
 		}
-		w.read(n, w.row)
-		w.acquire(n)
-		for len(w.writes) > 0 {
-			w.apply(w.removeWrite(0), true)
+		s.read(d, s.row)
+		s.acquire(d)
+		for len(s.writes) > 0 {
+			s.finishWrite(s.removeWrite(0), true)
 		}
-		w.check(n)
-		w.send(n)
-		for len(w.orders) > 0 {
-			w.take(t, w.removeOrder(0), true)
+		s.checkLease(d)
+		s.sendOrder(d)
+		for len(s.orders) > 0 {
+			s.deliver(t, s.removeOrder(0), true)
 		}
-		w.pass(t, 10*time.Second)
+		s.advance(t, 10*time.Second)
 	}
-	t.Fatalf("the target ends with document %d, not %d", w.target.document, w.document)
+	t.Fatalf("target ended with document %d, want %d", s.targetOrder.document, s.document)
 }
 
-func TestOldOrderNeverWins(t *testing.T) {
-	for name, c := range map[string]struct{ fenced, pauses bool }{
-		"fencing enforced, any pause and delay": {fenced: true, pauses: true},
-		"fencing ignored, delays as stated":     {fenced: false, pauses: false},
-		"fencing ignored, any pause and delay":  {fenced: false, pauses: true},
+func TestStaleOrderNeverWins(t *testing.T) {
+	for name, c := range map[string]struct{ fenced, unboundedDelays bool }{
+		"fencing enforced, any pause and delay": {fenced: true, unboundedDelays: true},
+		"fencing ignored, delays as stated":     {fenced: false, unboundedDelays: false},
+		"fencing ignored, any pause and delay":  {fenced: false, unboundedDelays: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				w := newWorld(t, c.fenced, c.pauses)
-				t.Repeat(w.actions())
-				w.settle(t, w.pick(t))
+				s := newSimulation(t, c.fenced, c.unboundedDelays)
+				t.Repeat(s.actions())
+				s.converge(t, s.pickDaemon(t))
 			})
 		})
 	}
--- a/internal/lease/handover_bench_test.go
+++ b/internal/lease/handover_bench_test.go
@@ -16,8 +16,8 @@
 )
 
 // BenchmarkHandover measures how long a successor waits for the lease of a
-// target that ignores fencing numbers: after a planned stop, in which the lease
-// is given up at once, and after a crash, where the successor waits out the term
+// target that ignores fencing tokens: after a planned stop, where the lease is
+// released at once, and after a crash, where the successor waits for the term
 // and the longest order by its own clock.
 func BenchmarkHandover(b *testing.B) {
 	for _, c := range []struct {
@@ -26,13 +26,13 @@
 	}{{"planned stop", true}, {"crash", false}} {
 		b.Run(c.name, func(b *testing.B) {
 			for range b.N {
-				handOver(b, c.planned)
+				handOverLease(b, c.planned)
 			}
 		})
 	}
 }
 
-func handOver(b *testing.B, planned bool) {
+func handOverLease(b *testing.B, planned bool) {
 	is := is.New(b)
 	ctx := context.Background()
 	table := &fakeTable{}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -12,30 +12,31 @@
 )
 
 const (
-	// DefaultTerm is some ten times a slow write of the table, and short beside
-	// the minutes that a load of weights takes.
+	// DefaultTerm is about ten times the duration of a slow write to the table,
+	// and short compared to the minutes that loading weights takes.
 	DefaultTerm = 20 * time.Second
-	// recordTTL drops the row of a target that is gone. It is far above any
-	// term with its longest order, so that a row that matters is never dropped.
+	// recordTTL is when the row of a removed target expires. It is far longer
+	// than any term plus its longest order, so that a row that is still needed
+	// never expires.
 	recordTTL = 24 * time.Hour
 )
 
-// ErrBehind is the error of a claim whose document is older than the one that
-// the lease was last taken for.
-var ErrBehind = errors.New("the lease was taken for a later document")
+// ErrStaleDocument is returned for a claim whose document is older than the one
+// that the lease was last taken for.
+var ErrStaleDocument = errors.New("the lease was taken for a newer document")
 
-// Held is the error of a lease that another daemon may hold.
-type Held struct {
-	By ident.Daemon
-	// For is how long to wait at least before another try.
-	For time.Duration
+// HeldError is returned for a lease that another daemon may hold.
+type HeldError struct {
+	Holder ident.Daemon
+	// RetryAfter is the minimum time to wait before the next attempt.
+	RetryAfter time.Duration
 }
 
 // Error implements error.
-func (h *Held) Error() string { return "the lease may be held by " + string(h.By) }
+func (h *HeldError) Error() string { return "the lease may be held by " + string(h.Holder) }
 
-// Lease is one target's lease as one daemon sees it. It is for use by one
-// goroutine.
+// Lease is one daemon's view of the lease of a target. It must be used by one
+// goroutine only.
 type Lease struct {
 	table platform.Table
 	clock clock.Clock
@@ -44,7 +45,7 @@
 	state State
 }
 
-// New returns the lease of a target. A term of zero is DefaultTerm.
+// New returns the lease of a target. A term of zero or less means DefaultTerm.
 func New(table platform.Table, c clock.Clock, service ident.Service, target ident.Target, term time.Duration) *Lease {
 	if term <= 0 {
 		term = DefaultTerm
@@ -53,8 +54,9 @@
 	return &Lease{table: table, clock: c, term: term, key: key}
 }
 
-// Acquire takes the lease or renews it. On success the fencing number is higher
-// than any before. The error is a *Held, ErrBehind or one of the table.
+// Acquire acquires or renews the lease. On success the fencing token is higher
+// than any before. The error is a *HeldError, ErrStaleDocument or an error of
+// the table.
 func (l *Lease) Acquire(ctx context.Context, c Claim) error {
 	if !l.Valid() {
 		if err := l.read(ctx); err != nil {
@@ -62,13 +64,13 @@
 		}
 	}
 	now := l.clock.Now()
-	switch verdict, end := l.state.Judge(c, now); verdict {
-	case Behind:
-		return ErrBehind
-	case Wait:
-		return &Held{By: l.state.row.Holder, For: end.Sub(now)}
+	switch verdict, availableAt := l.state.Evaluate(c, now); verdict {
+	case StaleDocument:
+		return ErrStaleDocument
+	case Unavailable:
+		return &HeldError{Holder: l.state.row.Holder, RetryAfter: availableAt.Sub(now)}
 	}
-	return l.write(ctx, c, c.next(l.term), now)
+	return l.write(ctx, c, c.record(l.term), now)
 }
 
 func (l *Lease) read(ctx context.Context) error {
@@ -92,8 +94,8 @@
 	return nil
 }
 
-// write replaces the row that was observed. A write whose answer is lost
-// changes nothing here: if it took effect, the next read shows the row.
+// write replaces the observed row. If the response to a write is lost, the
+// state stays as it is: if the write took effect, the next read shows the row.
 func (l *Lease) write(ctx context.Context, c Claim, r Record, sent time.Time) error {
 	revision, err := l.table.Commit(ctx, platform.Transaction{
 		Operation:  platform.NewOperation(),
@@ -105,29 +107,32 @@
 		if err := l.observe(conflict.Rows[0]); err != nil {
 			return err
 		}
-		return &Held{By: l.state.row.Holder}
+		return &HeldError{Holder: l.state.row.Holder}
 	}
 	if err != nil {
 		return err
 	}
-	l.state.Written(c, r, revision, sent)
+	l.state.Committed(c, r, revision, sent)
 	return nil
 }
 
-// Valid tells whether an order may be given now. Ask right before each order.
+// Valid reports whether an order may be sent now. It must be called immediately
+// before each order.
 func (l *Lease) Valid() bool { return l.state.Valid(l.clock.Now()) }
 
-// Fencing returns the fencing number for an order.
-func (l *Lease) Fencing() uint64 { return l.state.Fencing() }
+// FencingToken returns the fencing token for an order.
+func (l *Lease) FencingToken() uint64 { return l.state.FencingToken() }
 
-// Ordered notes that an order leaves now and is on its way for at most longest.
-func (l *Lease) Ordered(longest time.Duration) { l.state.Ordered(l.clock.Now(), longest) }
+// OrderSent records that an order is being sent now and may be in flight for at
+// most longest.
+func (l *Lease) OrderSent(longest time.Duration) { l.state.OrderSent(l.clock.Now(), longest) }
 
-// Answered notes that the target has answered every order.
-func (l *Lease) Answered() { l.state.Answered() }
+// OrdersAnswered records that the target has answered every order.
+func (l *Lease) OrdersAnswered() { l.state.OrdersAnswered() }
 
-// Release gives the lease up, so that the next holder need not wait out the
-// term. Without a lease it does nothing. An error leaves the lease to lapse.
+// Release releases the lease, so that the next holder need not wait for the end
+// of the term. It does nothing if the lease is not held. If it fails, the lease
+// expires at the end of its term.
 func (l *Lease) Release(ctx context.Context) error {
 	if !l.state.held {
 		return nil
--- a/internal/lease/rule.go
+++ b/internal/lease/rule.go
@@ -1,30 +1,31 @@
-// Package lease gives one daemon at a time the right to give orders to one
+// Package lease ensures that at most one daemon at a time may send orders to a
 // target.
 //
-// The failure it answers: a holder is stopped for a while, its lease lapses,
-// another daemon gives the target new orders, and the first goes on and sends
-// what it had in hand. Without the package the old order wins and the target
-// serves the models of yesterday.
+// The failure it prevents: a lease holder is paused, its lease expires, another
+// daemon sends the target new orders, and the first daemon resumes and sends
+// the order it had prepared. Without the package the old order wins, and the
+// target serves outdated models.
 //
 // A lease is one row of the platform's table, written by compare-and-set. Its
-// revision is the fencing number of the orders. The clocks of two VMs are never
+// revision is the fencing token of the orders. The clocks of two VMs are never
 // compared:
 //
 //   - The holder counts the term from before it sent the write, by its own
-//     monotonic clock, and asks that clock right before each order.
+//     monotonic clock, and checks that clock immediately before each order.
 //   - Another daemon counts the term from after it read the row, by its own
-//     monotonic clock, and starts anew whenever the row has another revision.
-//   - For a target that ignores fencing numbers it also waits, before it takes
-//     the lease, until the longest order of the holder must have arrived.
-//   - A daemon whose document is older than the one that the row names does not
-//     take the lease, so that a daemon that has missed a change cannot undo it.
+//     monotonic clock, and starts again whenever the row has another revision.
+//   - For a target that ignores fencing tokens it also waits, before it takes the
+//     lease, until the holder's longest order must have arrived.
+//   - A daemon whose document is older than the one named in the row does not take
+//     the lease, so that a daemon that missed a change cannot revert it.
 //
-// A lease is held only while there is something to order, and given up
-// afterwards; nothing is written while targets are as they should be.
+// A lease is held only while there are orders to send, and released afterwards;
+// nothing is written while the targets are in the desired state.
 //
-// A pause between the question to the clock and the first byte cannot be
-// excluded. Targets that enforce fencing refuse what is sent after it; for the
-// others the state has to be read back and repaired, which is package order's.
+// A pause between the check of the clock and the first byte of an order cannot
+// be ruled out. Targets that enforce fencing refuse an order sent after such a
+// pause; for other targets the state must be read back and repaired, which
+// package order does.
 package lease
 
 import (
@@ -41,20 +42,21 @@
 type Record struct {
 	Holder      ident.Daemon `json:"holder"`
 	Incarnation uint64       `json:"incarnation"`
-	// Term is how long the holder may give orders after it wrote the row.
+	// Term is how long the holder may send orders after it wrote the row.
 	Term time.Duration `json:"term"`
-	// LongestOrder bounds how long an order of the holder is on its way.
+	// LongestOrder bounds how long an order of the holder may be in flight.
 	LongestOrder time.Duration `json:"longest_order"`
 	// Document is the revision of the document that the holder enforces.
 	Document uint64 `json:"document"`
-	// Released tells that the holder gives no more orders.
+	// Released reports that the holder sends no more orders.
 	Released bool `json:"released,omitempty"`
-	// Unsettled tells that an order of the holder may still be on its way
+	// Unsettled reports that an order of the holder may still be in flight
 	// although the lease is released.
 	Unsettled bool `json:"unsettled,omitempty"`
 }
 
-// Row is a lease's row as it was read; Revision zero means that there is none.
+// Row is the row of a lease as it was read; Revision zero means that there is
+// none.
 type Row struct {
 	Record
 	Revision uint64
@@ -75,81 +77,87 @@
 	return text
 }
 
-// driftShare is the part of a term, as a divisor, by which a waiting daemon
-// waits longer, so that two clocks may run at rates that differ by so much.
-const driftShare = 8
+// driftDivisor determines the extra time that a waiting daemon adds to a term:
+// one driftDivisor-th of the term. The rates of two clocks may differ by that
+// much.
+const driftDivisor = 8
 
-func withDrift(d time.Duration) time.Duration { return d + d/driftShare }
+func withDriftMargin(d time.Duration) time.Duration { return d + d/driftDivisor }
 
-// Claim is what a daemon wants a lease for.
+// Claim describes a daemon's attempt to acquire a lease.
 type Claim struct {
 	Holder      ident.Daemon
 	Incarnation uint64
-	// Fenced tells that the target refuses orders with an old fencing number.
+	// Fenced reports that the target refuses orders with an old fencing token.
 	Fenced       bool
 	LongestOrder time.Duration
-	// Document is the revision of the document to be enforced.
+	// Document is the revision of the document to enforce.
 	Document uint64
 }
 
-// State is what one daemon knows of one lease. It is a state machine without
-// clock and network; every time must carry a monotonic reading.
+// State is one daemon's view of one lease. It is a state machine that reads no
+// clock and does no I/O; every time must carry a monotonic reading.
 type State struct {
-	row  Row
-	seen time.Time // when the row's revision was first read
-	// held tells that the row is this daemon's, and until bounds its orders.
-	held   bool
-	until  time.Time
-	fenced bool
-	// settled is when the last order must have arrived.
-	settled time.Time
+	row       Row
+	firstSeen time.Time // when this revision of the row was first read
+	// held reports that the row is this daemon's; validUntil is when its
+	// permission to send orders ends.
+	held       bool
+	validUntil time.Time
+	fenced     bool
+	// settledAt is when the last order must have arrived.
+	settledAt time.Time
 }
 
-// Observe notes a row that was read; now was taken after the read.
+// Observe records a row that was read; now must be taken after the read.
 func (s *State) Observe(row Row, now time.Time) {
-	if row.Revision == s.row.Revision && !s.seen.IsZero() {
+	if row.Revision == s.row.Revision && !s.firstSeen.IsZero() {
 		return
 	}
-	s.row, s.seen = row, now
+	s.row, s.firstSeen = row, now
 	s.held = false
 }
 
-// Verdict says whether a lease can be taken.
+// Verdict states whether a lease can be acquired.
 type Verdict uint8
 
 // Verdicts about a lease.
 const (
-	// Take: write the row at the revision that was observed.
-	Take Verdict = iota
-	// Wait: another daemon may hold it.
-	Wait
-	// Behind: the lease was taken for a later document than the claim's.
-	Behind
+	// Available means that the row can be written at the observed revision.
+	Available Verdict = iota
+	// Unavailable means that another daemon may hold the lease, or that an own
+	// order may still be in flight.
+	Unavailable
+	// StaleDocument means that the lease was taken for a newer document than
+	// the claim's.
+	StaleDocument
 )
 
-// Judge says whether the claim may be written, and for Wait until when at least
-// to wait: for another holder, or for an own order without answer.
-func (s *State) Judge(c Claim, now time.Time) (Verdict, time.Time) {
+// Evaluate returns whether the claim may be written and, for Unavailable, the
+// earliest time at which it may be: after the term of another holder, or after
+// an own order without an answer must have arrived.
+func (s *State) Evaluate(c Claim, now time.Time) (Verdict, time.Time) {
 	if s.row.Document > c.Document {
-		return Behind, time.Time{}
+		return StaleDocument, time.Time{}
 	}
-	if end := s.free(c); now.Before(end) {
-		return Wait, end
+	if end := s.availableAt(c); now.Before(end) {
+		return Unavailable, end
 	}
-	if !c.Fenced && now.Before(s.settled) {
-		return Wait, s.settled
+	if !c.Fenced && now.Before(s.settledAt) {
+		return Unavailable, s.settledAt
 	}
-	return Take, time.Time{}
+	return Available, time.Time{}
 }
 
-// free returns when the row can be taken, as far as it is known.
+// availableAt returns when the row can be taken, as far as is known.
 //
-// For a target that ignores fencing numbers it guards against the last order of
-// the predecessor, which may arrive after the first of its successor, so that
-// the target ends with the older one. The predecessor sent it before its term
-// ended, and it is on its way for at most LongestOrder.
-func (s *State) free(c Claim) time.Time {
-	if s.row.Revision == 0 || s.mine(c) {
+// For a target that ignores fencing tokens it guards against the last order of
+// the previous holder arriving after the first order of its successor, which
+// would leave the target in the older state. The previous holder sent that
+// order before its term ended, and the order is in flight for at most
+// LongestOrder.
+func (s *State) availableAt(c Claim) time.Time {
+	if s.row.Revision == 0 || s.ownedBy(c) {
 		return time.Time{}
 	}
 	var wait time.Duration
@@ -159,59 +167,61 @@
 	if !c.Fenced && (!s.row.Released || s.row.Unsettled) {
 		wait += s.row.LongestOrder
 	}
-	return s.seen.Add(withDrift(wait))
+	return s.firstSeen.Add(withDriftMargin(wait))
 }
 
-func (s *State) mine(c Claim) bool {
+func (s *State) ownedBy(c Claim) bool {
 	return s.row.Holder == c.Holder && s.row.Incarnation == c.Incarnation
 }
 
-// next returns the value of the row that the claim writes.
-func (c Claim) next(term time.Duration) Record {
+// record returns the value of the row that the claim writes.
+func (c Claim) record(term time.Duration) Record {
 	return Record{
 		Holder: c.Holder, Incarnation: c.Incarnation, Term: term,
 		LongestOrder: c.LongestOrder, Document: c.Document,
 	}
 }
 
-// Written notes that the row was written with the revision; sent was taken
-// before the write was sent. The term counts from there, since the write may
-// have taken effect at once and its answer have come late.
-func (s *State) Written(c Claim, r Record, revision uint64, sent time.Time) {
+// Committed records that the row was written with the revision; sent must be
+// taken before the write was sent. The term counts from there, because the
+// write may have taken effect at once and its response may be late.
+func (s *State) Committed(c Claim, r Record, revision uint64, sent time.Time) {
 	s.row = Row{Record: r, Revision: revision}
-	s.seen, s.until = sent, sent.Add(r.Term)
+	s.firstSeen, s.validUntil = sent, sent.Add(r.Term)
 	s.held, s.fenced = !r.Released, c.Fenced
 }
 
-// Valid tells whether an order may be given now. It must be asked with the
-// monotonic clock right before each order.
+// Valid reports whether an order may be sent now. It must be called with the
+// time of the monotonic clock immediately before each order.
 //
-// Where the target ignores fencing numbers it is false while an earlier order
-// of this holder is without answer: it could arrive after the next one.
+// For a target that ignores fencing tokens it returns false while an earlier
+// order of this holder is unanswered, because that order could arrive after the
+// next one.
 func (s *State) Valid(now time.Time) bool {
-	if !s.fenced && now.Before(s.settled) {
+	if !s.fenced && now.Before(s.settledAt) {
 		return false
 	}
-	return s.held && now.Before(s.until)
+	return s.held && now.Before(s.validUntil)
 }
 
-// Fencing returns the fencing number of the orders of this holder.
-func (s *State) Fencing() uint64 { return s.row.Revision }
+// FencingToken returns the fencing token for the orders of this holder.
+func (s *State) FencingToken() uint64 { return s.row.Revision }
 
-// Ordered notes that an order leaves now and is on its way for at most longest.
-func (s *State) Ordered(now time.Time, longest time.Duration) {
-	s.settled = now.Add(withDrift(longest))
+// OrderSent records that an order is being sent and may be in flight for at
+// most longest.
+func (s *State) OrderSent(now time.Time, longest time.Duration) {
+	s.settledAt = now.Add(withDriftMargin(longest))
 }
 
-// Answered notes that the target has answered every order.
-func (s *State) Answered() { s.settled = time.Time{} }
+// OrdersAnswered records that the target has answered every order.
+func (s *State) OrdersAnswered() { s.settledAt = time.Time{} }
 
-// Release returns the value of the row that gives the lease up, and permits no
-// further order.
+// Release returns the value of the row that releases the lease, and makes Valid
+// return false from now on.
 func (s *State) Release(now time.Time) Record {
 	r := s.row.Record
 	r.Released = true
-	r.Unsettled = now.Before(s.settled)
+	r.Unsettled = now.Before(s.settledAt)
 	s.held = false
 	return r
 }
--- a/internal/order/worker.go
+++ b/internal/order/worker.go
@@ -144,14 +144,14 @@
 		Holder: k.cfg.Daemon, Incarnation: k.cfg.Incarnation,
 		Fenced: w.Fenced, LongestOrder: w.LongestOrder, Document: w.Document,
 	})
-	var held *lease.Held
+	var held *lease.HeldError
 	switch {
 	case err == nil:
 		return 0, true
 	case errors.As(err, &held):
-		event.LeaseHeld.Log(k.log, "target", w.Target, "holder", held.By, "wait", held.For)
-		return max(held.For, k.jitter(k.cfg.Backoff)), false
-	case errors.Is(err, lease.ErrBehind):
+		event.LeaseHeld.Log(k.log, "target", w.Target, "holder", held.Holder, "wait", held.RetryAfter)
+		return max(held.RetryAfter, k.jitter(k.cfg.Backoff)), false
+	case errors.Is(err, lease.ErrStaleDocument):
 		event.OrderBehind.Log(k.log, "target", w.Target, "document", w.Document)
 		return k.jitter(2 * k.cfg.ReadBack), false
 	}
@@ -164,23 +164,23 @@
 // stopped for any time since it acquired the lease: its successor has given
 // other orders meanwhile, and this one would undo them.
 func (k *worker) give(ctx context.Context, w Wanted) time.Duration {
-	o := Order{Fencing: k.lease.Fencing(), State: w.State}
+	o := Order{Fencing: k.lease.FencingToken(), State: w.State}
 	ctx, cancel := context.WithTimeout(ctx, w.LongestOrder)
 	defer cancel()
 	if !k.lease.Valid() {
 		return k.jitter(k.cfg.Backoff)
 	}
-	k.lease.Ordered(w.LongestOrder)
+	k.lease.OrderSent(w.LongestOrder)
 	k.orders++
 	err := k.orderer.Give(ctx, w.Address, o)
 	var refused *Refused
 	switch {
 	case err == nil:
-		k.lease.Answered()
+		k.lease.OrdersAnswered()
 		event.OrderGiven.Log(k.log, "target", w.Target, "fencing", o.Fencing, "document", w.Document)
 		return k.given(w)
 	case errors.As(err, &refused):
-		k.lease.Answered()
+		k.lease.OrdersAnswered()
 		event.OrderRefused.Log(k.log, "target", w.Target, "fencing", o.Fencing, "present", refused.Present.Fencing)
 		return k.failed(w, "the target refuses the fencing number", err)
 	}
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -1,140 +1,145 @@
-// Package overload decides whether a daemon should be passed over by the balancer
-// because it has too little processor time for what reaches it. It has no network;
+// Package overload decides when a daemon that is short of processor time should report
+// itself not ready, so that the load balancer takes it out of rotation. It does no I/O;
 // times are arguments.
 //
-// Load pattern: a balancer spreads callers by a hash, so that one of many daemons,
-// or the only one of an availability zone, gets several times its part; and VMs are
-// of unequal size, or slowed by others. Such a daemon reads requests seconds after
-// they were sent, and answers callers that have gone, while its neighbours idle. It
-// cannot see how long requests have waited in the kernel for it, but it can see how
-// long a goroutine that is ready waits for its turn.
+// The load pattern it addresses: a balancer distributes callers by a hash, so that one of
+// many daemons, or the only one in an availability zone, receives several times its
+// share; and VMs differ in size, or are slowed down by other VMs. Such a daemon reads
+// requests seconds after they were sent and answers callers that have disconnected, while
+// its neighbours idle. It cannot see how long requests have waited for it in the kernel,
+// but it can measure its scheduling latency: how long a runnable goroutine waits before
+// it runs.
 //
-// Where a turn takes 10 ms on average, a request that takes ten of them takes longer than
-// the shortest objectives (100 ms). A balancer needs two to three seconds to notice, so that
-// a daemon stays out for as long as it takes to be noticed.
+// At a mean scheduling latency of 10 ms, a request that is scheduled ten times takes
+// longer than the shortest latency objectives (100 ms). A balancer needs two to three
+// seconds to notice a change, so that a daemon stays out of rotation for at least that
+// long.
 package overload
 
 import "time"
 
 const (
-	// high and low are the mean wait at which overload begins, and below which it may
-	// end.
-	high = 10 * time.Millisecond
-	low  = 2 * time.Millisecond
-	// calm is how long the wait must have been low for it to end.
-	calm = time.Second
-	// sheds is the part of new requests refused for want of processor time from which
-	// on a daemon is overloaded too: refusals keep the wait low.
-	sheds = 0.2
-	// holdBase and holdMost bound how long a daemon stays out at least, in a zone that
-	// has others, unless the balancer uses it all the same. The time doubles where it is
-	// overloaded again within relapse of its return: the caller that was too much for it
-	// has come back with it.
-	holdBase = 10 * time.Second
-	holdMost = 40 * time.Second
-	relapse  = 10 * time.Second
-	// noticed is how long a balancer takes to notice that a daemon is out, and unheeded
-	// from how many new connections after it on it is taken not to heed that. One or two
-	// may have been under way.
-	noticed  = 3 * time.Second
-	unheeded = 3
-	// weight is that of one observation in the mean: of one in 20 ms, about half a
-	// second of them.
-	weight = 0.04
-	// most bounds one observation. A VM that stood still for seconds is not
-	// overloaded when it wakes.
-	most = 200 * time.Millisecond
+	// enterLatency is the mean scheduling latency at which overload begins, and
+	// exitLatency the one it must not exceed for overload to end.
+	enterLatency = 10 * time.Millisecond
+	exitLatency  = 2 * time.Millisecond
+	// exitDelay is how long the load must have been low before overload ends.
+	exitDelay = time.Second
+	// enterShedFraction is the fraction of new requests shed for lack of processor time
+	// at which a daemon counts as overloaded too, because shedding keeps the latency low.
+	enterShedFraction = 0.2
+	// minHold and maxHold bound the minimum time out of rotation, which applies in a zone
+	// with other daemons unless the balancer ignores the readiness. The time doubles when
+	// overload returns within relapseWindow of its end: the caller that caused the
+	// overload has then come back with the daemon's readiness.
+	minHold       = 10 * time.Second
+	maxHold       = 40 * time.Second
+	relapseWindow = 10 * time.Second
+	// balancerLag is how long a balancer takes to notice that a daemon is not ready.
+	// After ignoringConns new connections beyond that time, the balancer is taken to
+	// ignore the readiness; one or two may have been under way.
+	balancerLag   = 3 * time.Second
+	ignoringConns = 3
+	// ewmaWeight is the weight of one sample in the moving average. With a sample every
+	// 20 ms the average covers about half a second.
+	ewmaWeight = 0.04
+	// maxSample bounds one sample: a VM that was paused for seconds is not overloaded
+	// when it resumes.
+	maxSample = 200 * time.Millisecond
 )
 
-// Detector follows how long a ready goroutine waits for its turn. It is not safe for concurrent use.
+// Detector derives overload from the scheduling latency and the shed fraction. It is not
+// safe for concurrent use.
 type Detector struct {
-	mean time.Duration
-	over bool
-	// quiet is since when the mean has been low; zero: it is not.
-	quiet time.Time
-	// until is how long it stays overloaded at least, hold that time, ended when it
-	// last ended.
-	until time.Time
-	hold  time.Duration
-	ended time.Time
-	// began is when it last became overloaded, arrived what Arrived returns.
-	began   time.Time
-	arrived int
+	meanLatency time.Duration
+	overloaded  bool
+	// lowSince is when the load became low; it is zero while the load is not low.
+	lowSince time.Time
+	// holdUntil is the end of the minimum overload time and hold its duration; endedAt is
+	// when overload last ended.
+	holdUntil time.Time
+	hold      time.Duration
+	endedAt   time.Time
+	// beganAt is when overload last began; newConns is the value that NewConns returns.
+	beganAt  time.Time
+	newConns int
 }
 
-// Observation is what a daemon sees of its load at one moment.
+// Observation is one sample of a daemon's load.
 type Observation struct {
-	// Wait is how long a ready goroutine waited for its turn.
-	Wait time.Duration
-	// Shed is the part of new requests that is refused.
-	Shed float64
-	// Holds tells whether the daemon may stay out for longer than its load lasts: where
-	// others can take its callers.
-	Holds bool
-	// Arrived is how many new connections callers have opened since the observation
-	// before.
-	Arrived int
+	// SchedLatency is how long a runnable goroutine waited before it ran.
+	SchedLatency time.Duration
+	// ShedFraction is the fraction of new requests that is refused.
+	ShedFraction float64
+	// MayHold reports whether the daemon may stay out of rotation for longer than its
+	// load lasts, because other daemons can serve its callers.
+	MayHold bool
+	// NewConns is the number of connections that callers have opened since the previous
+	// observation.
+	NewConns int
 }
 
-// Note takes in an observation, and tells whether the daemon is overloaded.
-func (d *Detector) Note(now time.Time, o Observation) bool {
-	wait := min(max(0, o.Wait), most)
-	d.mean += time.Duration(weight * float64(wait-d.mean))
+// Observe records an observation and reports whether the daemon is overloaded.
+func (d *Detector) Observe(now time.Time, o Observation) bool {
+	sample := min(max(0, o.SchedLatency), maxSample)
+	d.meanLatency += time.Duration(ewmaWeight * float64(sample-d.meanLatency))
 	switch {
-	case d.mean >= high || o.Shed >= sheds:
-		d.begin(now, o.Holds)
-		d.quiet, d.arrived = time.Time{}, 0
-	case d.mean > low || o.Shed > 0:
-		d.quiet, d.arrived = time.Time{}, 0
-	case d.quiet.IsZero():
-		d.quiet = now
+	case d.meanLatency >= enterLatency || o.ShedFraction >= enterShedFraction:
+		d.enter(now, o.MayHold)
+		d.lowSince, d.newConns = time.Time{}, 0
+	case d.meanLatency > exitLatency || o.ShedFraction > 0:
+		d.lowSince, d.newConns = time.Time{}, 0
+	case d.lowSince.IsZero():
+		d.lowSince = now
 	}
-	if !d.over || d.quiet.IsZero() {
-		return d.over
+	if !d.overloaded || d.lowSince.IsZero() {
+		return d.overloaded
 	}
-	if now.Sub(d.began) >= noticed {
-		d.arrived += o.Arrived
+	if now.Sub(d.beganAt) >= balancerLag {
+		d.newConns += o.NewConns
 	}
-	if now.Sub(d.quiet) >= calm && !(o.Holds && d.holds(now)) {
-		d.over, d.ended = false, now
+	if now.Sub(d.lowSince) >= exitDelay && !(o.MayHold && d.mustHold(now)) {
+		d.overloaded, d.endedAt = false, now
 	}
-	return d.over
+	return d.overloaded
 }
 
-// holds tells whether a daemon that keeps up again is to stay out.
+// mustHold reports whether a daemon whose load is low again must stay out of rotation.
 //
-// It guards against a zone whose daemons stay out one after the other, each for its own
-// reasons, until fewer are in rotation than a balancer heeds: it then uses all again, and
-// a flood that went from one to the next stays on one of them while the others idle. It
-// shows as most requests of a zone unread for as long as the hold lasts. None of them needs
-// to know of the others: who is out and gets new connections all the same is not heeded.
-func (d *Detector) holds(now time.Time) bool {
-	return now.Before(d.until) && d.arrived < unheeded
+// It guards against a zone whose daemons go out of rotation one after the other, each for
+// its own reasons, until fewer are ready than the balancer requires. The balancer then
+// uses all of them again, and a flood that had moved from one daemon to the next stays on
+// one of them while the others idle; most requests of the zone stay unread for as long as
+// the hold lasts. Daemons need no knowledge of each other for this: one that is not ready
+// and gets new connections nevertheless knows that the balancer ignores its readiness.
+func (d *Detector) mustHold(now time.Time) bool {
+	return now.Before(d.holdUntil) && d.newConns < ignoringConns
 }
 
-// Arrived returns how many connections callers have opened to a daemon that is out, after
-// the balancer was to know it and since the daemon keeps up again.
-func (d *Detector) Arrived() int { return d.arrived }
+// NewConns returns how many connections callers have opened to an overloaded daemon since
+// its load became low, not counting those within balancerLag of the beginning of the
+// overload.
+func (d *Detector) NewConns() int { return d.newConns }
 
-// begin notes that the daemon is overloaded.
-func (d *Detector) begin(now time.Time, holds bool) {
-	if d.over {
+// enter records that the daemon is overloaded.
+func (d *Detector) enter(now time.Time, mayHold bool) {
+	if d.overloaded {
 		return
 	}
-	d.over, d.began, d.arrived = true, now, 0
+	d.overloaded, d.beganAt, d.newConns = true, now, 0
 	switch {
-	case !holds:
+	case !mayHold:
 		d.hold = 0
-	case !d.ended.IsZero() && now.Sub(d.ended) < relapse:
-		d.hold = min(max(holdBase, 2*d.hold), holdMost)
+	case !d.endedAt.IsZero() && now.Sub(d.endedAt) < relapseWindow:
+		d.hold = min(max(minHold, 2*d.hold), maxHold)
 	default:
-		d.hold = holdBase
+		d.hold = minHold
 	}
-	d.until = now.Add(d.hold)
+	d.holdUntil = now.Add(d.hold)
 }
 
-// Hold returns for how long the daemon stays overloaded at least since it last became so.
+// Hold returns the minimum duration of the current or last overload.
 func (d *Detector) Hold() time.Duration { return d.hold }
 
-// Mean returns the mean wait.
-func (d *Detector) Mean() time.Duration { return d.mean }
+// MeanLatency returns the moving average of the scheduling latency.
+func (d *Detector) MeanLatency() time.Duration { return d.meanLatency }
--- a/internal/overload/shed.go
+++ b/internal/overload/shed.go
@@ -5,110 +5,118 @@
 	"time"
 )
 
-// Shedder decides which part of new requests a daemon refuses at once, unread but for
-// what has to be read to answer them, so that the rest is served in time.
+// Shedder decides which fraction of new requests a daemon refuses at once, reading no
+// more of them than the refusal needs, so that the others are served in time.
 //
-// Load pattern: a balancer leads each caller to one daemon, and a single caller sends
-// hundreds of requests a second to a VM that can serve a hundred. Taken in turn they are
-// all read late, those of other callers too, and nearly all end with their callers'
-// patience. Its callers' next tries reach other daemons, so that one that is told at
-// once to come back at once (BackAtOnce) is still in time there. A refusal takes about a
-// fifth of the processor time of a served request.
+// The load pattern it addresses: a balancer directs each caller to one daemon, and a
+// single caller sends hundreds of requests a second to a VM that can serve a hundred.
+// Served in order, all of them are read late, including those of other callers, and
+// nearly all time out at their callers. A caller's retries reach other daemons, so that a
+// request that is refused immediately with a short retry delay (ImmediateRetryDelay) can
+// still be served in time there. A refusal takes about a fifth of the processor time of a
+// served request.
 //
-// The part follows the wait for a turn: it rises while the median of the last waits is
-// above a target and falls while it is below. The median, and not a mean: a processor
-// with a quota stands still for most of each tenth of a second, which shows in one wait
-// of eight.
+// The fraction follows the scheduling latency: it rises while the median of the last
+// samples is above a target and falls while it is below. The median is used rather than
+// the mean because a processor with a CPU quota is throttled for most of each tenth of a
+// second, which shows in one sample of eight.
 //
-// A request takes about ten turns, so that the target is a third of the shortest
-// objectives (100 ms). From none to nearly all takes an eighth of a second at five times the
-// target, and back half a second.
+// A request is scheduled about ten times, so that the target amounts to a third of the
+// shortest latency objectives (100 ms). At five times the target the fraction rises from
+// zero to nearly one in an eighth of a second; falling back takes half a second.
 type Shedder struct {
-	waits [shedWindow]time.Duration
-	next  int
-	share float64
-	last  time.Time
+	latencies [medianWindow]time.Duration
+	next      int
+	fraction  float64
+	lastTime  time.Time
 }
 
 const (
-	shedTarget = 3 * time.Millisecond
-	// shedWindow is the number of waits of which the median is taken.
-	shedWindow = 9
-	// shedRise is by how much the part rises a second where the wait is twice the
-	// target, shedExcess bounds how many times that it may rise, and shedMost the part:
-	// some requests tell whether the load is over.
-	shedRise   = 2.0
-	shedExcess = 4.0
-	shedMost   = 0.95
-	// shedStep bounds the time that one observation stands for.
-	shedStep = 100 * time.Millisecond
+	targetLatency = 3 * time.Millisecond
+	// medianWindow is the number of samples of which the median is taken.
+	medianWindow = 9
+	// shedGain is the increase of the fraction per second at twice the target latency;
+	// maxExcess bounds the multiple of it at higher latencies. maxShedFraction bounds the
+	// fraction itself, because some requests must be served to find out whether the load
+	// is over.
+	shedGain        = 2.0
+	maxExcess       = 4.0
+	maxShedFraction = 0.95
+	// maxStep bounds the time that one sample accounts for.
+	maxStep = 100 * time.Millisecond
 )
 
-// BackAtOnce is when a caller is told to come back that another daemon may serve: at
-// once, but for a moment in which those that were refused together spread.
-const BackAtOnce = 20 * time.Millisecond
+// ImmediateRetryDelay is the retry delay given to a refused caller that another daemon
+// may serve. It is short, but long enough to spread the retries of callers that were
+// refused together.
+const ImmediateRetryDelay = 20 * time.Millisecond
 
-// Note takes in one wait for a turn, and returns the part of new requests to refuse.
-func (s *Shedder) Note(now time.Time, wait time.Duration) float64 {
-	s.waits[s.next%shedWindow] = wait
+// Observe records one sample of the scheduling latency and returns the fraction of new
+// requests to refuse.
+func (s *Shedder) Observe(now time.Time, latency time.Duration) float64 {
+	s.latencies[s.next%medianWindow] = latency
 	s.next++
-	step := min(now.Sub(s.last), shedStep)
-	s.last = now
-	excess := min(float64(s.median())/float64(shedTarget)-1, shedExcess)
-	s.share += shedRise * excess * step.Seconds()
-	s.share = min(max(0, s.share), shedMost)
-	return s.share
+	step := min(now.Sub(s.lastTime), maxStep)
+	s.lastTime = now
+	excess := min(float64(s.median())/float64(targetLatency)-1, maxExcess)
+	s.fraction += shedGain * excess * step.Seconds()
+	s.fraction = min(max(0, s.fraction), maxShedFraction)
+	return s.fraction
 }
 
-// certain is the wait for a turn that tells by itself that the processor time is short, before
-// the turn has come: a processor with a quota stands still for less.
-const certain = 250 * time.Millisecond
+// stallThreshold is the time that a goroutine must have been waiting to run for the wait
+// alone, before it ends, to prove a lack of processor time. A processor throttled by a
+// CPU quota pauses for less.
+const stallThreshold = 250 * time.Millisecond
 
-// Waiting returns the part of new requests to refuse where a turn is waited for since so
-// long, whatever the last waits were. On a daemon that is flooded at once no wait ends for
-// seconds, in which it would take on hundreds of requests that it can't serve.
-func Waiting(since time.Duration) float64 {
-	if since < certain {
+// PendingShedFraction returns the fraction of new requests to refuse while the current
+// latency measurement has been pending for the given time, whatever the last samples
+// were. On a daemon that is flooded suddenly no measurement ends for seconds, in which it
+// would accept hundreds of requests that it cannot serve.
+func PendingShedFraction(pending time.Duration) float64 {
+	if pending < stallThreshold {
 		return 0
 	}
-	return shedMost
+	return maxShedFraction
 }
 
 const (
-	// acceptTurns is how many turns of the mean wait may begin with a new connection in a
-	// second: at a wait of 10 ms 1,000 are taken, about what a small VM can refuse beside
-	// its other work, at 50 ms 200.
-	acceptTurns = 10
-	// acceptLeast is what a daemon takes all the same.
-	acceptLeast = 150
+	// acceptFactor divided by the mean scheduling latency in seconds is the number of
+	// connections accepted per second: 1,000 at a latency of 10 ms, about as many as a
+	// small VM can refuse beside its other work, and 200 at 50 ms.
+	acceptFactor = 10
+	// minAcceptRate is the accept rate at any latency.
+	minAcceptRate = 150
 )
 
-// AcceptRate returns how many new connections a second a daemon takes where a turn takes
-// so long on average; zero: all. It answers callers that bring more than can even be
-// refused: read in turn, their requests would take all processor time, and each would be
-// sent on after its caller has gone. It falls with the wait and has no memory, so that
-// what can be refused is not left unread once the wait has fallen.
-func AcceptRate(wait time.Duration) float64 {
-	if wait < high {
+// AcceptRate returns how many new connections a daemon accepts per second at the given
+// mean scheduling latency; zero means no limit. It addresses callers that send more than
+// the daemon can even refuse: read in order, their requests would take all processor
+// time, and each would be dispatched after its caller has disconnected. The rate depends
+// on the current latency only, so that connections that could be refused are not left
+// unread once the latency has fallen.
+func AcceptRate(meanLatency time.Duration) float64 {
+	if meanLatency < enterLatency {
 		return 0
 	}
-	return max(acceptLeast, acceptTurns/wait.Seconds())
+	return max(minAcceptRate, acceptFactor/meanLatency.Seconds())
 }
 
-// Part returns the part to refuse of the requests on connections that are new, or that
-// have brought some before, where so much of all is to be refused. Those that come first
-// on a connection go first: a caller that is served keeps its connection, and the balancer
-// leads new ones elsewhere as soon as it knows, so that the daemon is left with as many
-// as it can serve. Refused alike, it would lose them all by then.
-func Part(share float64, fresh bool) float64 {
-	if fresh {
-		return min(1, 2*share)
+// ShedFractionFor returns the fraction to refuse of the first requests on connections, or
+// of the later ones, so that the given overall fraction is refused. First requests are
+// refused before later ones: a caller that is served keeps its connection, and the
+// balancer directs new connections elsewhere once it has noticed the overload, so that
+// the daemon keeps as many callers as it can serve. If both were refused alike, it would
+// have lost all its callers by then.
+func ShedFractionFor(overall float64, firstOnConn bool) float64 {
+	if firstOnConn {
+		return min(1, 2*overall)
 	}
-	return max(0, 2*share-1)
+	return max(0, 2*overall-1)
 }
 
 func (s *Shedder) median() time.Duration {
-	sorted := s.waits
+	sorted := s.latencies
 	slices.Sort(sorted[:])
-	return sorted[shedWindow/2]
+	return sorted[medianWindow/2]
 }
--- a/internal/overload/shed_test.go
+++ b/internal/overload/shed_test.go
@@ -10,112 +10,115 @@
 	"github.com/savorystall/savorystall/internal/overload"
 )
 
-// patience is how long callers wait for an answer.
-const patience = time.Second
+// callerTimeout is how long callers wait for a response.
+const callerTimeout = time.Second
 
-// vm is a processor that works on requests in order: a served one takes serve of it, a
-// refused one refuse. A turn takes as long as a tenth of the work that stands, and callers
-// that have waited for their patience are gone.
-type vm struct {
-	serve, refuse time.Duration
-	backlog       time.Duration
+// simProcessor is a processor that handles requests in order; a served request takes
+// serveCost of its time, a refused one refuseCost. The scheduling latency is a tenth of
+// the backlog, and callers disconnect after callerTimeout.
+type simProcessor struct {
+	serveCost, refuseCost time.Duration
+	backlog               time.Duration
 }
 
-// offer sends requests at a rate for so long, refuses the part that the Shedder says,
-// and returns the part of all that was served within the objective.
-func (v *vm) offer(s *overload.Shedder, rng *rand.Rand, now *time.Time, perSecond float64, long, objective time.Duration) (inTime float64) {
+// sendLoad sends requests at a rate for the given duration, refuses the fraction that the
+// Shedder returns, and returns the fraction of all requests that was served within the
+// objective.
+func (v *simProcessor) sendLoad(s *overload.Shedder, rng *rand.Rand, now *time.Time, rate float64, duration, objective time.Duration) (servedInTime float64) {
 	const step = time.Millisecond
-	share, asked, good := 0.0, 0, 0
-	for at := time.Duration(0); at < long; at += step {
+	shedFraction, sent, inTime := 0.0, 0, 0
+	for at := time.Duration(0); at < duration; at += step {
 		*now = now.Add(step)
 		if at%tick == 0 {
-			share = s.Note(*now, v.backlog/10)
+			shedFraction = s.Observe(*now, v.backlog/10)
 		}
-		for due := perSecond * step.Seconds(); due > 0; due-- {
+		for due := rate * step.Seconds(); due > 0; due-- {
 			if due < 1 && rng.Float64() > due {
 				break
 			}
-			asked++
-			if rng.Float64() < share {
-				v.backlog += v.refuse
+			sent++
+			if rng.Float64() < shedFraction {
+				v.backlog += v.refuseCost
 				continue
 			}
-			v.backlog += v.serve
+			v.backlog += v.serveCost
 			if v.backlog <= objective {
-				good++
+				inTime++
 			}
 		}
-		v.backlog = min(max(0, v.backlog-step), patience)
+		v.backlog = min(max(0, v.backlog-step), callerTimeout)
 	}
-	return float64(good) / float64(max(1, asked))
+	return float64(inTime) / float64(max(1, sent))
 }
 
-// One caller sends six times what a small VM can serve. Without refusals every request,
-// also those of other callers, is read seconds late; with them the VM serves what it can
-// in time, and all again when the caller has gone.
-func TestASmallVMServesWhatItCan(t *testing.T) {
+// One caller sends six times what a small VM can serve. Without shedding every request,
+// including those of other callers, is read seconds late. With it the VM serves what it
+// can in time, and everything again once the caller has stopped.
+func TestSmallVMServesUpToCapacity(t *testing.T) {
 	for seed := range uint64(5) {
 		is := is.New(t)
 		rng := rand.New(rand.NewPCG(seed, 1))
-		v := &vm{serve: 8 * time.Millisecond, refuse: 1300 * time.Microsecond}
+		v := &simProcessor{serveCost: 8 * time.Millisecond, refuseCost: 1300 * time.Microsecond}
 		var s overload.Shedder
 		now := time.Unix(1000, 0)
-		is.True(v.offer(&s, rng, &now, 60, 5*time.Second, 100*time.Millisecond) > 0.95) // it keeps up
-		v.offer(&s, rng, &now, 500, 2*time.Second, 300*time.Millisecond)                // it has to find its part
-		part := v.offer(&s, rng, &now, 500, 8*time.Second, 300*time.Millisecond)
-		t.Logf("seed %d: %.3f of all served in time, at most %.3f could be", seed, part, (1-500*0.0013)/(500*0.0067))
-		is.True(part > 0.03)
-		v.offer(&s, rng, &now, 60, 4*time.Second, 100*time.Millisecond)
-		is.True(v.offer(&s, rng, &now, 60, 5*time.Second, 100*time.Millisecond) > 0.95)
+		is.True(v.sendLoad(&s, rng, &now, 60, 5*time.Second, 100*time.Millisecond) > 0.95) // within capacity
+		v.sendLoad(&s, rng, &now, 500, 2*time.Second, 300*time.Millisecond)                // time to adapt the shed fraction
+		servedInTime := v.sendLoad(&s, rng, &now, 500, 8*time.Second, 300*time.Millisecond)
+		t.Logf("seed %d: fraction served in time %.3f, upper bound %.3f", seed, servedInTime, (1-500*0.0013)/(500*0.0067))
+		is.True(servedInTime > 0.03)
+		v.sendLoad(&s, rng, &now, 60, 4*time.Second, 100*time.Millisecond)
+		is.True(v.sendLoad(&s, rng, &now, 60, 5*time.Second, 100*time.Millisecond) > 0.95)
 	}
 }
 
-// A VM that stood still for seconds, and a processor with a quota, which stands still
-// for most of each tenth of a second, do their work all the same.
-func TestStandingStillShedsNothing(t *testing.T) {
+// A VM that was paused for seconds, and a processor with a CPU quota, which is throttled
+// for most of each tenth of a second, keep up with their load and shed nothing.
+func TestPausesAndQuotasShedNothing(t *testing.T) {
 	is := is.New(t)
 	var s overload.Shedder
 	now := time.Unix(1000, 0)
 	now = now.Add(5 * time.Second)
-	is.Equal(s.Note(now, 5*time.Second), 0.0)
+	is.Equal(s.Observe(now, 5*time.Second), 0.0)
 	for range 100 {
 		for range 6 {
 			now = now.Add(tick)
-			is.Equal(s.Note(now, 0), 0.0)
+			is.Equal(s.Observe(now, 0), 0.0)
 		}
 		now = now.Add(80 * time.Millisecond)
-		is.Equal(s.Note(now, 60*time.Millisecond), 0.0)
+		is.Equal(s.Observe(now, 60*time.Millisecond), 0.0)
 	}
 }
 
-// A processor with a quota stands still for most of each tenth of a second, also while a turn
-// is waited for. A turn that has not come after much longer tells of a flood.
-func TestAWaitThatIsNotOverTellsOfAFlood(t *testing.T) {
+// A processor with a CPU quota is throttled for most of each tenth of a second, also
+// while a measurement is pending. A measurement that is pending for much longer indicates
+// overload.
+func TestPendingLatencyIndicatesOverload(t *testing.T) {
 	is := is.New(t)
-	is.Equal(overload.Waiting(0), 0.0)
-	is.Equal(overload.Waiting(200*time.Millisecond), 0.0) // two of them in a row
-	is.True(overload.Waiting(300*time.Millisecond) > 0.9)
-	is.True(overload.Waiting(time.Minute) < 1) // some tell whether the load is over
+	is.Equal(overload.PendingShedFraction(0), 0.0)
+	is.Equal(overload.PendingShedFraction(200*time.Millisecond), 0.0) // two throttled periods in a row
+	is.True(overload.PendingShedFraction(300*time.Millisecond) > 0.9)
+	is.True(overload.PendingShedFraction(time.Minute) < 1) // some requests must show whether the load is over
 }
 
-// Where half is to be refused, nobody who has been served on a connection is; callers on
-// new connections reach another daemon by their next try.
-func TestNewConnectionsAreRefusedFirst(t *testing.T) {
+// When half of the requests are to be refused, none on a connection that has been served
+// is; callers on new connections reach another daemon with their next attempt.
+func TestNewConnectionsAreShedFirst(t *testing.T) {
 	is := is.New(t)
-	is.Equal(overload.Part(0.5, true), 1.0)
-	is.Equal(overload.Part(0.5, false), 0.0)
-	is.True(overload.Part(0.2, true) > overload.Part(0.2, false))
-	is.True(overload.Part(0.95, false) < 1) // some tell whether the load is over
+	is.Equal(overload.ShedFractionFor(0.5, true), 1.0)
+	is.Equal(overload.ShedFractionFor(0.5, false), 0.0)
+	is.True(overload.ShedFractionFor(0.2, true) > overload.ShedFractionFor(0.2, false))
+	is.True(overload.ShedFractionFor(0.95, false) < 1) // some requests must show whether the load is over
 }
 
-// The longer a turn takes, the fewer new connections are taken; none is left that keeps up.
-func TestFewerConnectionsAreTakenTheLongerATurnTakes(t *testing.T) {
+// The higher the latency, the fewer new connections are accepted; a daemon that keeps up
+// accepts all.
+func TestAcceptRateFallsWithLatency(t *testing.T) {
 	is := is.New(t)
 	is.Equal(overload.AcceptRate(9*time.Millisecond), 0.0)
 	last := overload.AcceptRate(10 * time.Millisecond)
 	is.True(last > 900 && last < 1100)
-	for wait := 11 * time.Millisecond; wait < 200*time.Millisecond; wait += time.Millisecond {
-		rate := overload.AcceptRate(wait)
+	for latency := 11 * time.Millisecond; latency < 200*time.Millisecond; latency += time.Millisecond {
+		rate := overload.AcceptRate(latency)
 		is.True(rate <= last && rate >= 150)
 		last = rate
 	}
--- a/internal/overload/smallzone_handover_test.go
+++ b/internal/overload/smallzone_handover_test.go
@@ -8,73 +8,73 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// handing passes connections on as daemons do: each VM has a Picker of its own, and a VM that
-// refuses a part of its requests takes none over.
-type handing struct {
-	zone    *smallZone
+// forwardingPlacer forwards connections as daemons do: each VM has its own Picker, and a
+// VM accepts forwarded connections only while handover.Load allows it.
+type forwardingPlacer struct {
+	zone    *simZone
 	pickers []*handover.Picker
-	// open is how many connections each Picker takes to be open at each VM.
-	open [][]int
+	// openConns holds, by VM, how many connections its Picker counts as open at each VM.
+	openConns [][]int
 }
 
-// pass lets the VMs of a zone pass connections on.
-func (z *smallZone) pass() {
-	h := &handing{zone: z}
+// enableForwarding makes the VMs of a zone forward connections.
+func (z *simZone) enableForwarding() {
+	h := &forwardingPlacer{zone: z}
 	for i := range z.vms {
 		var neighbours []handover.Neighbour
 		for j := range z.vms {
 			if j != i {
-				neighbours = append(neighbours, handover.Neighbour{ID: vmName(j), Address: fmt.Sprint(j)})
+				neighbours = append(neighbours, handover.Neighbour{ID: daemonID(j), Address: fmt.Sprint(j)})
 			}
 		}
-		p := handover.NewPicker(passedMost)
+		p := handover.NewPicker(maxForwarded)
 		p.SetNeighbours(neighbours)
-		h.pickers, h.open = append(h.pickers, p), append(h.open, make([]int, len(z.vms)))
+		h.pickers, h.openConns = append(h.pickers, p), append(h.openConns, make([]int, len(z.vms)))
 	}
 	z.placer = h
 }
 
-// passedMost is how many connections a small VM passes on at a time.
-const passedMost = 46
+// maxForwarded is how many connections a small VM forwards at a time.
+const maxForwarded = 46
 
-func vmName(i int) ident.Daemon { return ident.Daemon(fmt.Sprint(i)) }
+func daemonID(i int) ident.Daemon { return ident.Daemon(fmt.Sprint(i)) }
 
 // place implements placer.
-func (h *handing) place(at int, shed float64, held []int, rng *rand.Rand) int {
-	p, open := h.pickers[at], h.open[at]
-	for j, n := range held {
-		for ; j != at && open[j] > n; open[j]-- {
-			p.Ended(vmName(j))
+func (h *forwardingPlacer) place(vm int, shedFraction float64, forwarded []int, rng *rand.Rand) int {
+	p, openConns := h.pickers[vm], h.openConns[vm]
+	for j, n := range forwarded {
+		for ; j != vm && openConns[j] > n; openConns[j]-- {
+			p.Closed(daemonID(j))
 		}
 	}
-	part := handover.Load{Refuse: shed, Unread: h.unread(at)}.Part()
-	if part == 0 {
-		return at
+	fraction := handover.Load{ShedFraction: shedFraction, UnreadConns: h.unreadConns(vm)}.ForwardFraction()
+	if fraction == 0 {
+		return vm
 	}
-	to, choice := p.Offer(h.zone.now(), rng, part)
-	for tries, ok := 1, choice == handover.Neighbours; ok; tries++ {
+	to, choice := p.Route(h.zone.now(), rng, fraction)
+	for tries, ok := 1, choice == handover.Forward; ok; tries++ {
 		j := 0
 		if _, err := fmt.Sscan(to.Address, &j); err != nil {
 			panic(err)
 		}
-		if (handover.Load{Refuse: h.zone.vms[j].shed, Unread: h.unread(j)}).Takes() {
-			p.Taken()
-			open[j]++
+		if (handover.Load{ShedFraction: h.zone.vms[j].shedFraction, UnreadConns: h.unreadConns(j)}).AcceptsForwarded() {
+			p.OfferAnswered()
+			openConns[j]++
 			return j
 		}
 		p.Refused(h.zone.now(), to.ID)
 		if tries == 2 {
 			break
 		}
-		to, ok = p.Choose(h.zone.now(), rng)
+		to, ok = p.Pick(h.zone.now(), rng)
 	}
-	return at
+	return vm
 }
 
-// unread counts the calls that wait for their first turn at a VM.
-func (h *handing) unread(at int) (n int) {
-	for _, j := range h.zone.vms[at].ready {
-		if j.begin != nil {
+// unreadConns returns the number of jobs at a VM that have not run yet.
+func (h *forwardingPlacer) unreadConns(vm int) (n int) {
+	for _, j := range h.zone.vms[vm].runQueue {
+		if j.start != nil {
 			n++
 		}
 	}
--- a/internal/overload/smallzone_share_test.go
+++ b/internal/overload/smallzone_share_test.go
@@ -10,51 +10,55 @@
 )
 
 const (
-	// shareOfEach is how many requests a second targets take of each hot workspace, shareBurst
-	// how many at once. hotAsks is what the callers of the one ask for, through one VM at a
-	// time, spreadAsks what those of the other do, through all, and usualAsks what all others do.
-	shareOfEach = 150
-	shareBurst  = shareOfEach / 5
-	hotAsks     = 800
-	spreadAsks  = 400
-	usualAsks   = 60
+	// targetRate is how many requests a second the targets accept from each of the two
+	// busy workspaces, and targetBurst how many at once. hotRate is the request rate of
+	// the busy workspace whose callers reach one VM at a time, spreadRate that of the one
+	// whose callers reach all VMs, and normalRate that of all other callers together.
+	targetRate  = 150
+	targetBurst = targetRate / 5
+	hotRate     = 800
+	spreadRate  = 400
+	normalRate  = 60
 
-	fairSeconds, fairWindow = 40, 6
+	simSeconds, windowSeconds = 40, 6
 )
 
-// leastMargin returns the least ratio, of all six seconds in each of which w lacked, of what it
-// got to half of what it asked or the other got, whichever is less second by second.
-func leastMargin(w, other *workspace) (least float64, at int) {
-	least = math.Inf(1)
-	for from := 0; from+fairWindow <= fairSeconds; from++ {
-		got, owed, lacked := 0.0, 0.0, true
-		for s := from; s < from+fairWindow; s++ {
-			got += w.got[s]
-			owed += min(w.asked[s], other.got[s]) / 2
-			lacked = lacked && w.lacked[s] > 0
+// minShareRatio returns the lowest ratio between the requests of w that were served and
+// its entitlement, over all windows of windowSeconds in each second of which requests of
+// w failed, and the second at which that window begins. The entitlement is, second by
+// second, half of what w offered or half of what was served to other, whichever is less.
+func minShareRatio(w, other *simWorkspace) (ratio float64, second int) {
+	ratio = math.Inf(1)
+	for from := 0; from+windowSeconds <= simSeconds; from++ {
+		served, entitled, failing := 0.0, 0.0, true
+		for s := from; s < from+windowSeconds; s++ {
+			served += w.served[s]
+			entitled += min(w.offered[s], other.served[s]) / 2
+			failing = failing && w.failed[s] > 0
 		}
-		if lacked && got/owed < least {
-			least, at = got/owed, from
+		if failing && served/entitled < ratio {
+			ratio, second = served/entitled, from
 		}
 	}
-	return least, at
+	return ratio, second
 }
 
-// Guards against a workspace that starves beside idle VMs because its callers reach one small VM at a time.
-func TestAWorkspaceWhoseCallersReachOneSmallVMGetsItsShare(t *testing.T) {
+// Guards against a workspace that starves beside idle VMs because its callers reach one
+// small VM at a time.
+func TestWorkspaceBehindOneSmallVMGetsItsShare(t *testing.T) {
 	for seed := range uint64(5) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			z := newSmallZone(seed, 15, 2, keeper{})
-			z.pass()
-			hot := &workspace{perSecond: hotAsks, may: rate.NewLimiter(shareOfEach, shareBurst), orders: [][]int{z.order(), z.order()}}
-			spread := &workspace{perSecond: spreadAsks, may: rate.NewLimiter(shareOfEach, shareBurst)}
-			usual := &workspace{perSecond: usualAsks, may: rate.NewLimiter(rate.Inf, 0)}
-			z.workspaces = []*workspace{hot, spread, usual}
-			z.play(fairSeconds)
-			margin, at := leastMargin(hot, spread)
-			t.Logf("from %d s on %.2f of what the rule asks for: %.0f requests a second, the other %.0f",
-				at, margin, hot.got[at:at+fairWindow], spread.got[at:at+fairWindow])
-			is.New(t).True(margin >= 1)
+			z := newSimZone(seed, 15, 2, localPlacer{})
+			z.enableForwarding()
+			hot := &simWorkspace{rate: hotRate, limiter: rate.NewLimiter(targetRate, targetBurst), vmOrders: [][]int{z.vmOrder(), z.vmOrder()}}
+			spread := &simWorkspace{rate: spreadRate, limiter: rate.NewLimiter(targetRate, targetBurst)}
+			normal := &simWorkspace{rate: normalRate, limiter: rate.NewLimiter(rate.Inf, 0)}
+			z.workspaces = []*simWorkspace{hot, spread, normal}
+			z.run(simSeconds)
+			ratio, second := minShareRatio(hot, spread)
+			t.Logf("from second %d: served %.2f of the entitlement; requests per second %.0f, other workspace %.0f",
+				second, ratio, hot.served[second:second+windowSeconds], spread.served[second:second+windowSeconds])
+			is.New(t).True(ratio >= 1)
 		})
 	}
 }
--- a/internal/overload/smallzone_test.go
+++ b/internal/overload/smallzone_test.go
@@ -13,215 +13,222 @@
 
 // placer decides which VM of a zone serves a new connection.
 type placer interface {
-	// place returns the VM that serves a connection which VM at has taken in while it
-	// refuses the part shed of new requests; at itself: it serves or refuses it. Held is how
-	// many connections at has passed on to each VM and that are still open.
-	place(at int, shed float64, held []int, rng *rand.Rand) int
+	// place returns the VM that serves a connection accepted by vm, which refuses
+	// shedFraction of new requests. If it returns vm itself, vm serves or refuses the
+	// connection. forwarded holds the number of open connections that vm has forwarded to
+	// each VM.
+	place(vm int, shedFraction float64, forwarded []int, rng *rand.Rand) int
 }
 
-// keeper leaves each connection where the balancer has led it.
-type keeper struct{}
+// localPlacer leaves each connection at the VM that the balancer has chosen.
+type localPlacer struct{}
 
-func (keeper) place(at int, _ float64, _ []int, _ *rand.Rand) int { return at }
+func (localPlacer) place(vm int, _ float64, _ []int, _ *rand.Rand) int { return vm }
 
-// Processor time is that of a small VM.
+// Processor times are those of a small VM.
 const (
-	serveWork  = 8 * time.Millisecond
-	refuseWork = 1300 * time.Microsecond
-	// passWork is for a request on a connection that is passed on.
-	passWork = 600 * time.Microsecond
-	// turnWork is how long a goroutine works in one turn: a request takes ten.
-	turnWork = serveWork / 10
-
-	// smallPart and largePart are what VMs have of a core in each quotaPeriod.
-	smallPart   = 0.192
-	largePart   = 0.8
-	quotaPeriod = 100 * time.Millisecond
-
-	// keptPart is the part of served callers who keep their connection for another request. One
-	// that is passed on ends with its first answer.
-	keptPart = 0.5
+	serveTime  = 8 * time.Millisecond
+	refuseTime = 1300 * time.Microsecond
+	// forwardTime is the cost of forwarding a request.
+	forwardTime = 600 * time.Microsecond
+	// timeSlice is how long a goroutine runs at a time: a request takes ten time slices.
+	timeSlice = serveTime / 10
+
+	// smallVMCores and largeVMCores are the fractions of a core that VMs may use in each
+	// quotaPeriod.
+	smallVMCores = 0.192
+	largeVMCores = 0.8
+	quotaPeriod  = 100 * time.Millisecond
+
+	// keepAliveFraction is the fraction of served callers that reuse their connection for
+	// another request. A forwarded connection ends with its first response.
+	keepAliveFraction = 0.5
 
 	simStep = time.Millisecond
 )
 
-// conn is a connection of a caller: VM via has taken it in, at serves it.
-type conn struct {
-	via, at *smallVM
-	// served is how many requests on it have been.
-	served int
+// simConn is a connection of a caller.
+type simConn struct {
+	acceptedBy, servedBy *simVM
+	// requests is the number of requests served on the connection.
+	requests int
 }
 
-// call is a request of a caller.
-type call struct {
-	from *workspace
-	on   *conn
-	try  int
-	// gone is when its caller leaves.
-	gone time.Duration
+// simCall is a request of a caller.
+type simCall struct {
+	workspace *simWorkspace
+	conn      *simConn
+	try       int
+	// deadline is when its caller disconnects.
+	deadline time.Duration
 }
 
-// job is work that a VM has taken on. It is worked on a turn at a time.
-type job struct {
-	// begin decides at the first turn how much it is, and what follows its end.
-	begin func() (work time.Duration, ended func())
-	left  time.Duration
-	ended func()
+// simJob is work that a VM has accepted. It is processed one time slice at a time.
+type simJob struct {
+	// start is called with the first time slice and returns the amount of work and what
+	// to do at its end.
+	start     func() (work time.Duration, done func())
+	remaining time.Duration
+	done      func()
 }
 
-// smallVM is a VM whose processor gives those who are ready their turns in order, until its
+// simVM is a VM whose processor runs the jobs of its run queue round robin until the
 // quota of a period is used up.
-type smallVM struct {
-	index, phase int
-	quota, left  time.Duration
-	// able is what of the step the processor has not worked yet.
-	able  time.Duration
-	ready []*job
-
-	shedder  overload.Shedder
-	detector overload.Detector
-	shed     float64
-	// probeDue tells that the wait for a turn is to be measured.
-	probeDue bool
-	arrived  int
-	over     bool
-	misses   int
-
-	// waiting are connections that the kernel holds, of which limiter lets some a second in.
-	waiting []*call
-	limiter *rate.Limiter
-	// held is how many connections that are open this one has passed on to each VM.
-	held []int
+type simVM struct {
+	index, phase     int
+	quota, quotaLeft time.Duration
+	// stepLeft is the processor time left of the current step.
+	stepLeft time.Duration
+	runQueue []*simJob
+
+	shedder      overload.Shedder
+	detector     overload.Detector
+	shedFraction float64
+	// probeDue reports that a measurement of the scheduling latency is due.
+	probeDue     bool
+	newConns     int
+	overloaded   bool
+	failedProbes int
+
+	// acceptQueue holds connections that wait in the kernel; limiter bounds how many are
+	// accepted per second.
+	acceptQueue []*simCall
+	limiter     *rate.Limiter
+	// forwarded is how many open connections this VM has forwarded to each VM.
+	forwarded []int
 }
 
-// take makes a job ready.
-func (v *smallVM) take(begin func() (time.Duration, func())) {
-	v.ready = append(v.ready, &job{begin: begin, left: inCore(turnWork)})
+// enqueue adds a job to the run queue.
+func (v *simVM) enqueue(start func() (time.Duration, func())) {
+	v.runQueue = append(v.runQueue, &simJob{start: start, remaining: toCoreTime(timeSlice)})
 }
 
-// inCore turns the time of a small VM into that of a core.
-func inCore(work time.Duration) time.Duration { return time.Duration(float64(work) * smallPart) }
-
-// run works for one step. A turn is never cut: what it takes beyond the step or the quota is
-// owed.
-func (v *smallVM) run() {
-	v.able = min(v.able, 0) + simStep
-	for len(v.ready) > 0 && v.able > 0 && v.left > 0 {
-		j := v.ready[0]
-		v.ready = v.ready[1:]
-		if j.begin != nil {
-			work, ended := j.begin()
-			j.left, j.ended, j.begin = inCore(work), ended, nil
+// toCoreTime converts processor time of a small VM to time of a whole core.
+func toCoreTime(work time.Duration) time.Duration { return time.Duration(float64(work) * smallVMCores) }
+
+// run processes jobs for one step. A time slice is never interrupted: time beyond the
+// step or the quota is charged to the next one.
+func (v *simVM) run() {
+	v.stepLeft = min(v.stepLeft, 0) + simStep
+	for len(v.runQueue) > 0 && v.stepLeft > 0 && v.quotaLeft > 0 {
+		j := v.runQueue[0]
+		v.runQueue = v.runQueue[1:]
+		if j.start != nil {
+			work, done := j.start()
+			j.remaining, j.done, j.start = toCoreTime(work), done, nil
 		}
-		part := min(inCore(turnWork), j.left)
-		j.left -= part
-		v.able -= part
-		v.left -= part
-		if j.left > 0 {
-			v.ready = append(v.ready, j)
+		slice := min(toCoreTime(timeSlice), j.remaining)
+		j.remaining -= slice
+		v.stepLeft -= slice
+		v.quotaLeft -= slice
+		if j.remaining > 0 {
+			v.runQueue = append(v.runQueue, j)
 			continue
 		}
-		j.ended()
+		j.done()
 	}
 }
 
-// turn is how long one that is ready now waits for its turn: while those before it have
-// theirs, and as long as the VM stands still meanwhile.
-func (v *smallVM) turn(rest time.Duration) time.Duration {
+// schedLatency is how long a job that becomes runnable now waits: for the time slices of
+// the jobs before it and for the periods in which the VM is throttled meanwhile.
+func (v *simVM) schedLatency(periodLeft time.Duration) time.Duration {
 	work := time.Duration(0)
-	for _, j := range v.ready {
-		work += min(j.left, inCore(turnWork))
+	for _, j := range v.runQueue {
+		work += min(j.remaining, toCoreTime(timeSlice))
 	}
-	if work < v.left {
+	if work < v.quotaLeft {
 		return work
 	}
-	work -= v.left
-	return v.left + rest + work/v.quota*quotaPeriod + work%v.quota
+	work -= v.quotaLeft
+	return v.quotaLeft + periodLeft + work/v.quota*quotaPeriod + work%v.quota
 }
 
-// observe measures the wait for a turn and decides by it, as a daemon does.
-func (v *smallVM) observe(now time.Time, rest time.Duration) {
-	wait := v.turn(rest)
-	v.shed = v.shedder.Note(now, wait)
-	v.limiter.SetLimitAt(now, acceptLimit(v.detector.Mean()))
-	v.over = v.detector.Note(now, overload.Observation{Wait: wait, Shed: v.shed, Holds: true, Arrived: v.arrived})
-	v.arrived, v.probeDue = 0, false
+// observe measures the scheduling latency and updates the overload state, as a daemon
+// does.
+func (v *simVM) observe(now time.Time, periodLeft time.Duration) {
+	latency := v.schedLatency(periodLeft)
+	v.shedFraction = v.shedder.Observe(now, latency)
+	v.limiter.SetLimitAt(now, acceptRateLimit(v.detector.MeanLatency()))
+	v.overloaded = v.detector.Observe(now, overload.Observation{SchedLatency: latency, ShedFraction: v.shedFraction, MayHold: true, NewConns: v.newConns})
+	v.newConns, v.probeDue = 0, false
 }
 
-func acceptLimit(wait time.Duration) rate.Limit {
-	if most := overload.AcceptRate(wait); most > 0 {
-		return rate.Limit(most)
+func acceptRateLimit(meanLatency time.Duration) rate.Limit {
+	if perSecond := overload.AcceptRate(meanLatency); perSecond > 0 {
+		return rate.Limit(perSecond)
 	}
 	return rate.Inf
 }
 
-// workspace has callers who ask for so much. Each try goes to the first VM of its order that
-// the balancer uses, or to any VM where there is no order.
-type workspace struct {
-	perSecond float64
-	// may is how many requests a second targets take of it.
-	may    *rate.Limiter
-	orders [][]int
-	// idle are the connections that its callers have kept.
-	idle []*conn
-	// asked, got and lacked count by second: first tries, requests that targets have taken, and
-	// tries that were refused or whose callers left.
-	asked, got, lacked []float64
+// simWorkspace is a workspace whose callers send requests at a rate. Each attempt goes to
+// the first VM of its order that the balancer uses, or to any VM if there is no order for
+// it.
+type simWorkspace struct {
+	rate float64
+	// limiter bounds the requests per second that targets accept from the workspace.
+	limiter  *rate.Limiter
+	vmOrders [][]int
+	// idleConns holds the connections that its callers have kept open.
+	idleConns []*simConn
+	// offered, served and failed count by second: first attempts, requests that targets
+	// have accepted, and attempts that were refused or whose callers disconnected.
+	offered, served, failed []float64
 }
 
-// smallZone is an availability zone of small VMs and a few larger ones behind a balancer,
-// and the workspaces that call there.
-type smallZone struct {
+// simZone is an availability zone of small VMs and a few larger ones behind a balancer,
+// with the workspaces that use it.
+type simZone struct {
 	rng        *rand.Rand
 	placer     placer
-	vms        []*smallVM
-	workspaces []*workspace
-	at         time.Duration
-	later      map[time.Duration][]func()
+	vms        []*simVM
+	workspaces []*simWorkspace
+	elapsed    time.Duration
+	scheduled  map[time.Duration][]func()
 }
 
 var simStart = time.Unix(1000, 0)
 
-func (z *smallZone) now() time.Time { return simStart.Add(z.at) }
+func (z *simZone) now() time.Time { return simStart.Add(z.elapsed) }
 
-// newSmallZone returns a zone of so many VMs of each size, in an order of the seed.
-func newSmallZone(seed uint64, small, large int, p placer) *smallZone {
-	z := &smallZone{rng: rand.New(rand.NewPCG(seed, 1)), placer: p, later: map[time.Duration][]func(){}}
+// newSimZone returns a zone with the given numbers of small and large VMs, in an order
+// derived from the seed.
+func newSimZone(seed uint64, small, large int, p placer) *simZone {
+	z := &simZone{rng: rand.New(rand.NewPCG(seed, 1)), placer: p, scheduled: map[time.Duration][]func(){}}
 	for i, place := range z.rng.Perm(small + large) {
-		part := smallPart
+		cores := smallVMCores
 		if place >= small {
-			part = largePart
+			cores = largeVMCores
 		}
-		z.vms = append(z.vms, &smallVM{
-			index: i, phase: z.rng.IntN(1000), quota: time.Duration(part * float64(quotaPeriod)),
-			limiter: rate.NewLimiter(rate.Inf, acceptBurst), held: make([]int, small+large),
+		z.vms = append(z.vms, &simVM{
+			index: i, phase: z.rng.IntN(1000), quota: time.Duration(cores * float64(quotaPeriod)),
+			limiter: rate.NewLimiter(rate.Inf, acceptBurst), forwarded: make([]int, small+large),
 		})
 	}
 	return z
 }
 
-// acceptBurst is how many connections a VM lets in at once where they are limited.
+// acceptBurst is how many connections a VM accepts at once while they are limited.
 const acceptBurst = 15
 
-// order returns one in which callers try VMs: the small ones first.
-func (z *smallZone) order() []int {
+// vmOrder returns a random order in which callers try VMs, small ones first.
+func (z *simZone) vmOrder() []int {
 	order := z.rng.Perm(len(z.vms))
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(z.vms[a].quota, z.vms[b].quota) })
 	return order
 }
 
-// play plays the zone for so many seconds.
-func (z *smallZone) play(seconds int) {
+// run simulates the zone for a number of seconds.
+func (z *simZone) run(seconds int) {
 	for _, w := range z.workspaces {
-		w.asked, w.got, w.lacked = make([]float64, seconds), make([]float64, seconds), make([]float64, seconds)
+		w.offered, w.served, w.failed = make([]float64, seconds), make([]float64, seconds), make([]float64, seconds)
 	}
-	for end := time.Duration(seconds) * time.Second; z.at < end; z.at += simStep {
-		for _, do := range z.later[z.at] {
+	for end := time.Duration(seconds) * time.Second; z.elapsed < end; z.elapsed += simStep {
+		for _, do := range z.scheduled[z.elapsed] {
 			do()
 		}
-		delete(z.later, z.at)
+		delete(z.scheduled, z.elapsed)
 		for _, w := range z.workspaces {
-			z.ask(w)
+			z.generateCalls(w)
 		}
 		for _, v := range z.vms {
 			z.step(v)
@@ -229,165 +236,168 @@
 	}
 }
 
-// after does something so much later.
-func (z *smallZone) after(wait time.Duration, do func()) {
-	at := z.at + max(wait.Round(simStep), simStep)
-	z.later[at] = append(z.later[at], do)
+// schedule calls do after a delay.
+func (z *simZone) schedule(delay time.Duration, do func()) {
+	at := z.elapsed + max(delay.Round(simStep), simStep)
+	z.scheduled[at] = append(z.scheduled[at], do)
 }
 
-func (z *smallZone) second() int { return int(z.at / time.Second) }
+func (z *simZone) second() int { return int(z.elapsed / time.Second) }
 
-// ask opens the connections of a workspace's callers of this step.
-func (z *smallZone) ask(w *workspace) {
-	for due := w.perSecond * simStep.Seconds(); due > 0; due-- {
+// generateCalls generates the calls of a workspace in this step.
+func (z *simZone) generateCalls(w *simWorkspace) {
+	for due := w.rate * simStep.Seconds(); due > 0; due-- {
 		if due < 1 && z.rng.Float64() > due {
 			return
 		}
-		w.asked[z.second()]++
-		c := &call{from: w, gone: z.at + patience}
-		if c.on = z.reuse(w); c.on == nil {
+		w.offered[z.second()]++
+		c := &simCall{workspace: w, deadline: z.elapsed + callerTimeout}
+		if c.conn = z.takeIdleConn(w); c.conn == nil {
 			z.connect(c)
 			continue
 		}
-		c.on.via.take(func() (time.Duration, func()) { return z.receive(c) })
+		c.conn.acceptedBy.enqueue(func() (time.Duration, func()) { return z.handleCall(c) })
 	}
 }
 
-// reuse returns one of the connections that callers have kept; nil: there is none.
-func (z *smallZone) reuse(w *workspace) *conn {
-	last := len(w.idle) - 1
+// takeIdleConn returns a random idle connection of a workspace, or nil if there is none.
+func (z *simZone) takeIdleConn(w *simWorkspace) *simConn {
+	last := len(w.idleConns) - 1
 	if last < 0 {
 		return nil
 	}
 	i := z.rng.IntN(last + 1)
-	found := w.idle[i]
-	w.idle[i], w.idle = w.idle[last], w.idle[:last]
+	found := w.idleConns[i]
+	w.idleConns[i], w.idleConns = w.idleConns[last], w.idleConns[:last]
 	return found
 }
 
-// connect leads a call to a VM on a new connection.
-func (z *smallZone) connect(c *call) {
+// connect sends a call to a VM on a new connection.
+func (z *simZone) connect(c *simCall) {
 	v := z.vms[z.rng.IntN(len(z.vms))]
-	if c.try < len(c.from.orders) {
-		used := z.used()
-		for _, i := range c.from.orders[c.try] {
-			if used[i] {
+	if c.try < len(c.workspace.vmOrders) {
+		inUse := z.inUse()
+		for _, i := range c.workspace.vmOrders[c.try] {
+			if inUse[i] {
 				v = z.vms[i]
 				break
 			}
 		}
 	}
-	v.waiting = append(v.waiting, c)
+	v.acceptQueue = append(v.acceptQueue, c)
 }
 
-// used tells which VMs the balancer uses: those in rotation, or all where they are less than half.
-func (z *smallZone) used() []bool {
-	used, in := make([]bool, len(z.vms)), 0
+// inUse reports which VMs the balancer uses: the ready ones, or all if fewer than half
+// are ready.
+func (z *simZone) inUse() []bool {
+	inUse, ready := make([]bool, len(z.vms)), 0
 	for i, v := range z.vms {
-		used[i] = v.misses < 2
-		if used[i] {
-			in++
+		inUse[i] = v.failedProbes < 2
+		if inUse[i] {
+			ready++
 		}
 	}
-	for i := range used {
-		used[i] = used[i] || 2*in < len(used)
+	for i := range inUse {
+		inUse[i] = inUse[i] || 2*ready < len(inUse)
 	}
-	return used
+	return inUse
 }
 
-// step plays one step of a VM.
-func (z *smallZone) step(v *smallVM) {
-	ms := int(z.at/simStep) + v.phase
+// step simulates one step of a VM.
+func (z *simZone) step(v *simVM) {
+	ms := int(z.elapsed/simStep) + v.phase
 	period := int(quotaPeriod / simStep)
 	if ms%period == 0 {
-		v.left = min(v.left, 0) + v.quota
+		v.quotaLeft = min(v.quotaLeft, 0) + v.quota
 	}
 	v.probeDue = v.probeDue || ms%int(tick/simStep) == 0
-	if v.probeDue && v.left > 0 {
+	if v.probeDue && v.quotaLeft > 0 {
 		v.observe(z.now(), time.Duration(period-ms%period)*simStep)
 	}
 	if ms%int(time.Second/simStep) == 0 {
-		v.misses++
-		if !v.over {
-			v.misses = 0
+		v.failedProbes++
+		if !v.overloaded {
+			v.failedProbes = 0
 		}
 	}
 	z.accept(v)
 	v.run()
 }
 
-// accept takes in the connections that wait, as many as the VM may. One whose caller has
-// left costs nothing.
-func (z *smallZone) accept(v *smallVM) {
-	for len(v.waiting) > 0 && v.left > 0 {
-		c := v.waiting[0]
-		if c.gone <= z.at {
-			v.waiting = v.waiting[1:]
-			c.from.lacked[z.second()]++
+// accept accepts queued connections up to the rate limit. A connection whose caller has
+// disconnected costs nothing.
+func (z *simZone) accept(v *simVM) {
+	for len(v.acceptQueue) > 0 && v.quotaLeft > 0 {
+		c := v.acceptQueue[0]
+		if c.deadline <= z.elapsed {
+			v.acceptQueue = v.acceptQueue[1:]
+			c.workspace.failed[z.second()]++
 			continue
 		}
 		if !v.limiter.AllowN(z.now(), 1) {
 			return
 		}
-		v.waiting = v.waiting[1:]
-		v.arrived++
-		v.take(func() (time.Duration, func()) { return z.open(v, c) })
+		v.acceptQueue = v.acceptQueue[1:]
+		v.newConns++
+		v.enqueue(func() (time.Duration, func()) { return z.open(v, c) })
 	}
 }
 
-// open decides which VM serves a connection that v has taken in, and takes its first call.
-func (z *smallZone) open(v *smallVM, c *call) (work time.Duration, ended func()) {
-	to := z.placer.place(v.index, v.shed, v.held, z.rng)
-	c.on = &conn{via: v, at: z.vms[to]}
-	v.held[to]++
-	return z.receive(c)
+// open decides which VM serves a connection that v has accepted, and handles its first
+// call.
+func (z *simZone) open(v *simVM, c *simCall) (work time.Duration, done func()) {
+	to := z.placer.place(v.index, v.shedFraction, v.forwarded, z.rng)
+	c.conn = &simConn{acceptedBy: v, servedBy: z.vms[to]}
+	v.forwarded[to]++
+	return z.handleCall(c)
 }
 
-// receive takes a call at the VM that has taken in its connection: it passes the call on, or
+// handleCall handles a call at the VM that accepted its connection: the VM forwards or
 // answers it.
-func (z *smallZone) receive(c *call) (work time.Duration, ended func()) {
-	if c.on.via == c.on.at {
-		return z.answer(c)
+func (z *simZone) handleCall(c *simCall) (work time.Duration, done func()) {
+	if c.conn.acceptedBy == c.conn.servedBy {
+		return z.serveOrRefuse(c)
 	}
-	return passWork, func() {
-		c.on.at.take(func() (time.Duration, func()) { return z.answer(c) })
+	return forwardTime, func() {
+		c.conn.servedBy.enqueue(func() (time.Duration, func()) { return z.serveOrRefuse(c) })
 	}
 }
 
-// answer refuses a call for want of processor time or since its workspace has had its share,
-// or serves it.
-func (z *smallZone) answer(c *call) (work time.Duration, ended func()) {
-	sheds := c.gone <= z.at || z.rng.Float64() < overload.Part(c.on.at.shed, c.on.served == 0)
-	if sheds || !c.from.may.AllowN(z.now(), 1) {
-		return refuseWork, func() { z.refused(c) }
+// serveOrRefuse refuses a call for lack of processor time or because its workspace has
+// used up its rate, or serves it.
+func (z *simZone) serveOrRefuse(c *simCall) (work time.Duration, done func()) {
+	shed := c.deadline <= z.elapsed || z.rng.Float64() < overload.ShedFractionFor(c.conn.servedBy.shedFraction, c.conn.requests == 0)
+	if shed || !c.workspace.limiter.AllowN(z.now(), 1) {
+		return refuseTime, func() { z.fail(c) }
 	}
-	return serveWork, func() { z.sendOn(c) }
+	return serveTime, func() { z.dispatch(c) }
 }
 
-// sendOn gives a call that a VM has read to a target, unless its caller has left.
-func (z *smallZone) sendOn(c *call) {
-	if c.gone <= z.at {
-		z.refused(c)
+// dispatch passes a call that a VM has read to a target unless its caller has
+// disconnected.
+func (z *simZone) dispatch(c *simCall) {
+	if c.deadline <= z.elapsed {
+		z.fail(c)
 		return
 	}
-	c.from.got[z.second()]++
-	c.on.served++
-	if kept := z.rng.Float64() < keptPart; kept && c.on.via == c.on.at {
-		c.from.idle = append(c.from.idle, c.on)
+	c.workspace.served[z.second()]++
+	c.conn.requests++
+	if kept := z.rng.Float64() < keepAliveFraction; kept && c.conn.acceptedBy == c.conn.servedBy {
+		c.workspace.idleConns = append(c.workspace.idleConns, c.conn)
 		return
 	}
-	c.on.close()
+	c.conn.close()
 }
 
-// refused closes a call's connection and lets its caller come back once.
-func (z *smallZone) refused(c *call) {
-	c.on.close()
-	c.from.lacked[z.second()]++
-	if c.try > 0 || c.gone <= z.at {
+// fail closes a call's connection and lets its caller retry once.
+func (z *simZone) fail(c *simCall) {
+	c.conn.close()
+	c.workspace.failed[z.second()]++
+	if c.try > 0 || c.deadline <= z.elapsed {
 		return
 	}
-	again := &call{from: c.from, try: c.try + 1, gone: c.gone}
-	z.after(overload.BackAtOnce, func() { z.connect(again) })
+	retry := &simCall{workspace: c.workspace, try: c.try + 1, deadline: c.deadline}
+	z.schedule(overload.ImmediateRetryDelay, func() { z.connect(retry) })
 }
 
-func (k *conn) close() { k.via.held[k.at.index]-- }
+func (k *simConn) close() { k.acceptedBy.forwarded[k.servedBy.index]-- }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,22 +1,22 @@
-// Package retry decides whether a failed attempt is followed by another.
+// Package retry decides whether a failed attempt is retried.
 //
-// Load pattern: a target fails, or all of them are slow, while many requests
-// are under way. Without a budget every caller's request is tried several
-// times just when there is the least capacity, so that the retries keep the
-// overload alive after its cause has gone; without jitter they come at once.
-// Without the rules on outcomes a claim is filed twice.
+// The load pattern it addresses: a target fails, or all of them are slow, while
+// many requests are in flight. Without a budget every caller's request is tried
+// several times just when capacity is lowest, so that retries sustain the
+// overload after its cause has gone; without jitter they arrive all at once.
+// Without the rules on outcomes a request with side effects is executed twice.
 //
-// A request of which no byte was processed costs the targets nothing when it
-// is queued again, so that such retries need no budget; they are bounded by
-// count and by the caller's deadline. A request that may have run is run anew
-// only where it is repeatable, nothing of its answer was handed over, and the
-// budget allows it.
+// Queueing a request again of which no byte was processed costs the targets
+// nothing, so that such retries need no budget; they are bounded by a maximum
+// number of attempts and by the caller's deadline. A request that may have run
+// is retried only if it is repeatable, no part of its response was delivered,
+// and the budget allows it.
 //
-// What the defaults protect: with Ratio 0.1 retries add at most a tenth to the
-// load in the long run, which a fleet at 90% of its capacity still carries.
-// Burst covers one target's worth of requests (50 slots) that fail together.
-// BaseWait is below the time of a short answer, MaxWait below the patience of
-// a person.
+// Rationale for the defaults: with Ratio 0.1 retries add at most a tenth to the
+// long-term load, which a fleet at 90% of its capacity can still carry. Burst
+// covers the requests of one target (50 slots) failing together. BaseBackoff is
+// shorter than a short response takes, and MaxBackoff shorter than a person is
+// willing to wait.
 package retry
 
 import (
@@ -28,18 +28,18 @@
 
 // Config bounds the retries of one service at one daemon.
 type Config struct {
-	// Ratio is the number of paid retries per first attempt. Default: 0.1.
+	// Ratio is the number of budgeted retries per first attempt. Default: 0.1.
 	Ratio float64
-	// Burst is the largest balance of paid retries, and the balance at the
-	// start. Default: 50.
+	// Burst is the largest balance of the budget, and the initial one. Default:
+	// 50.
 	Burst float64
-	// MaxRuns bounds the attempts that may have run. Default: 3.
+	// MaxRuns bounds the attempts of a request that may have run. Default: 3.
 	MaxRuns int
 	// MaxAttempts bounds all attempts of a request. Default: 10.
 	MaxAttempts int
-	// BaseWait is the longest wait before the first retry; it doubles with
-	// each one up to MaxWait. Defaults: 25 ms and 1 s.
-	BaseWait, MaxWait time.Duration
+	// BaseBackoff is the longest delay before the first retry; it doubles with
+	// each retry up to MaxBackoff. Defaults: 25 ms and 1 s.
+	BaseBackoff, MaxBackoff time.Duration
 }
 
 const (
@@ -47,8 +47,8 @@
 	defaultBurst       = 50
 	defaultMaxRuns     = 3
 	defaultMaxAttempts = 10
-	defaultBaseWait    = 25 * time.Millisecond
-	defaultMaxWait     = time.Second
+	defaultBaseBackoff = 25 * time.Millisecond
+	defaultMaxBackoff  = time.Second
 )
 
 func (c Config) withDefaults() Config {
@@ -64,11 +64,11 @@
 	if c.MaxAttempts == 0 {
 		c.MaxAttempts = defaultMaxAttempts
 	}
-	if c.BaseWait == 0 {
-		c.BaseWait = defaultBaseWait
+	if c.BaseBackoff == 0 {
+		c.BaseBackoff = defaultBaseBackoff
 	}
-	if c.MaxWait == 0 {
-		c.MaxWait = defaultMaxWait
+	if c.MaxBackoff == 0 {
+		c.MaxBackoff = defaultMaxBackoff
 	}
 	return c
 }
@@ -86,82 +86,86 @@
 	return &Policy{cfg: cfg, balance: cfg.Burst}
 }
 
-// Accepted pays into the budget for a request's first attempt.
+// Accepted credits the budget for the first attempt of a request.
 func (p *Policy) Accepted() { p.balance = min(p.cfg.Burst, p.balance+p.cfg.Ratio) }
 
-// Balance returns the number of paid retries that are left.
+// Balance returns the number of retries left in the budget.
 func (p *Policy) Balance() float64 { return p.balance }
 
-// Attempt is a failed attempt and what is known of its request.
+// Attempt describes a failed attempt and its request.
 type Attempt struct {
-	// Outcome is what is known about the run of this attempt.
+	// Outcome is what is known about whether the attempt ran.
 	Outcome resultcode.Outcome
-	// Status is the HTTP status of the target; zero where none arrived.
+	// Status is the HTTP status of the target, zero if none was received.
 	Status int
-	// Attempts counts the attempts so far, with this one; Runs those of them
-	// that may have run.
+	// Attempts counts the attempts so far, including this one; Runs counts
+	// those of them that may have run.
 	Attempts, Runs int
-	// Delivered tells that a part of the answer was handed to the caller.
+	// Delivered reports that part of the response was delivered to the caller.
 	Delivered bool
-	// Repeatable tells that running the request twice does no harm.
+	// Repeatable reports that running the request twice does no harm.
 	Repeatable bool
-	// CallerGone tells that nobody waits for the answer.
+	// CallerGone reports that the caller no longer waits for the response.
 	CallerGone bool
-	// Left is the time to the caller's deadline; zero or less: it has passed.
-	// NoDeadline is to be given where there is none.
-	Left time.Duration
+	// TimeLeft is the time until the caller's deadline; the deadline has passed
+	// if it is zero or less. It must be NoDeadline for a request without a
+	// deadline.
+	TimeLeft time.Duration
 }
 
-// NoDeadline is the time left of a request without a deadline.
+// NoDeadline is the TimeLeft of a request without a deadline.
 const NoDeadline = time.Duration(1<<63 - 1)
 
-// Reason says why there is no retry.
+// Reason states why an attempt is not retried.
 type Reason string
 
-// Reasons against a retry.
+// Reasons not to retry.
 const (
-	CallerGone   Reason = "caller gone"
-	Delivered    Reason = "a part of the answer was handed over"
-	Final        Reason = "the target's verdict is final"
-	Unrepeatable Reason = "it may have run and must not run twice"
-	TooMany      Reason = "too many attempts"
-	TooLate      Reason = "the deadline comes first"
-	NoBudget     Reason = "the retry budget is spent"
+	CallerGone       Reason = "caller gone"
+	Delivered        Reason = "part of the response was delivered"
+	Final            Reason = "the target's response is final"
+	Unrepeatable     Reason = "the request may have run and is not repeatable"
+	TooManyAttempts  Reason = "too many attempts"
+	DeadlineTooClose Reason = "the deadline is before the next attempt"
+	BudgetExhausted  Reason = "the retry budget is exhausted"
 )
 
-// Decision says what follows a failed attempt.
+// Decision states what follows a failed attempt.
 type Decision struct {
-	// Retry tells that the request is to be queued again after Wait. The
+	// Retry reports that the request is to be queued again after Backoff. The
 	// retry should avoid the target of the failed attempt.
-	Retry bool
-	Wait  time.Duration
-	// Reason is set where Retry is not.
+	Retry   bool
+	Backoff time.Duration
+	// Reason is set if Retry is false.
 	Reason Reason
 }
 
-// Decide returns what follows a failed attempt, and charges the budget.
+// Decide returns what follows a failed attempt, and charges the budget for a
+// retry that needs it.
 func (p *Policy) Decide(a Attempt, rng *rand.Rand) Decision {
-	if reason := p.forbids(a); reason != "" {
+	if reason := p.reasonAgainst(a); reason != "" {
 		return Decision{Reason: reason}
 	}
-	wait := p.wait(a.Attempts, rng)
-	if wait >= a.Left {
-		return Decision{Reason: TooLate}
+	backoff := p.backoff(a.Attempts, rng)
+	if backoff >= a.TimeLeft {
+		return Decision{Reason: DeadlineTooClose}
 	}
 	if a.Outcome != resultcode.NotRun {
 		if p.balance < 1 {
-			return Decision{Reason: NoBudget}
+			return Decision{Reason: BudgetExhausted}
 		}
 		p.balance--
 	}
-	return Decision{Retry: true, Wait: wait}
+	return Decision{Retry: true, Backoff: backoff}
 }
 
-func (p *Policy) forbids(a Attempt) Reason { return Forbids(a, p.cfg.MaxAttempts, p.cfg.MaxRuns) }
+func (p *Policy) reasonAgainst(a Attempt) Reason {
+	return ReasonAgainst(a, p.cfg.MaxAttempts, p.cfg.MaxRuns)
+}
 
-// Forbids returns why a failed attempt must not be followed by another, whatever
-// the budget says; it is empty where nothing speaks against it.
-func Forbids(a Attempt, maxAttempts, maxRuns int) Reason {
+// ReasonAgainst returns why a failed attempt must not be retried regardless of
+// the budget; it is empty if a retry is permitted.
+func ReasonAgainst(a Attempt, maxAttempts, maxRuns int) Reason {
 	switch {
 	case a.CallerGone:
 		return CallerGone
@@ -170,39 +174,40 @@
 	case a.Outcome == resultcode.Ran:
 		return Final
 	case a.Attempts >= maxAttempts:
-		return TooMany
+		return TooManyAttempts
 	case a.Outcome == resultcode.NotRun:
 		return ""
 	case !a.Repeatable:
 		return Unrepeatable
-	case a.Status >= callerErrors && a.Status < targetErrors:
+	case a.Status >= minClientError && a.Status < minServerError:
 		return Final
 	case a.Runs >= maxRuns:
-		return TooMany
+		return TooManyAttempts
 	}
 	return ""
 }
 
-// wait returns a wait with full jitter.
-func (p *Policy) wait(attempts int, rng *rand.Rand) time.Duration {
-	limit := p.cfg.BaseWait
-	for i := 1; i < attempts && limit < p.cfg.MaxWait; i++ {
+// backoff returns an exponential backoff with full jitter.
+func (p *Policy) backoff(attempts int, rng *rand.Rand) time.Duration {
+	limit := p.cfg.BaseBackoff
+	for i := 1; i < attempts && limit < p.cfg.MaxBackoff; i++ {
 		limit *= 2
 	}
-	return time.Duration(rng.Float64() * float64(min(limit, p.cfg.MaxWait)))
+	return time.Duration(rng.Float64() * float64(min(limit, p.cfg.MaxBackoff)))
 }
 
-// Classes of HTTP status codes (RFC 9110, 15): from callerErrors on the request is at fault,
-// from targetErrors on its target. Decisions import no network package for them.
+// Boundaries of the classes of HTTP status codes (RFC 9110, 15): the request is
+// at fault from minClientError on, the target from minServerError on. They are
+// defined here so that the package imports no network package.
 const (
-	callerErrors = 400
-	targetErrors = 500
+	minClientError = 400
+	minServerError = 500
 )
 
-// Worst returns what is known of a request after two of its attempts: it was
-// not run only where neither was. The last attempt's outcome alone would call a
-// request "not run" whose first attempt may have been.
-func Worst(a, b resultcode.Outcome) resultcode.Outcome {
+// WorstOutcome combines the outcomes of two attempts of a request: it was not
+// run only if neither attempt ran. The last attempt's outcome alone would
+// report a request as not run although an earlier attempt may have run it.
+func WorstOutcome(a, b resultcode.Outcome) resultcode.Outcome {
 	switch {
 	case a == resultcode.Ran || b == resultcode.Ran:
 		return resultcode.Ran
@@ -212,9 +217,9 @@
 	return resultcode.NotRun
 }
 
-// RepeatableMethod tells whether HTTP defines the method as idempotent (RFC
-// 9110, 9.2.2). A request with another method is not repeated once it may have
-// run, whether or not the service's document marks it.
+// RepeatableMethod reports whether HTTP defines the method as idempotent (RFC
+// 9110, 9.2.2). A request with another method is not retried once it may have
+// run, whatever the service's document says.
 func RepeatableMethod(method string) bool {
 	switch method {
 	case "GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE":
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// WindowConfig bounds the repeats of a service in the whole fleet: in each span
-// of that length at most Ratio times the requests, and Burst more.
+// WindowConfig bounds the repeats of a service across the fleet, that is, the
+// retries of requests that may have run: within each sliding window of length
+// Span they are at most Ratio times the requests, plus Burst.
 type WindowConfig struct {
 	Ratio float64
 	Burst float64
@@ -11,40 +12,42 @@
 }
 
 const (
-	// buckets is the number of parts of a span that are counted apart. A repeat
-	// is forgotten up to a part later than it could be, never earlier.
+	// buckets is the number of counting intervals per span. A repeat expires up
+	// to one interval later than necessary, never earlier.
 	buckets = 20
-	// windowMargin is what a daemon uses of its part of the budget. The rest
-	// covers requests that reach another daemon than they are counted at, and
-	// shares that differ for a moment while daemons come and go.
-	windowMargin = 0.7
+	// localBudgetFraction is the fraction of its share of the budget that a
+	// daemon uses. The rest covers requests that are counted at one daemon and
+	// reach another, and shares that differ briefly while daemons join and
+	// leave.
+	localBudgetFraction = 0.7
 )
 
-// Window is one daemon's part of a fleet's budget of repeats. It is not safe for
-// concurrent use.
+// Window is one daemon's share of a fleet-wide budget of repeats. It is not
+// safe for concurrent use.
 //
-// Load pattern: all targets of a service fail a part of their requests for
-// seconds, at every daemon at once. Each daemon sees a good reason to repeat, and
-// together they add to the load when there is the least capacity. No daemon asks
-// another, so the budget holds also while some are cut off: each uses the ratio
-// for its own requests, and the burst divided by the number of daemons.
+// The load pattern it addresses: all targets of a service fail some of their
+// requests for seconds, at every daemon at once. Each daemon has good reason to
+// repeat them, and together they add load when capacity is lowest. Daemons do
+// not coordinate, so that the budget also holds while some are partitioned:
+// each applies the ratio to its own requests and uses the burst divided by the
+// number of daemons.
 type Window struct {
 	cfg     WindowConfig
 	daemons int
-	counts  [buckets + 1]count
-	// start is when the first part of a span began, at the number of the part that
-	// counts[0] is.
-	start time.Time
-	at    int64
+	counts  [buckets + 1]bucketCounts
+	// startedAt is when bucket 0 began; currentBucket is the number of the
+	// bucket that counts[0] holds.
+	startedAt     time.Time
+	currentBucket int64
 }
 
-// count is what happened in one part of a span.
-type count struct{ requests, repeats int }
+// bucketCounts counts the requests and repeats of one bucket.
+type bucketCounts struct{ requests, repeats int }
 
-// NewWindow returns a budget that is shared by one daemon.
+// NewWindow returns a budget for a fleet of one daemon.
 func NewWindow(cfg WindowConfig) *Window { return &Window{cfg: cfg, daemons: 1} }
 
-// SetDaemons tells how many daemons share the budget.
+// SetDaemons sets the number of daemons that share the budget.
 func (w *Window) SetDaemons(n int) { w.daemons = max(1, n) }
 
 // Accepted counts a request.
@@ -53,15 +56,15 @@
 	w.counts[0].requests++
 }
 
-// Take counts a repeat and returns true where the budget allows it.
-func (w *Window) Take(now time.Time) bool {
+// Allow reports whether the budget allows a repeat, and counts it if so.
+func (w *Window) Allow(now time.Time) bool {
 	w.advance(now)
-	var sum count
+	var sum bucketCounts
 	for _, c := range w.counts {
 		sum.requests += c.requests
 		sum.repeats += c.repeats
 	}
-	allowed := windowMargin * (w.cfg.Ratio*float64(sum.requests) + w.cfg.Burst/float64(w.daemons))
+	allowed := localBudgetFraction * (w.cfg.Ratio*float64(sum.requests) + w.cfg.Burst/float64(w.daemons))
 	if float64(sum.repeats+1) > allowed {
 		return false
 	}
@@ -69,17 +72,17 @@
 	return true
 }
 
-// advance shifts the counts by the parts of a span that have passed. It goes by
-// differences of time, which a step of the time of day does not change.
+// advance shifts the counts by the buckets that have passed. It uses time
+// differences, so that steps of the wall clock do not affect it.
 func (w *Window) advance(now time.Time) {
-	if w.start.IsZero() {
-		w.start = now
+	if w.startedAt.IsZero() {
+		w.startedAt = now
 	}
-	part := int64(now.Sub(w.start) / max(1, w.cfg.Span/buckets))
-	steps := min(max(0, part-w.at), int64(len(w.counts)))
+	bucket := int64(now.Sub(w.startedAt) / max(1, w.cfg.Span/buckets))
+	steps := min(max(0, bucket-w.currentBucket), int64(len(w.counts)))
 	for range steps {
 		copy(w.counts[1:], w.counts[:len(w.counts)-1])
-		w.counts[0] = count{}
+		w.counts[0] = bucketCounts{}
 	}
-	w.at = max(w.at, part)
+	w.currentBucket = max(w.currentBucket, bucket)
 }
--- a/internal/turn/turn.go
+++ b/internal/turn/turn.go
@@ -1,9 +1,11 @@
-// Package turn bounds calls of a process whose goroutines may wait long for their turns.
+// Package turn provides call timeouts for processes whose goroutines may wait long before
+// they are scheduled.
 //
-// Where processor time is short, the answer to a call may have come, and wait for a turn of
-// the goroutine that reads it, when the time of the call is up. The runtime runs timers
-// first, so that a plain limit ends such a call, and each one after it, for as long as a
-// turn takes longer than the limit leaves.
+// When processor time is short, the response to a call may have arrived while the
+// goroutine that reads it is still waiting to run at the time the timeout expires. The
+// runtime runs timers first, so that a plain timeout ends such a call, and every
+// following one, for as long as the scheduling latency exceeds the time that the timeout
+// leaves.
 package turn
 
 import (
@@ -13,31 +15,33 @@
 	"time"
 )
 
-// reading is how many turns in a row it takes at most to read an answer that has come: the
-// connection's, that of the protocol above it, and the caller's.
-const reading = 3
+// readerTurns is the largest number of goroutines that run one after the other to read a
+// response that has arrived: those of the connection, of the protocol above it, and of
+// the caller.
+const readerTurns = 3
 
-// WithTimeout is context.WithTimeout, but that once the time is up everything that was ready
-// to run by then still gets its turn. It has no Deadline.
-func WithTimeout(parent context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
+// WithTimeout is like context.WithTimeout, except that goroutines that are runnable when
+// the timeout expires still run before the context ends. The context has no Deadline.
+func WithTimeout(parent context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
-	timer := time.AfterFunc(limit, func() {
-		for range reading {
-			runtime.Gosched() // it goes behind all that are ready
+	timer := time.AfterFunc(timeout, func() {
+		for range readerTurns {
+			runtime.Gosched() // runs after all runnable goroutines
 		}
 		cancel(context.DeadlineExceeded)
 	})
-	return timed{ctx}, func() {
+	return timeoutContext{ctx}, func() {
 		timer.Stop()
 		cancel(context.Canceled)
 	}
 }
 
-// timed is a context that ends with context.DeadlineExceeded where its time was up.
-type timed struct{ context.Context }
+// timeoutContext is a context whose Err is context.DeadlineExceeded if its timeout
+// expired.
+type timeoutContext struct{ context.Context }
 
 // Err implements context.Context.
-func (c timed) Err() error {
+func (c timeoutContext) Err() error {
 	err := c.Context.Err()
 	if err != nil && errors.Is(context.Cause(c.Context), context.DeadlineExceeded) {
 		return context.DeadlineExceeded
--- a/internal/turn/turn_test.go
+++ b/internal/turn/turn_test.go
@@ -13,41 +13,42 @@
 	"github.com/savorystall/savorystall/internal/turn"
 )
 
-// A call whose answer has come is over before the goroutine that takes it has its turn.
-func TestWhatIsReadyIsRunBeforeTheTimeIsUp(t *testing.T) {
+// Guards against a call that times out although its response has arrived, because the
+// goroutine that receives it has not run yet.
+func TestReadyGoroutinesRunBeforeTimeout(t *testing.T) {
 	is := is.New(t)
-	former := runtime.GOMAXPROCS(1)
-	defer runtime.GOMAXPROCS(former)
-	done, end := context.WithCancel(t.Context())
-	defer end()
-	const busy, others, limit = time.Millisecond, 200, 50 * time.Millisecond
-	for range others {
+	previous := runtime.GOMAXPROCS(1)
+	defer runtime.GOMAXPROCS(previous)
+	load, stopLoad := context.WithCancel(t.Context())
+	defer stopLoad()
+	const busyTime, goroutines, timeout = time.Millisecond, 200, 50 * time.Millisecond
+	for range goroutines {
 		go func() {
-			for done.Err() == nil {
-				for end := time.Now().Add(busy); time.Now().Before(end); {
+			for load.Err() == nil {
+				for end := time.Now().Add(busyTime); time.Now().Before(end); {
 				}
 				runtime.Gosched()
 			}
 		}()
 	}
 	runtime.Gosched()
-	ctx, cancel := turn.WithTimeout(t.Context(), limit)
+	ctx, cancel := turn.WithTimeout(t.Context(), timeout)
 	defer cancel()
-	runtime.Gosched() // this goroutine is ready when the time is up, and waits for its turn
+	runtime.Gosched() // the timeout expires while this goroutine waits to run
 	is.NoErr(ctx.Err())
 	<-ctx.Done()
 	is.Equal(ctx.Err(), context.DeadlineExceeded)
 }
 
-// Calls under a limit tell why they ended.
-func TestTheEndHasItsReason(t *testing.T) {
+// Err and Cause of a context with a timeout report why it ended.
+func TestContextReportsWhyItEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		begun := time.Now()
+		start := time.Now()
 		ctx, cancel := turn.WithTimeout(t.Context(), time.Second)
 		child, cancelChild := context.WithCancel(ctx)
 		<-child.Done()
-		is.Equal(time.Since(begun), time.Second)
+		is.Equal(time.Since(start), time.Second)
 		is.Equal(ctx.Err(), context.DeadlineExceeded)
 		is.Equal(context.Cause(child), context.DeadlineExceeded)
 		cancelChild()
@@ -57,12 +58,12 @@
 		cancel()
 		is.Equal(ctx.Err(), context.Canceled)
 
-		reason := errors.New("reason")
-		parent, end := context.WithCancelCause(t.Context())
+		cause := errors.New("reason")
+		parent, cancelParent := context.WithCancelCause(t.Context())
 		ctx, cancel = turn.WithTimeout(parent, time.Second)
 		defer cancel()
-		end(reason)
+		cancelParent(cause)
 		is.Equal(ctx.Err(), context.Canceled)
-		is.Equal(context.Cause(ctx), reason)
+		is.Equal(context.Cause(ctx), cause)
 	})
 }
