--- a/internal/claim/bench_test.go
+++ b/internal/claim/bench_test.go
@@ -18,36 +18,36 @@
 )
 
 const (
-	// tableWrites is the budget of the fleet's table in transactions a second.
-	tableWrites  = 300
-	tableLatency = 4 * time.Millisecond
-	benchTime    = 4 * time.Second
+	// tableWritesPerSecond is the transaction budget of the fleet's table.
+	tableWritesPerSecond = 300
+	tableLatency         = 4 * time.Millisecond
+	benchDuration        = 4 * time.Second
 )
 
-// budgetTable makes transactions above the budget wait for their turn.
-type budgetTable struct {
+// rateLimitedTable delays transactions that exceed the budget.
+type rateLimitedTable struct {
 	*fakeTable
-	pace *rate.Limiter
+	limiter *rate.Limiter
 }
 
-func newBudgetTable() *budgetTable {
-	t := &budgetTable{newFakeTable(), rate.NewLimiter(tableWrites, tableWrites/10)}
+func newRateLimitedTable() *rateLimitedTable {
+	t := &rateLimitedTable{newFakeTable(), rate.NewLimiter(tableWritesPerSecond, tableWritesPerSecond/10)}
 	t.latency = tableLatency
 	return t
 }
 
-func (t *budgetTable) Commit(ctx context.Context, tx platform.Transaction) (uint64, error) {
-	if err := t.pace.Wait(ctx); err != nil {
+func (t *rateLimitedTable) Commit(ctx context.Context, tx platform.Transaction) (uint64, error) {
+	if err := t.limiter.Wait(ctx); err != nil {
 		return 0, &platform.Unavailable{Cause: err}
 	}
 	return t.fakeTable.Commit(ctx, tx)
 }
 
-// runner claims, runs and finishes one request; it is false where it was refused.
-type runner func(k Key) (claimed time.Duration, ok bool)
+// claimFunc claims, runs and finishes one request. ok is false if it was refused.
+type claimFunc func(k Key) (claimed time.Duration, ok bool)
 
-// grouped runs requests through claimers that share transactions.
-func grouped(b *testing.B, table platform.Table, daemons int, writes float64) runner {
+// batchedClaims runs requests through claimers, which batch their writes.
+func batchedClaims(b *testing.B, table platform.Table, daemons int, writes float64) claimFunc {
 	var claimers []*Claimer
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -59,72 +59,72 @@
 	}
 	b.Cleanup(func() { cancel(); running.Wait() })
 	return func(k Key) (time.Duration, bool) {
-		begun := time.Now()
-		d, err := claimers[rand.IntN(daemons)].Claim(ctx, k, digest, "x")
-		took := time.Since(begun)
+		start := time.Now()
+		d, err := claimers[rand.IntN(daemons)].Claim(ctx, k, testDigest, "x")
+		waited := time.Since(start)
 		p, ok := d.(Proceed)
 		if err != nil || !ok || p.Hold.Start(time.Now()) != nil {
-			return took, false
+			return waited, false
 		}
 		running.Go(func() { _ = p.Hold.Finish(ctx, Outcome{Result: resultcode.Ran}) })
-		return took, true
+		return waited, true
 	}
 }
 
-// single runs requests with a transaction for each claim and each outcome.
-func single(b *testing.B, table platform.Table) runner {
+// unbatchedClaims runs requests with one transaction per claim and per outcome.
+func unbatchedClaims(b *testing.B, table platform.Table) claimFunc {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	b.Cleanup(func() { cancel(); running.Wait() })
 	return func(k Key) (time.Duration, bool) {
-		begun := time.Now()
-		wait, cancel := context.WithTimeout(ctx, 5*time.Second)
+		start := time.Now()
+		claimCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
 		defer cancel()
-		revision, err := table.Commit(wait, oneRow(rowKey(k), 0))
-		took := time.Since(begun)
+		revision, err := table.Commit(claimCtx, singleRowTransaction(rowKey(k), 0))
+		waited := time.Since(start)
 		if err != nil {
-			return took, false
+			return waited, false
 		}
-		running.Go(func() { _, _ = table.Commit(ctx, oneRow(rowKey(k), revision)) })
-		return took, true
+		running.Go(func() { _, _ = table.Commit(ctx, singleRowTransaction(rowKey(k), revision)) })
+		return waited, true
 	}
 }
 
-func oneRow(key string, revision uint64) platform.Transaction {
+func singleRowTransaction(key string, revision uint64) platform.Transaction {
 	return platform.Transaction{
 		Operation:  platform.NewOperation(),
 		Conditions: []platform.Condition{{Key: key, Revision: revision}},
-		Puts:       []platform.Put{{Key: key, Value: Record{Digest: digest}.encode()}},
+		Puts:       []platform.Put{{Key: key, Value: Record{Digest: testDigest}.encode()}},
 	}
 }
 
-// offer sends requests at a steady rate, whatever becomes of them, and reports
-// how many were claimed in their time and after which wait.
-func offer(b *testing.B, perSecond float64, run runner) {
+// generateLoad sends requests at a constant rate, regardless of their results, and
+// reports how many were claimed before their timeout and how long they waited.
+func generateLoad(b *testing.B, perSecond float64, claim claimFunc) {
 	var mu sync.Mutex
 	var waits []time.Duration
 	refused := 0
 	var running sync.WaitGroup
-	begun := time.Now()
-	for i := 0; time.Since(begun) < benchTime; i++ {
-		time.Sleep(time.Until(begun.Add(time.Duration(float64(i) / perSecond * float64(time.Second)))))
+	start := time.Now()
+	for i := 0; time.Since(start) < benchDuration; i++ {
+		time.Sleep(time.Until(start.Add(time.Duration(float64(i) / perSecond * float64(time.Second)))))
 		running.Go(func() {
-			took, ok := run(Key{Service: "s", Workspace: "w", Idempotency: fmt.Sprint(i)})
+			waited, ok := claim(Key{Service: "s", Workspace: "w", IdempotencyKey: fmt.Sprint(i)})
 			mu.Lock()
 			defer mu.Unlock()
 			if ok {
-				waits = append(waits, took)
+				waits = append(waits, waited)
 				return
 			}
 			refused++
 		})
 	}
 	running.Wait()
-	elapsed := time.Since(begun)
-	report(b, waits, refused, elapsed)
+	elapsed := time.Since(start)
+	reportMetrics(b, waits, refused, elapsed)
 }
 
-func report(b *testing.B, waits []time.Duration, refused int, elapsed time.Duration) {
+func reportMetrics(b *testing.B, waits []time.Duration, refused int, elapsed time.Duration) {
 	b.ReportMetric(0, "ns/op")
 	b.ReportMetric(float64(len(waits))/elapsed.Seconds(), "claims/s")
 	b.ReportMetric(float64(refused)*100/float64(refused+len(waits)), "%refused")
@@ -132,26 +132,26 @@
 	b.ReportMetric(percentile(waits, 0.99), "p99-ms")
 }
 
-// BenchmarkSevenDaemons offers a rate of unrepeatable requests to the fleets of
-// today, whose seven daemons share the table's budget.
+// BenchmarkSevenDaemons sends non-idempotent requests at several rates to a fleet
+// of the current size, whose seven daemons share the table's budget.
 func BenchmarkSevenDaemons(b *testing.B) {
 	for _, perSecond := range []float64{50, 140, 300, 1000, 5000} {
 		b.Run(fmt.Sprintf("single/%v", perSecond), func(b *testing.B) {
-			offer(b, perSecond, single(b, newBudgetTable()))
+			generateLoad(b, perSecond, unbatchedClaims(b, newRateLimitedTable()))
 		})
 		b.Run(fmt.Sprintf("grouped/%v", perSecond), func(b *testing.B) {
-			offer(b, perSecond, grouped(b, newBudgetTable(), 7, 40))
+			generateLoad(b, perSecond, batchedClaims(b, newRateLimitedTable(), 7, 40))
 		})
 	}
 }
 
-// BenchmarkShareOfLargeFleet offers one daemon of 360 its part of 200 writes a
-// second.
+// BenchmarkShareOfLargeFleet sends requests to one daemon of a fleet of 360, which
+// share a budget of 200 writes per second.
 func BenchmarkShareOfLargeFleet(b *testing.B) {
 	const share = 200.0 / 360
 	for _, perSecond := range []float64{0.2, 1, 7, 70} {
 		b.Run(fmt.Sprint(perSecond), func(b *testing.B) {
-			offer(b, perSecond, grouped(b, newBudgetTable(), 1, share))
+			generateLoad(b, perSecond, batchedClaims(b, newRateLimitedTable(), 1, share))
 		})
 	}
 }
@@ -164,14 +164,14 @@
 	return float64(waits[int(p*float64(len(waits)-1))]) / float64(time.Millisecond)
 }
 
-// BenchmarkSlowTable offers 100 requests a second to seven daemons while the
-// table takes long for each transaction.
+// BenchmarkSlowTable sends 100 requests per second to seven daemons while the table
+// has a high latency per transaction.
 func BenchmarkSlowTable(b *testing.B) {
 	for _, latency := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 3 * time.Second, 4 * time.Second} {
 		b.Run(latency.String(), func(b *testing.B) {
-			table := newBudgetTable()
+			table := newRateLimitedTable()
 			table.latency = latency
-			offer(b, 100, grouped(b, table, 7, 40))
+			generateLoad(b, 100, batchedClaims(b, table, 7, 40))
 		})
 	}
 }
--- a/internal/claim/claimer.go
+++ b/internal/claim/claimer.go
@@ -16,51 +16,51 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-// Claimer makes the claims of one daemon. It is safe for concurrent use; Run
-// must be running for claims to be written.
+// Claimer creates the claims of one daemon. It is safe for concurrent use. Claims
+// are written only while Run is running.
 type Claimer struct {
 	cfg       Config
-	asker     Asker
+	querier   Querier
 	log       *slog.Logger
 	committer *committer
-	// refusals and silences keep the log from a line for each request while the
-	// table or a claimant is out of reach.
-	refusals, silences rate.Sometimes
+	// refusalLog and queryFailureLog limit the rate of log lines, which would
+	// otherwise be one per request while the table or a claimant is unreachable.
+	refusalLog, queryFailureLog rate.Sometimes
 
 	mu     sync.Mutex
 	ledger *ledger
-	// unrecorded counts final records on their way; idle is closed and renewed
-	// each time that it comes to zero.
-	unrecorded int
-	idle       chan struct{}
+	// pendingFinals counts the final records that are not settled yet. idle is
+	// closed and replaced whenever the count drops to zero.
+	pendingFinals int
+	idle          chan struct{}
 }
 
-// logInterval is the least time between two lines of the same event.
+// logInterval is the minimum time between two log lines of the same event.
 const logInterval = time.Second
 
-// New returns a Claimer. Asker may be nil: then every open claim of another
-// daemon is of unknown outcome.
-func New(cfg Config, table platform.Table, asker Asker, log *slog.Logger) *Claimer {
+// New returns a Claimer. If querier is nil, the outcome of every open claim of
+// another daemon is unknown.
+func New(cfg Config, table platform.Table, querier Querier, log *slog.Logger) *Claimer {
 	cfg = cfg.withDefaults()
 	c := &Claimer{
-		cfg: cfg, asker: asker, log: log,
-		refusals: rate.Sometimes{Interval: logInterval},
-		silences: rate.Sometimes{Interval: logInterval},
-		ledger:   newLedger(cfg.Term),
-		idle:     make(chan struct{}),
+		cfg: cfg, querier: querier, log: log,
+		refusalLog:      rate.Sometimes{Interval: logInterval},
+		queryFailureLog: rate.Sometimes{Interval: logInterval},
+		ledger:          newLedger(cfg.StartTimeout),
+		idle:            make(chan struct{}),
 	}
 	c.committer = newCommitter(cfg, table, func(err error) { event.ClaimStoreFailed.Log(log, "error", err) })
 	return c
 }
 
 func (cfg Config) withDefaults() Config {
-	cfg.Wait = cmp.Or(cfg.Wait, 5*time.Second)
-	cfg.AskTimeout = cmp.Or(cfg.AskTimeout, time.Second)
-	cfg.Term = cmp.Or(cfg.Term, time.Hour)
+	cfg.ClaimTimeout = cmp.Or(cfg.ClaimTimeout, 5*time.Second)
+	cfg.QueryTimeout = cmp.Or(cfg.QueryTimeout, time.Second)
+	cfg.StartTimeout = cmp.Or(cfg.StartTimeout, time.Hour)
 	cfg.RecordTTL = cmp.Or(cfg.RecordTTL, 24*time.Hour)
-	cfg.KeepBytes = cmp.Or(cfg.KeepBytes, DefaultKeepBytes)
-	cfg.BatchRows = cmp.Or(cfg.BatchRows, 200)
-	cfg.BatchBytes = cmp.Or(cfg.BatchBytes, 512<<10)
+	cfg.MaxResponseBytes = cmp.Or(cfg.MaxResponseBytes, DefaultMaxResponseBytes)
+	cfg.MaxBatchRows = cmp.Or(cfg.MaxBatchRows, 200)
+	cfg.MaxBatchBytes = cmp.Or(cfg.MaxBatchBytes, 512<<10)
 	cfg.Linger = cmp.Or(cfg.Linger, 2*time.Millisecond)
 	cfg.CommitTimeout = cmp.Or(cfg.CommitTimeout, 10*time.Second)
 	cfg.WritesPerSecond = cmp.Or(cfg.WritesPerSecond, 40)
@@ -75,22 +75,23 @@
 	return cfg
 }
 
-// Run writes to the table until ctx ends. Call Flush before ending it.
+// Run writes to the table until ctx ends. Call Flush before canceling ctx.
 func (c *Claimer) Run(ctx context.Context) { c.committer.run(ctx) }
 
 // SetWritesPerSecond changes this daemon's share of the table's budget, in
-// transactions a second. The number of live daemons decides it.
-func (c *Claimer) SetWritesPerSecond(n float64) { c.committer.setPace(n) }
+// transactions per second. The share depends on the number of live daemons.
+func (c *Claimer) SetWritesPerSecond(n float64) { c.committer.setRate(n) }
 
-// Claim claims the key for one run. Digest identifies the request, so that the
-// key cannot be used for another one. The attempt is noted in the record for
-// people. The returned error is ctx's; every other end is a Decision.
+// Claim claims the key for one run. The digest identifies the request, so that the
+// key cannot be reused for a different one. The attempt is stored in the record
+// for information only. A non-nil error is that of ctx; every other result is a
+// Decision.
 //
-// After Proceed the caller must end the hold by Finish or Abandon.
+// After Proceed the caller must end the hold with Finish or Abandon.
 func (c *Claimer) Claim(ctx context.Context, key Key, digest []byte, attempt ident.Attempt) (Decision, error) {
 	token := ident.NewAttempt()
-	if key.Idempotency == "" {
-		return Proceed{c.localHold(key, token)}, nil
+	if key.IdempotencyKey == "" {
+		return Proceed{c.unkeyedHold(key, token)}, nil
 	}
 	if d := c.begin(key, token, digest); d != nil {
 		return d, nil
@@ -100,33 +101,34 @@
 		Digest: digest, Daemon: c.cfg.Daemon, Incarnation: c.cfg.Incarnation,
 		Token: token, Attempt: attempt,
 	}
-	return c.settle(ctx, hold)
+	return c.acquire(ctx, hold)
 }
 
-// localPrefix starts the ledger's key of a request without a caller's key. A
-// header's value cannot hold a zero byte.
-const localPrefix = "\x00"
+// unkeyedPrefix starts the ledger key of a request that has no idempotency key. It
+// cannot collide with a caller's key because a header value cannot contain a zero
+// byte.
+const unkeyedPrefix = "\x00"
 
-func (c *Claimer) localHold(key Key, token ident.Attempt) *Hold {
-	key.Idempotency = localPrefix + string(token)
+func (c *Claimer) unkeyedHold(key Key, token ident.Attempt) *Hold {
+	key.IdempotencyKey = unkeyedPrefix + string(token)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ledger.beginLocal(key, token)
-	return &Hold{claimer: c, key: key, token: token, local: true}
+	c.ledger.beginUnkeyed(key, token)
+	return &Hold{claimer: c, key: key, token: token, unkeyed: true}
 }
 
-// settle writes the claim and decides about each row that is in the way.
-func (c *Claimer) settle(ctx context.Context, hold *Hold) (Decision, error) {
-	wait, cancel := context.WithTimeout(ctx, c.cfg.Wait)
+// acquire writes the claim and resolves each conflict until there is a decision.
+func (c *Claimer) acquire(ctx context.Context, hold *Hold) (Decision, error) {
+	claimCtx, cancel := context.WithTimeout(ctx, c.cfg.ClaimTimeout)
 	defer cancel()
 	for {
-		result, err := c.write(wait, hold)
+		result, err := c.writeClaim(claimCtx, hold)
 		if err != nil {
-			c.drop(hold)
+			c.abandon(hold)
 			if ctx.Err() != nil {
 				return nil, ctx.Err()
 			}
-			c.refusals.Do(func() {
+			c.refusalLog.Do(func() {
 				event.ClaimRefused.Log(c.log, "service", hold.key.Service, "workspace", hold.key.Workspace)
 			})
 			return Refuse{resultcode.Fail(resultcode.StoreUnavailable, "").Because(err)}, nil
@@ -134,24 +136,24 @@
 		if result.conflict == nil {
 			return c.proceed(hold, result.revision), nil
 		}
-		v, d := c.judge(wait, hold, *result.conflict)
-		switch v {
-		case verdictHeld:
+		act, decision := c.resolveConflict(claimCtx, hold, *result.conflict)
+		switch act {
+		case actionProceed:
 			return c.proceed(hold, hold.revision), nil
-		case verdictFinal:
-			c.drop(hold)
-			return d, nil
+		case actionDecided:
+			c.abandon(hold)
+			return decision, nil
 		}
 	}
 }
 
-// write submits the claim and waits for its result. A claim that is given up
-// leaves a record that it did not run, where its write may yet take effect.
-func (c *Claimer) write(ctx context.Context, hold *Hold) (writeResult, error) {
+// writeClaim submits the claim and waits for its result. If it gives up and the
+// write may still take effect, it records that the claim did not run.
+func (c *Claimer) writeClaim(ctx context.Context, hold *Hold) (writeResult, error) {
 	done := make(chan writeResult, 1)
-	w := &write{
+	w := &pendingWrite{
 		key: rowKey(hold.key), revision: hold.revision, value: hold.record.encode(),
-		done: func(r writeResult) { done <- r },
+		onResult: func(r writeResult) { done <- r },
 	}
 	c.committer.submit(w)
 	select {
@@ -160,58 +162,58 @@
 	case <-ctx.Done():
 	}
 	if c.committer.cancel(w) {
-		c.recordLater(hold, Outcome{Result: resultcode.NotRun}, nil)
+		c.writeFinal(hold, Outcome{Result: resultcode.NotRun}, nil)
 	}
 	return writeResult{}, context.Cause(ctx)
 }
 
-// judge decides about a row in the way, asking its claimant where needed. It
-// sets the revision that the next write requires.
-func (c *Claimer) judge(ctx context.Context, hold *Hold, row platform.Row) (verdict, Decision) {
-	o, err := decodeRow(row)
+// resolveConflict evaluates a conflicting row and queries its claimant if needed.
+// It sets the revision that the next write requires.
+func (c *Claimer) resolveConflict(ctx context.Context, hold *Hold, row platform.Row) (action, Decision) {
+	observed, err := decodeRow(row)
 	if err != nil {
 		event.ClaimRowBad.Log(c.log, "row", row.Key, "error", err)
-		return verdictFinal, unknownOutcome("its record cannot be read")
+		return actionDecided, unknownOutcome("its record cannot be read")
 	}
-	v, d := judge(o, hold.record)
-	if v == verdictAsk {
-		v, d = judgeAnswer(c.ask(ctx, hold.key, o))
+	act, decision := evaluateRow(observed, hold.record)
+	if act == actionQuery {
+		act, decision = evaluateStatus(c.queryClaimant(ctx, hold.key, observed))
 	}
-	hold.revision = o.Revision
-	return v, d
+	hold.revision = observed.Revision
+	return act, decision
 }
 
-func (c *Claimer) ask(ctx context.Context, key Key, o observed) (Answer, error) {
-	if o.Daemon == c.cfg.Daemon || c.asker == nil {
-		return c.Answer(o.Daemon, o.Incarnation, key, o.Token), nil
+func (c *Claimer) queryClaimant(ctx context.Context, key Key, row observedRow) (Status, error) {
+	if row.Daemon == c.cfg.Daemon || c.querier == nil {
+		return c.AnswerQuery(row.Daemon, row.Incarnation, key, row.Token), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.cfg.AskTimeout)
+	ctx, cancel := context.WithTimeout(ctx, c.cfg.QueryTimeout)
 	defer cancel()
-	a, err := c.asker.Ask(ctx, o.Daemon, o.Incarnation, key, o.Token)
+	status, err := c.querier.QueryClaim(ctx, row.Daemon, row.Incarnation, key, row.Token)
 	if err != nil {
-		c.silences.Do(func() { event.ClaimantSilent.Log(c.log, "claimant", o.Daemon, "error", err) })
+		c.queryFailureLog.Do(func() { event.ClaimantSilent.Log(c.log, "claimant", row.Daemon, "error", err) })
 	}
-	return a, err
+	return status, err
 }
 
-// Answer answers the question of another daemon about a claim of this one.
-// AnswerNever is binding from the moment that Answer returns.
-func (c *Claimer) Answer(daemon ident.Daemon, incarnation uint64, key Key, attempt ident.Attempt) Answer {
+// AnswerQuery answers another daemon's query about a claim of this one.
+// StateRevoked is binding from the moment that AnswerQuery returns.
+func (c *Claimer) AnswerQuery(daemon ident.Daemon, incarnation uint64, key Key, attempt ident.Attempt) Status {
 	if daemon != c.cfg.Daemon || incarnation != c.cfg.Incarnation {
-		return Answer{Kind: AnswerUnknown}
+		return Status{Kind: StateUnknown}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ledger.answer(key, attempt, c.cfg.Now())
+	return c.ledger.answerQuery(key, attempt, c.cfg.Now())
 }
 
-// Flush waits until every final record is in the table, or until ctx ends.
+// Flush waits until every final record is settled or ctx ends.
 func (c *Claimer) Flush(ctx context.Context) error {
 	for {
 		c.mu.Lock()
-		left, idle := c.unrecorded, c.idle
+		pending, idle := c.pendingFinals, c.idle
 		c.mu.Unlock()
-		if left == 0 {
+		if pending == 0 {
 			return nil
 		}
 		select {
@@ -228,27 +230,27 @@
 	return c.ledger.begin(key, token, digest, c.cfg.Now())
 }
 
-func (c *Claimer) held(key Key, token ident.Attempt) bool {
+func (c *Claimer) markHeld(key Key, token ident.Attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ledger.held(key, token)
+	return c.ledger.markHeld(key, token)
 }
 
-func (c *Claimer) drop(hold *Hold) bool {
+func (c *Claimer) abandon(hold *Hold) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ledger.drop(hold.key, hold.token)
+	return c.ledger.abandon(hold.key, hold.token)
 }
 
-func (c *Claimer) forget(hold *Hold) {
+func (c *Claimer) removeFinished(hold *Hold) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ledger.forget(hold.key, hold.token)
+	c.ledger.removeFinished(hold.key, hold.token)
 }
 
 func (c *Claimer) proceed(hold *Hold, revision uint64) Decision {
 	hold.revision = revision
-	if !c.held(hold.key, hold.token) {
+	if !c.markHeld(hold.key, hold.token) {
 		return Refuse{resultcode.Fail(resultcode.InProgress, "")}
 	}
 	return Proceed{hold}
--- a/internal/claim/claimer_test.go
+++ b/internal/claim/claimer_test.go
@@ -18,36 +18,36 @@
 )
 
 func TestMain(m *testing.M) {
-	process.Main(map[string]process.Part{"claimant": partClaimant})
+	process.Main(map[string]process.Part{"claimant": runClaimant})
 	goleak.VerifyTestMain(m)
 }
 
-// fleet is several claimers on one table that ask each other.
+// fleet is a set of claimers that share a table and query each other.
 type fleet struct {
-	mu       sync.Mutex
-	claimers map[ident.Daemon]*Claimer
-	cut      map[ident.Daemon]bool
+	mu          sync.Mutex
+	claimers    map[ident.Daemon]*Claimer
+	unreachable map[ident.Daemon]bool
 }
 
-func (f *fleet) Ask(_ context.Context, d ident.Daemon, incarnation uint64, k Key, a ident.Attempt) (Answer, error) {
+func (f *fleet) QueryClaim(_ context.Context, daemon ident.Daemon, incarnation uint64, key Key, token ident.Attempt) (Status, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	c := f.claimers[d]
-	if c == nil || f.cut[d] {
-		return Answer{}, errors.New("unreachable")
+	c := f.claimers[daemon]
+	if c == nil || f.unreachable[daemon] {
+		return Status{}, errors.New("unreachable")
 	}
-	return c.Answer(d, incarnation, k, a), nil
+	return c.AnswerQuery(daemon, incarnation, key, token), nil
 }
 
-func (f *fleet) add(t *testing.T, table *fakeTable, cfg Config) *Claimer {
+func (f *fleet) addDaemon(t *testing.T, table *fakeTable, cfg Config) *Claimer {
 	c := New(cfg, table, f, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		c.Run(ctx)
 	}()
-	t.Cleanup(func() { cancel(); <-ended })
+	t.Cleanup(func() { cancel(); <-done })
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.claimers[cfg.Daemon] = c
@@ -55,49 +55,51 @@
 }
 
 func newFleet() *fleet {
-	return &fleet{claimers: map[ident.Daemon]*Claimer{}, cut: map[ident.Daemon]bool{}}
+	return &fleet{claimers: map[ident.Daemon]*Claimer{}, unreachable: map[ident.Daemon]bool{}}
 }
 
-// quick is a config with short waits between tries and a generous one in all.
-func quick(d ident.Daemon) Config {
+// testConfig returns a config with short delays between retries and a long total
+// timeout.
+func testConfig(daemon ident.Daemon) Config {
 	return Config{
-		Daemon: d, Incarnation: 1, Wait: 20 * time.Second, WritesPerSecond: 1e6,
+		Daemon: daemon, Incarnation: 1, ClaimTimeout: 20 * time.Second, WritesPerSecond: 1e6,
 		Backoff: time.Millisecond, BackoffMax: 5 * time.Millisecond, CommitTimeout: 50 * time.Millisecond,
 	}
 }
 
 var (
-	key    = Key{Service: "portal-socios", Workspace: "local-7", Idempotency: "filing-1"}
-	digest = []byte("digest")
+	testKey    = Key{Service: "portal-socios", Workspace: "local-7", IdempotencyKey: "filing-1"}
+	testDigest = []byte("digest")
 )
 
-func claim(t *testing.T, c *Claimer) Decision {
+func mustClaim(t *testing.T, c *Claimer) Decision {
 	t.Helper()
-	d, err := c.Claim(t.Context(), key, digest, ident.NewAttempt())
+	d, err := c.Claim(t.Context(), testKey, testDigest, ident.NewAttempt())
 	is.New(t).NoErr(err)
 	return d
 }
 
-func hold(t *testing.T, c *Claimer) *Hold {
+func mustHold(t *testing.T, c *Claimer) *Hold {
 	t.Helper()
-	p, ok := claim(t, c).(Proceed)
+	p, ok := mustClaim(t, c).(Proceed)
 	is.New(t).True(ok) // the claim is granted
 	return p.Hold
 }
 
-func refusal(t *testing.T, c *Claimer) resultcode.Code {
+func mustBeRefused(t *testing.T, c *Claimer) resultcode.Code {
 	t.Helper()
-	r, ok := claim(t, c).(Refuse)
+	r, ok := mustClaim(t, c).(Refuse)
 	is.New(t).True(ok) // the claim is refused
 	return r.Failure.Code
 }
 
-// refusedByOutage claims during an outage, with a short wait.
-func refusedByOutage(t *testing.T, c *Claimer) {
+// claimDuringOutage claims with a short timeout during an outage and expects a
+// refusal.
+func claimDuringOutage(t *testing.T, c *Claimer) {
 	t.Helper()
-	c.cfg.Wait = 100 * time.Millisecond
-	is.New(t).Equal(refusal(t, c), resultcode.StoreUnavailable)
-	c.cfg.Wait = 20 * time.Second
+	c.cfg.ClaimTimeout = 100 * time.Millisecond
+	is.New(t).Equal(mustBeRefused(t, c), resultcode.StoreUnavailable)
+	c.cfg.ClaimTimeout = 20 * time.Second
 }
 
 func flush(t *testing.T, c *Claimer) {
@@ -107,83 +109,84 @@
 	is.New(t).NoErr(c.Flush(ctx))
 }
 
-func TestRepeatThroughAnotherDaemon(t *testing.T) {
-	// A caller's first try hangs, and it repeats with the same key through
-	// another daemon: first while the first try waits, then while it runs, then
-	// after it ended. It must see one run and, at the end, that run's answer.
+func TestRetryThroughAnotherDaemon(t *testing.T) {
+	// A caller's first request hangs, and the caller retries with the same key
+	// through another daemon: while the first request is waiting, while it is
+	// running, and after it has finished. There must be one run, and the last retry
+	// must receive its response.
 	is := is.New(t)
 	f, table := newFleet(), newFakeTable()
-	a, b := f.add(t, table, quick("a")), f.add(t, table, quick("b"))
-	h := hold(t, a)
-	is.Equal(refusal(t, b), resultcode.InProgress)
+	a, b := f.addDaemon(t, table, testConfig("a")), f.addDaemon(t, table, testConfig("b"))
+	h := mustHold(t, a)
+	is.Equal(mustBeRefused(t, b), resultcode.InProgress)
 	is.NoErr(h.Start(time.Now()))
-	is.Equal(refusal(t, b), resultcode.InProgress)
-	is.Equal(refusal(t, a), resultcode.InProgress)
-	is.NoErr(h.Finish(t.Context(), Outcome{Result: resultcode.Ran, Kept: true, Status: 201, Body: []byte("no. 17")}))
-	f.cut["a"] = true // the record alone is enough
-	r, ok := claim(t, b).(Replay)
+	is.Equal(mustBeRefused(t, b), resultcode.InProgress)
+	is.Equal(mustBeRefused(t, a), resultcode.InProgress)
+	is.NoErr(h.Finish(t.Context(), Outcome{Result: resultcode.Ran, HasResponse: true, StatusCode: 201, Body: []byte("no. 17")}))
+	f.unreachable["a"] = true // the stored record is sufficient
+	r, ok := mustClaim(t, b).(Replay)
 	is.True(ok)
 	is.Equal(string(r.Outcome.Body), "no. 17")
 }
 
-func TestAnswerThatIsTooLargeIsNotKept(t *testing.T) {
+func TestOversizedResponseIsNotStored(t *testing.T) {
 	is := is.New(t)
 	f, table := newFleet(), newFakeTable()
-	cfg := quick("a")
-	cfg.KeepBytes = 3
-	a := f.add(t, table, cfg)
-	h := hold(t, a)
+	cfg := testConfig("a")
+	cfg.MaxResponseBytes = 3
+	a := f.addDaemon(t, table, cfg)
+	h := mustHold(t, a)
 	is.NoErr(h.Start(time.Now()))
-	is.NoErr(h.Finish(t.Context(), Outcome{Result: resultcode.Ran, Kept: true, Body: []byte("long")}))
-	is.Equal(refusal(t, a), resultcode.AlreadyRan)
+	is.NoErr(h.Finish(t.Context(), Outcome{Result: resultcode.Ran, HasResponse: true, Body: []byte("long")}))
+	is.Equal(mustBeRefused(t, a), resultcode.AlreadyRan)
 }
 
-func TestKeyOfAnotherRequest(t *testing.T) {
+func TestKeyReusedForAnotherRequest(t *testing.T) {
 	is := is.New(t)
 	f, table := newFleet(), newFakeTable()
-	a, b := f.add(t, table, quick("a")), f.add(t, table, quick("b"))
-	hold(t, a)
+	a, b := f.addDaemon(t, table, testConfig("a")), f.addDaemon(t, table, testConfig("b"))
+	mustHold(t, a)
 	for _, c := range []*Claimer{a, b} {
-		d, err := c.Claim(t.Context(), key, []byte("other"), "x")
+		d, err := c.Claim(t.Context(), testKey, []byte("other"), "x")
 		is.NoErr(err)
 		is.Equal(d.(Refuse).Failure.Code, resultcode.KeyReused)
 	}
 }
 
-func TestClaimantCannotBeAsked(t *testing.T) {
-	// The first daemon is cut off or has restarted while its claim was open.
-	// Whether it dispatched cannot be known, so the repeat is told "may have
-	// run" by every daemon, the restarted one included.
+func TestUnreachableClaimant(t *testing.T) {
+	// The first daemon is unreachable, or has restarted while its claim was open.
+	// Whether it dispatched the request is unknown, so every daemon, including the
+	// restarted one, replies to a retry that the request may have run.
 	is := is.New(t)
 	f, table := newFleet(), newFakeTable()
-	a, b := f.add(t, table, quick("a")), f.add(t, table, quick("b"))
-	hold(t, a)
-	f.cut["a"] = true
-	is.Equal(refusal(t, b), resultcode.OutcomeUnknown)
-	f.cut["a"] = false
-	restarted := quick("a")
+	a, b := f.addDaemon(t, table, testConfig("a")), f.addDaemon(t, table, testConfig("b"))
+	mustHold(t, a)
+	f.unreachable["a"] = true
+	is.Equal(mustBeRefused(t, b), resultcode.OutcomeUnknown)
+	f.unreachable["a"] = false
+	restarted := testConfig("a")
 	restarted.Incarnation = 2
-	a2 := f.add(t, table, restarted)
-	is.Equal(refusal(t, b), resultcode.OutcomeUnknown)
-	is.Equal(refusal(t, a2), resultcode.OutcomeUnknown)
+	a2 := f.addDaemon(t, table, restarted)
+	is.Equal(mustBeRefused(t, b), resultcode.OutcomeUnknown)
+	is.Equal(mustBeRefused(t, a2), resultcode.OutcomeUnknown)
 }
 
-func TestPausedClaimantAfterPromise(t *testing.T) {
-	// A daemon claims, and is stopped (SIGSTOP) before the first byte for longer
-	// than the claim's term. Once it goes on, a repeat elsewhere asks it before
-	// its own request gets to run on. Only one of the two may dispatch.
+func TestPausedClaimantAfterRevocation(t *testing.T) {
+	// A daemon claims and is then stopped (SIGSTOP) before the first byte for longer
+	// than its StartTimeout. When it resumes, a retry through another daemon queries
+	// it before its own request continues. Only one of the two may dispatch.
 	is := is.New(t)
 	f, table := newFleet(), newFakeTable()
 	var mu sync.Mutex
 	now := time.Now()
-	cfg := quick("a")
+	cfg := testConfig("a")
 	cfg.Now = func() time.Time { mu.Lock(); defer mu.Unlock(); return now }
-	a, b := f.add(t, table, cfg), f.add(t, table, quick("b"))
-	h := hold(t, a)
+	a, b := f.addDaemon(t, table, cfg), f.addDaemon(t, table, testConfig("b"))
+	h := mustHold(t, a)
 	mu.Lock()
 	now = now.Add(2 * time.Hour)
 	mu.Unlock()
-	second := hold(t, b)
+	second := mustHold(t, b)
 	err := h.Start(cfg.Now().Add(-2 * time.Hour)) // even with a time read before the pause
 	var failure *resultcode.Failure
 	is.True(errors.As(err, &failure))
@@ -192,144 +195,147 @@
 	is.True(second.Start(time.Now()) != nil) // once only
 }
 
-func TestAbandonLetsTheRepeatRun(t *testing.T) {
+func TestAbandonAllowsRetry(t *testing.T) {
 	is := is.New(t)
 	f, table := newFleet(), newFakeTable()
-	a, b := f.add(t, table, quick("a")), f.add(t, table, quick("b"))
-	h := hold(t, a)
+	a, b := f.addDaemon(t, table, testConfig("a")), f.addDaemon(t, table, testConfig("b"))
+	h := mustHold(t, a)
 	is.True(h.Abandon())
-	second := hold(t, b)
+	second := mustHold(t, b)
 	is.True(h.Start(time.Now()) != nil)
 	is.NoErr(second.Start(time.Now()))
-	is.True(!second.Abandon()) // a started hold cannot promise
-	is.True(second.NotRun())
+	is.True(!second.Abandon()) // a started hold cannot be abandoned
+	is.True(second.MarkNotRun())
 	is.NoErr(second.Start(time.Now())) // the target did not process it
 }
 
-func TestHoldIsClosed(t *testing.T) {
-	// A defect makes the handler panic. Before the first byte the repeat is let
-	// through; after it the repeat is told "may have run", and not for ever that
-	// the request is in progress. A hold that was finished stays so.
+func TestCloseHold(t *testing.T) {
+	// The request handler panics because of a bug. If this happens before the first
+	// byte, a retry is permitted; after it, a retry is told that the request may have
+	// run, rather than forever that it is in progress. Close does not change a hold
+	// that was finished.
 	is := is.New(t)
 	f, table := newFleet(), newFakeTable()
-	a, b := f.add(t, table, quick("a")), f.add(t, table, quick("b"))
-	hold(t, a).Close()
-	h := hold(t, b)
+	a, b := f.addDaemon(t, table, testConfig("a")), f.addDaemon(t, table, testConfig("b"))
+	mustHold(t, a).Close()
+	h := mustHold(t, b)
 	is.NoErr(h.Start(time.Now()))
 	h.Close()
-	is.Equal(refusal(t, a), resultcode.OutcomeUnknown)
-	key2 := key
-	key2.Idempotency = "filing-2"
-	d, err := a.Claim(t.Context(), key2, digest, "x")
+	is.Equal(mustBeRefused(t, a), resultcode.OutcomeUnknown)
+	key2 := testKey
+	key2.IdempotencyKey = "filing-2"
+	d, err := a.Claim(t.Context(), key2, testDigest, "x")
 	is.NoErr(err)
 	ran := d.(Proceed).Hold
 	is.NoErr(ran.Start(time.Now()))
-	table.set(faultDown)
+	table.setDefaultFault(faultDown)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	is.True(ran.Finish(ctx, Outcome{Result: resultcode.Ran}) != nil) // not yet recorded
+	is.True(ran.Finish(ctx, Outcome{Result: resultcode.Ran}) != nil) // not recorded yet
 	is.True(!ran.Abandon())
 	ran.Close()
-	table.set(faultNone)
+	table.setDefaultFault(faultNone)
 	flush(t, a)
-	d, err = b.Claim(t.Context(), key2, digest, "x")
+	d, err = b.Claim(t.Context(), key2, testDigest, "x")
 	is.NoErr(err)
 	is.Equal(d.(Refuse).Failure.Code, resultcode.AlreadyRan)
 }
 
-func TestStoreOut(t *testing.T) {
-	// The table is out of reach for longer than the wait. The caller is told
-	// that its request was not run. That stays true when the write takes effect
-	// afterwards, and the caller's repeat runs through any daemon.
-	for name, failing := range map[string]fault{
+func TestStoreOutage(t *testing.T) {
+	// The table is unreachable for longer than ClaimTimeout, and the caller is told
+	// that its request was not run. This must remain true if the write takes effect
+	// later, and a retry must run through any daemon.
+	for name, tableFault := range map[string]fault{
 		"down": faultDown, "lost": faultLost, "delayed": faultDelayed, "dropped": faultDropped,
 	} {
-		for _, through := range []ident.Daemon{"a", "b"} {
-			t.Run(fmt.Sprintf("%s, repeat through %s", name, through), func(t *testing.T) {
+		for _, retryDaemon := range []ident.Daemon{"a", "b"} {
+			t.Run(fmt.Sprintf("%s, repeat through %s", name, retryDaemon), func(t *testing.T) {
 				is := is.New(t)
 				f, table := newFleet(), newFakeTable()
-				f.add(t, table, quick("a"))
-				f.add(t, table, quick("b"))
-				table.set(failing)
-				refusedByOutage(t, f.claimers["a"])
-				table.set(faultNone)
-				table.release()
-				is.NoErr(hold(t, f.claimers[through]).Start(time.Now()))
+				f.addDaemon(t, table, testConfig("a"))
+				f.addDaemon(t, table, testConfig("b"))
+				table.setDefaultFault(tableFault)
+				claimDuringOutage(t, f.claimers["a"])
+				table.setDefaultFault(faultNone)
+				table.applyDelayed()
+				is.NoErr(mustHold(t, f.claimers[retryDaemon]).Start(time.Now()))
 			})
 		}
 	}
 }
 
 func TestClaimantDiesAfterStoreOutage(t *testing.T) {
-	// As above, but the daemon that gave up dies later. It recorded that the
-	// request did not run as soon as the table was back, so the repeat runs.
+	// As in TestStoreOutage, but the daemon that gave up crashes later. It recorded
+	// that the request did not run as soon as the table was available again, so a
+	// retry runs.
 	f, table := newFleet(), newFakeTable()
-	a, b := f.add(t, table, quick("a")), f.add(t, table, quick("b"))
-	table.set(faultDelayed)
-	refusedByOutage(t, a)
-	table.set(faultNone)
-	table.release()
+	a, b := f.addDaemon(t, table, testConfig("a")), f.addDaemon(t, table, testConfig("b"))
+	table.setDefaultFault(faultDelayed)
+	claimDuringOutage(t, a)
+	table.setDefaultFault(faultNone)
+	table.applyDelayed()
 	flush(t, a)
-	f.cut["a"] = true
-	hold(t, b)
+	f.unreachable["a"] = true
+	mustHold(t, b)
 }
 
-func TestLostAnswers(t *testing.T) {
-	// Single faults of the table are not seen by the caller: neither when the
-	// claim is written nor when its outcome is.
-	for name, failing := range map[string]fault{
+func TestSingleTableFaultIsHidden(t *testing.T) {
+	// A single fault of the table is hidden from the caller, both when the claim is
+	// written and when its outcome is written.
+	for name, tableFault := range map[string]fault{
 		"down": faultDown, "lost": faultLost, "delayed": faultDelayed, "dropped": faultDropped,
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			f, table := newFleet(), newFakeTable(failing, faultNone, failing)
-			a, b := f.add(t, table, quick("a")), f.add(t, table, quick("b"))
-			h := hold(t, a)
+			f, table := newFleet(), newFakeTable(tableFault, faultNone, tableFault)
+			a, b := f.addDaemon(t, table, testConfig("a")), f.addDaemon(t, table, testConfig("b"))
+			h := mustHold(t, a)
 			is.NoErr(h.Start(time.Now()))
 			is.NoErr(h.Finish(t.Context(), Outcome{Result: resultcode.Ran}))
-			table.release()
-			f.cut["a"] = true
-			is.Equal(refusal(t, b), resultcode.AlreadyRan)
+			table.applyDelayed()
+			f.unreachable["a"] = true
+			is.Equal(mustBeRefused(t, b), resultcode.AlreadyRan)
 		})
 	}
 }
 
-func TestOutcomeIsKnownWhileStoreIsOut(t *testing.T) {
-	// A run ends while the table is out. Its daemon answers askers and its own
-	// callers from memory, and records the outcome when the table is back.
+func TestOutcomeIsKnownDuringStoreOutage(t *testing.T) {
+	// A run finishes while the table is unavailable. Its daemon answers queries and
+	// its own callers from memory, and records the outcome once the table is
+	// available again.
 	is := is.New(t)
 	f, table := newFleet(), newFakeTable()
-	a, b := f.add(t, table, quick("a")), f.add(t, table, quick("b"))
-	h := hold(t, a)
+	a, b := f.addDaemon(t, table, testConfig("a")), f.addDaemon(t, table, testConfig("b"))
+	h := mustHold(t, a)
 	is.NoErr(h.Start(time.Now()))
-	table.set(faultDown)
+	table.setDefaultFault(faultDown)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	is.True(h.Finish(ctx, Outcome{Result: resultcode.MayHaveRun}) != nil)
-	is.Equal(refusal(t, a), resultcode.OutcomeUnknown)
-	table.set(faultNone)
+	is.Equal(mustBeRefused(t, a), resultcode.OutcomeUnknown)
+	table.setDefaultFault(faultNone)
 	flush(t, a)
-	f.cut["a"] = true
-	is.Equal(refusal(t, b), resultcode.OutcomeUnknown)
+	f.unreachable["a"] = true
+	is.Equal(mustBeRefused(t, b), resultcode.OutcomeUnknown)
 }
 
-func TestConflictDoesNotFailTheOthers(t *testing.T) {
+func TestConflictDoesNotFailBatch(t *testing.T) {
 	is := is.New(t)
 	f, table := newFleet(), newFakeTable()
-	cfg := quick("a")
+	cfg := testConfig("a")
 	cfg.Linger = 20 * time.Millisecond
-	a, b := f.add(t, table, cfg), f.add(t, table, quick("b"))
-	hold(t, b)
+	a, b := f.addDaemon(t, table, cfg), f.addDaemon(t, table, testConfig("b"))
+	mustHold(t, b)
 	const callers = 50
 	var granted sync.Map
 	var wg sync.WaitGroup
 	for i := range callers {
 		wg.Go(func() {
-			k := key
+			k := testKey
 			if i > 0 {
-				k.Idempotency = fmt.Sprint("filing-", i+1)
+				k.IdempotencyKey = fmt.Sprint("filing-", i+1)
 			}
-			d, err := a.Claim(t.Context(), k, digest, "x")
+			d, err := a.Claim(t.Context(), k, testDigest, "x")
 			_, ok := d.(Proceed)
 			granted.Store(i, ok && err == nil)
 		})
@@ -344,10 +350,10 @@
 func TestRequestWithoutKeyNeedsNoTable(t *testing.T) {
 	is := is.New(t)
 	f, table := newFleet(), newFakeTable()
-	table.set(faultDown)
-	a := f.add(t, table, quick("a"))
+	table.setDefaultFault(faultDown)
+	a := f.addDaemon(t, table, testConfig("a"))
 	for range 2 {
-		d, err := a.Claim(t.Context(), Key{Service: key.Service, Workspace: key.Workspace}, digest, "x")
+		d, err := a.Claim(t.Context(), Key{Service: testKey.Service, Workspace: testKey.Workspace}, testDigest, "x")
 		is.NoErr(err)
 		h := d.(Proceed).Hold
 		is.NoErr(h.Start(time.Now()))
--- a/internal/claim/committer.go
+++ b/internal/claim/committer.go
@@ -13,75 +13,78 @@
 	"github.com/savorystall/savorystall/internal/platform"
 )
 
-// write is one row of a transaction to come.
-type write struct {
+// pendingWrite is a row to be written in a later transaction.
+type pendingWrite struct {
 	key      string
-	revision uint64 // the row's revision before; zero: absent
+	revision uint64 // the expected revision of the row; zero: absent
 	value    []byte
-	// sent tells that a transaction with the write is in flight, maybe that an
-	// earlier one was not settled.
-	sent, maybe bool
-	// final marks the record of an outcome: nobody waits for it, so claims go
-	// first.
+	// inFlight reports that a transaction with the write is in flight,
+	// mayHaveCommitted that the result of an earlier one is unknown.
+	inFlight, mayHaveCommitted bool
+	// final marks the record of an outcome. No caller waits for it, so claims take
+	// precedence.
 	final bool
-	// canceled keeps the write out of further transactions.
+	// canceled excludes the write from further transactions.
 	canceled bool
-	// done gets the result, once, on the committer's goroutine. It must not block.
-	done func(writeResult)
+	// onResult is called once with the result, on the committer's goroutine. It
+	// must not block.
+	onResult func(writeResult)
 }
 
-// writeResult is a row written (Conflict nil) or the row that was in the way.
+// writeResult is the revision of the written row, or the conflicting row if
+// conflict is not nil.
 type writeResult struct {
 	revision uint64
 	conflict *platform.Row
 }
 
-// committer writes many rows in one transaction, one transaction at a time.
+// committer batches rows into transactions and runs one transaction at a time.
 //
-// The load pattern: 25,000 requests a second in the fleet, any part of them
-// unrepeatable, against a table that takes several hundred transactions a
-// second. With one transaction a request the table is full at one request in a
-// hundred, and every claim behind waits out its caller.
+// The load pattern it addresses: 25,000 requests per second in the fleet, any
+// fraction of them non-idempotent, against a table that accepts several hundred
+// transactions per second. With one transaction per request, the table is
+// saturated if one request in a hundred needs a claim, and all further claims
+// wait until their callers time out.
 //
-// A transaction waits for Linger after the first row, so that a burst shares
-// it; while one is in flight the next rows gather. A row in conflict is taken
-// out and the others are tried again at once.
+// A transaction waits for Linger after its first row, so that a burst shares it;
+// further rows queue while one is in flight. Rows in conflict are removed from
+// the batch and the others are retried immediately.
 type committer struct {
-	cfg   Config
-	table platform.Table
-	pace  *rate.Limiter
-	onErr func(error)
+	cfg     Config
+	table   platform.Table
+	limiter *rate.Limiter
+	onError func(error)
 
 	mu sync.Mutex
-	// claims have a caller who waits; finals have not.
-	claims, finals []*write
+	// A caller waits for each of the claims; none waits for the finals.
+	claims, finals []*pendingWrite
 	wake           chan struct{}
-	// fails counts failed transactions in a row.
-	fails int
+	// consecutiveFailures counts the failed transactions since the last success.
+	consecutiveFailures int
 }
 
-// burst is the transactions that an idle committer may make at once, so that
-// light traffic never waits for its share of the budget.
-const burst = 4
+// burstTransactions is how many transactions an idle committer may run without
+// pacing, so that light traffic never waits for its share of the budget.
+const burstTransactions = 4
 
-func newCommitter(cfg Config, table platform.Table, onErr func(error)) *committer {
+func newCommitter(cfg Config, table platform.Table, onError func(error)) *committer {
 	return &committer{
-		cfg:   cfg,
-		table: table,
-		pace:  rate.NewLimiter(rate.Limit(cfg.WritesPerSecond), burst),
-		onErr: onErr,
-		wake:  make(chan struct{}, 1),
+		cfg:     cfg,
+		table:   table,
+		limiter: rate.NewLimiter(rate.Limit(cfg.WritesPerSecond), burstTransactions),
+		onError: onError,
+		wake:    make(chan struct{}, 1),
 	}
 }
 
-func (c *committer) submit(w *write) {
+func (c *committer) submit(w *pendingWrite) {
 	c.mu.Lock()
-	c.push(w)
+	c.enqueue(w)
 	c.mu.Unlock()
 	c.signal()
 }
 
-func (c *committer) push(w *write) {
+func (c *committer) enqueue(w *pendingWrite) {
 	if w.final {
 		c.finals = append(c.finals, w)
 		return
@@ -96,19 +99,19 @@
 	}
 }
 
-// cancel withdraws a write. It returns whether the write may have taken effect
-// or may still do so.
-func (c *committer) cancel(w *write) (sent bool) {
+// cancel withdraws a write. It reports whether the write may have taken effect or
+// may still do so.
+func (c *committer) cancel(w *pendingWrite) (mayTakeEffect bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w.canceled = true
-	return w.sent || w.maybe
+	return w.inFlight || w.mayHaveCommitted
 }
 
-// run commits until ctx ends.
+// run commits queued writes until ctx ends.
 func (c *committer) run(ctx context.Context) {
 	for {
-		if !c.pending() {
+		if !c.hasPending() {
 			select {
 			case <-ctx.Done():
 				return
@@ -116,10 +119,10 @@
 				continue
 			}
 		}
-		if !sleep(ctx, c.cfg.Linger) || c.pace.Wait(ctx) != nil {
+		if !sleep(ctx, c.cfg.Linger) || c.limiter.Wait(ctx) != nil {
 			return
 		}
-		if batch := c.take(); len(batch) > 0 && !c.commit(ctx, batch) {
+		if batch := c.nextBatch(); len(batch) > 0 && !c.commit(ctx, batch) {
 			if !sleep(ctx, c.backoff()) {
 				return
 			}
@@ -127,56 +130,57 @@
 	}
 }
 
-func (c *committer) setPace(n float64) {
-	if n > 0 {
-		c.pace.SetLimit(rate.Limit(n))
+func (c *committer) setRate(perSecond float64) {
+	if perSecond > 0 {
+		c.limiter.SetLimit(rate.Limit(perSecond))
 	}
 }
 
-func (c *committer) pending() bool {
+func (c *committer) hasPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.claims)+len(c.finals) > 0
 }
 
-// finalShare is the part of a transaction, as a divisor, that final records may
-// take while claims wait: else a queue of claims that never empties would keep
-// every outcome in memory.
-const finalShare = 4
+// finalShareDivisor determines how much of a transaction is reserved for final
+// records while claims are waiting: the maximum number of rows divided by it.
+// Without the reserve, a queue of claims that never empties would keep every
+// outcome in memory.
+const finalShareDivisor = 4
 
-// take removes the next transaction's rows from the queues. After a failure it
-// is a single row: the table that comes back gets one small probe from each
-// daemon, not all that has gathered.
-func (c *committer) take() []*write {
+// nextBatch removes the rows of the next transaction from the queues. After a
+// failure it takes a single row, so that a recovering table receives one small
+// probe from each daemon rather than the whole backlog.
+func (c *committer) nextBatch() []*pendingWrite {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.fails > 0 {
+	if c.consecutiveFailures > 0 {
 		b := c.newBatch(1)
 		c.claims = b.fill(c.claims, 1)
 		c.finals = b.fill(c.finals, 1)
 		return b.writes
 	}
-	b := c.newBatch(c.cfg.BatchRows)
-	c.claims = b.fill(c.claims, c.cfg.BatchRows-min(len(c.finals), c.cfg.BatchRows/finalShare))
-	c.finals = b.fill(c.finals, c.cfg.BatchRows)
-	c.claims = b.fill(c.claims, c.cfg.BatchRows)
+	b := c.newBatch(c.cfg.MaxBatchRows)
+	c.claims = b.fill(c.claims, c.cfg.MaxBatchRows-min(len(c.finals), c.cfg.MaxBatchRows/finalShareDivisor))
+	c.finals = b.fill(c.finals, c.cfg.MaxBatchRows)
+	c.claims = b.fill(c.claims, c.cfg.MaxBatchRows)
 	return b.writes
 }
 
-// batch is a transaction in the making. It never holds the same key twice.
+// batch collects the rows of a transaction. It never contains a key twice.
 type batch struct {
-	writes []*write
-	keys   map[string]bool
-	space  int
+	writes         []*pendingWrite
+	keys           map[string]bool
+	remainingBytes int
 }
 
 func (c *committer) newBatch(rows int) *batch {
-	return &batch{keys: make(map[string]bool, rows), space: c.cfg.BatchBytes}
+	return &batch{keys: make(map[string]bool, rows), remainingBytes: c.cfg.MaxBatchBytes}
 }
 
-// fill moves writes from the queue until the batch has the given rows, and
-// returns what is left of the queue.
-func (b *batch) fill(queue []*write, rows int) (rest []*write) {
+// fill moves writes from the queue into the batch until it has the given number of
+// rows, and returns the rest of the queue.
+func (b *batch) fill(queue []*pendingWrite, rows int) (rest []*pendingWrite) {
 	for i, w := range queue {
 		if len(b.writes) >= rows {
 			return append(rest, queue[i:]...)
@@ -184,7 +188,7 @@
 		if w.canceled {
 			continue
 		}
-		if b.keys[w.key] || (len(b.writes) > 0 && len(w.value) > b.space) {
+		if b.keys[w.key] || (len(b.writes) > 0 && len(w.value) > b.remainingBytes) {
 			rest = append(rest, w)
 			continue
 		}
@@ -193,98 +197,98 @@
 	return rest
 }
 
-func (b *batch) add(w *write) {
+func (b *batch) add(w *pendingWrite) {
 	b.keys[w.key] = true
-	b.space -= len(w.value)
+	b.remainingBytes -= len(w.value)
 	b.writes = append(b.writes, w)
-	w.sent = true
+	w.inFlight = true
 }
 
-// commit tries one transaction. It is false where the table was out of reach.
-func (c *committer) commit(ctx context.Context, batch []*write) bool {
-	try, cancel := context.WithTimeout(ctx, c.cfg.CommitTimeout)
+// commit tries one transaction. It returns false if the transaction failed for a
+// reason other than a conflict of some of its rows.
+func (c *committer) commit(ctx context.Context, batch []*pendingWrite) bool {
+	commitCtx, cancel := context.WithTimeout(ctx, c.cfg.CommitTimeout)
 	defer cancel()
-	revision, err := c.table.Commit(try, c.transaction(batch))
+	revision, err := c.table.Commit(commitCtx, c.buildTransaction(batch))
 	var conflict *platform.Conflict
 	switch {
 	case err == nil:
-		c.fails = 0
+		c.consecutiveFailures = 0
 		for _, w := range batch {
-			w.done(writeResult{revision: revision})
+			w.onResult(writeResult{revision: revision})
 		}
 		return true
 	case errors.As(err, &conflict) && len(conflict.Rows) > 0:
-		c.fails = 0
-		return c.split(batch, conflict)
+		c.consecutiveFailures = 0
+		return c.handleConflict(batch, conflict)
 	}
-	c.fails++
-	c.onErr(err)
+	c.consecutiveFailures++
+	c.onError(err)
 	var unavailable *platform.Unavailable
 	c.requeue(batch, errors.As(err, &unavailable))
 	return false
 }
 
-// split reports the rows in conflict and queues the others again.
-func (c *committer) split(batch []*write, conflict *platform.Conflict) bool {
+// handleConflict reports the rows in conflict and requeues the others.
+func (c *committer) handleConflict(batch []*pendingWrite, conflict *platform.Conflict) bool {
 	rows := make(map[string]platform.Row, len(conflict.Rows))
 	for _, row := range conflict.Rows {
 		rows[row.Key] = row
 	}
-	var rest []*write
+	var rest []*pendingWrite
 	for _, w := range batch {
-		row, hit := rows[w.key]
-		if !hit {
+		row, inConflict := rows[w.key]
+		if !inConflict {
 			rest = append(rest, w)
 			continue
 		}
-		w.done(writeResult{conflict: &row})
+		w.onResult(writeResult{conflict: &row})
 	}
 	c.requeue(rest, true)
 	return len(rest) < len(batch)
 }
 
-// requeue puts writes back in their queues.
+// requeue puts writes back into their queues.
 //
-// An answer may be lost after the write took effect, and an effect may come
-// late. The write is then tried again with its condition as before, so that it
-// can take effect once only, and the row that is in the way shows the token of
-// the claim that wrote it.
-func (c *committer) requeue(batch []*write, unwritten bool) {
+// A response may be lost after the write took effect, and a write may take effect
+// late. It is then retried with an unchanged condition, so that it can take effect
+// only once; the conflicting row shows the token of the claim that wrote it.
+func (c *committer) requeue(batch []*pendingWrite, notCommitted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, w := range batch {
-		w.sent = false
-		w.maybe = w.maybe || !unwritten
-		c.push(w)
+		w.inFlight = false
+		w.mayHaveCommitted = w.mayHaveCommitted || !notCommitted
+		c.enqueue(w)
 	}
 }
 
-func (c *committer) transaction(batch []*write) platform.Transaction {
-	tx := platform.Transaction{Operation: newOperation()}
+func (c *committer) buildTransaction(batch []*pendingWrite) platform.Transaction {
+	transaction := platform.Transaction{Operation: newOperationID()}
 	for _, w := range batch {
-		tx.Conditions = append(tx.Conditions, platform.Condition{Key: w.key, Revision: w.revision})
-		tx.Puts = append(tx.Puts, platform.Put{Key: w.key, Value: w.value, TTL: c.cfg.RecordTTL})
+		transaction.Conditions = append(transaction.Conditions, platform.Condition{Key: w.key, Revision: w.revision})
+		transaction.Puts = append(transaction.Puts, platform.Put{Key: w.key, Value: w.value, TTL: c.cfg.RecordTTL})
 	}
-	return tx
+	return transaction
 }
 
-// backoff returns a wait with full jitter, so that the daemons do not come back
-// together after an outage.
+// backoff returns a delay with full jitter, so that the daemons do not retry
+// simultaneously after an outage.
 func (c *committer) backoff() time.Duration {
-	limit := 2 * c.cfg.Backoff << min(c.fails-1, 16)
+	limit := 2 * c.cfg.Backoff << min(c.consecutiveFailures-1, 16)
 	return time.Duration(c.cfg.Random() * float64(min(limit, c.cfg.BackoffMax)))
 }
 
-const operationBytes = 16
+const operationIDBytes = 16
 
-func newOperation() string {
-	var b [operationBytes]byte
-	// crypto/rand.Read never returns an error since Go 1.24.
+func newOperationID() string {
+	var b [operationIDBytes]byte
+	// Since Go 1.24, crypto/rand.Read never returns an error.
 	_, _ = rand.Read(b[:])
 	return "claim-" + hex.EncodeToString(b[:])
 }
 
-// sleep waits; it is false where ctx ended first.
+// sleep waits for d. It returns false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/claim/explore_test.go
+++ b/internal/claim/explore_test.go
@@ -13,169 +13,170 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-// The world below is one key, one row and three daemons, driven by random
-// interleavings of lost, late and repeated messages, pauses, restarts and the
-// expiry of the row. It is built from the rules that Claimer uses: judge,
-// judgeAnswer, judgeFinal and ledger.
+// The simulation models one key, one row and three daemons under random
+// interleavings of lost, late and duplicated messages, pauses, restarts and the
+// expiry of the row. It uses the same functions as Claimer: evaluateRow,
+// evaluateStatus, evaluateFinalConflict and ledger.
 
 func init() { fixedseed.Explore(3000, 60) }
 
 const (
-	worldTerm = 10 * time.Second
-	worldTTL  = 60 * time.Second
+	simulatedStartTimeout = 10 * time.Second
+	simulatedTTL          = 60 * time.Second
 )
 
-type tryState int
+type callState int
 
 const (
-	tryWaiting tryState = iota // for the table or for a claimant
-	tryHeld
-	tryRunning
-	tryRan   // the target ran it, whatever is told
-	tryEnded // without a run
-	tryDead  // its process is gone, and it had not started
+	callWaiting callState = iota // for the table or for a claimant
+	callHeld
+	callRunning
+	callRan   // the target ran it, whatever outcome is reported
+	callEnded // without a run
+	callDead  // its process ended before it started
 )
 
-// try is one call of Claim with its run.
-type try struct {
-	name        string
-	daemon      *node
-	incarnation uint64
-	record      Record
-	revision    uint64
-	state       tryState
-	generation  int  // of the row when its first byte left
-	toldNotRun  bool // its caller was told so
+// claimCall is one call of Claim and its run.
+type claimCall struct {
+	name           string
+	daemon         *simulatedDaemon
+	incarnation    uint64
+	record         Record
+	revision       uint64
+	state          callState
+	generation     int  // of the row when the first byte was sent
+	reportedNotRun bool // its caller was told that it did not run
 }
 
-func (y *try) alive() bool { return y.daemon.incarnation == y.incarnation }
+func (c *claimCall) alive() bool { return c.daemon.incarnation == c.incarnation }
 
-type node struct {
+type simulatedDaemon struct {
 	id          ident.Daemon
 	incarnation uint64
 	ledger      *ledger
 	paused      bool
 }
 
-// message is a write, a question or an answer on its way.
+// message is a write, a query or a reply in flight.
 type message struct {
-	from     *try
+	from     *claimCall
 	final    bool // the write of a final record
 	record   Record
 	revision uint64
-	row      observed // in questions and answers: the row that was judged
-	question bool
-	answer   *Answer
-	result   *observed // what the table answered
+	row      observedRow // in queries and their replies: the row that was evaluated
+	query    bool
+	status   *Status
+	result   *observedRow // the reply of the table
 	written  bool
 }
 
-type world struct {
+type simulation struct {
 	now        time.Time
-	row        observed
-	wroteAt    time.Time
+	row        observedRow
+	writtenAt  time.Time
 	revision   uint64
 	generation int
-	nodes      []*node
-	tries      []*try
-	wire       []message
-	ran        int
-	tokens     int
+	daemons    []*simulatedDaemon
+	calls      []*claimCall
+	inFlight   []message
+	runs       int
+	lastToken  int
 }
 
-func newWorld() *world {
-	w := &world{now: time.Now()}
+func newSimulation() *simulation {
+	s := &simulation{now: time.Now()}
 	for i := range 3 {
-		w.nodes = append(w.nodes, &node{
-			id: ident.Daemon(fmt.Sprint("d", i)), incarnation: 1, ledger: newLedger(worldTerm),
+		s.daemons = append(s.daemons, &simulatedDaemon{
+			id: ident.Daemon(fmt.Sprint("d", i)), incarnation: 1, ledger: newLedger(simulatedStartTimeout),
 		})
 	}
-	return w
+	return s
 }
 
-func (w *world) begin(n *node) *try {
-	w.tokens++
-	token := ident.Attempt(fmt.Sprint("t", w.tokens))
-	y := &try{name: string(token), daemon: n, incarnation: n.incarnation}
-	y.record = Record{Digest: digest, Daemon: n.id, Incarnation: n.incarnation, Token: token}
-	w.tries = append(w.tries, y)
-	if d := n.ledger.begin(key, token, digest, w.now); d != nil {
-		w.decide(y, d)
-		return y
+func (s *simulation) begin(n *simulatedDaemon) *claimCall {
+	s.lastToken++
+	token := ident.Attempt(fmt.Sprint("t", s.lastToken))
+	c := &claimCall{name: string(token), daemon: n, incarnation: n.incarnation}
+	c.record = Record{Digest: testDigest, Daemon: n.id, Incarnation: n.incarnation, Token: token}
+	s.calls = append(s.calls, c)
+	if d := n.ledger.begin(testKey, token, testDigest, s.now); d != nil {
+		s.applyDecision(c, d)
+		return c
 	}
-	w.send(y)
-	return y
+	s.sendClaim(c)
+	return c
 }
 
-// send puts the claim's write on the wire. An earlier one may still be there.
-func (w *world) send(y *try) {
-	w.wire = append(w.wire, message{from: y, record: y.record, revision: y.revision})
+// sendClaim sends the claim's write. An earlier one may still be in flight.
+func (s *simulation) sendClaim(c *claimCall) {
+	s.inFlight = append(s.inFlight, message{from: c, record: c.record, revision: c.revision})
 }
 
-func (w *world) decide(y *try, d Decision) {
-	y.state = tryEnded
-	y.daemon.ledger.drop(key, y.record.Token)
+func (s *simulation) applyDecision(c *claimCall, d Decision) {
+	c.state = callEnded
+	c.daemon.ledger.abandon(testKey, c.record.Token)
 	switch d := d.(type) {
 	case Replay:
-		w.mustHaveRun("replay")
+		s.requireRun("replay")
 	case Refuse:
 		if d.Failure.Code.Outcome == resultcode.Ran {
-			w.mustHaveRun("already ran")
+			s.requireRun("already ran")
 		}
 	}
 }
 
-func (w *world) mustHaveRun(what string) {
-	if w.ran == 0 {
+func (s *simulation) requireRun(what string) {
+	if s.runs == 0 {
 		panic(what + " without a run")
 	}
 }
 
-// write applies a write to the table and returns what the table answers.
-func (w *world) write(m message) message {
-	if m.revision != w.row.Revision {
-		row := w.row
+// write applies a write to the table and returns the table's reply.
+func (s *simulation) write(m message) message {
+	if m.revision != s.row.Revision {
+		row := s.row
 		m.result = &row
 		return m
 	}
-	w.revision++
-	w.row = observed{Record: m.record, Revision: w.revision}
-	w.wroteAt = w.now
+	s.revision++
+	s.row = observedRow{Record: m.record, Revision: s.revision}
+	s.writtenAt = s.now
 	m.written = true
-	m.result = &observed{Record: m.record, Revision: w.revision}
+	m.result = &observedRow{Record: m.record, Revision: s.revision}
 	return m
 }
 
-// deliver takes one message to where it goes and returns what comes back.
-func (w *world) deliver(m message) (message, bool) {
+// deliver delivers one message. It returns the reply, or the message itself if it
+// has to be delivered later; the result is false if there is neither.
+func (s *simulation) deliver(m message) (message, bool) {
 	switch {
-	case m.question:
-		n := w.node(m.row.Daemon)
+	case m.query:
+		n := s.daemon(m.row.Daemon)
 		if n.paused {
 			return m, true
 		}
-		a := Answer{Kind: AnswerUnknown}
+		status := Status{Kind: StateUnknown}
 		if n.incarnation == m.row.Incarnation {
-			a = n.ledger.answer(key, m.row.Token, w.now)
+			status = n.ledger.answerQuery(testKey, m.row.Token, s.now)
 		}
-		m.question, m.answer = false, &a
+		m.query, m.status = false, &status
 		return m, true
-	case m.answer == nil && m.result == nil:
-		return w.write(m), true
+	case m.status == nil && m.result == nil:
+		return s.write(m), true
 	case !m.from.alive():
 		return m, false
 	case m.from.daemon.paused:
 		return m, true
 	case m.final:
-		return w.finalAnswered(m)
-	case m.from.state == tryWaiting:
-		w.answered(m)
+		return s.handleFinalReply(m)
+	case m.from.state == callWaiting:
+		s.handleReply(m)
 	}
 	return m, false
 }
 
-func (w *world) node(id ident.Daemon) *node {
-	for _, n := range w.nodes {
+func (s *simulation) daemon(id ident.Daemon) *simulatedDaemon {
+	for _, n := range s.daemons {
 		if n.id == id {
 			return n
 		}
@@ -183,261 +184,263 @@
 	panic("no such daemon")
 }
 
-func (w *world) answered(m message) {
-	y := m.from
+func (s *simulation) handleReply(m message) {
+	c := m.from
 	if m.written {
-		w.held(y, m.result.Revision)
+		s.markHeld(c, m.result.Revision)
 		return
 	}
 	row := m.row
-	var v verdict
+	var act action
 	var d Decision
-	if m.answer != nil {
-		v, d = judgeAnswer(*m.answer, nil)
+	if m.status != nil {
+		act, d = evaluateStatus(*m.status, nil)
 	} else {
 		row = *m.result
-		v, d = judge(row, y.record)
+		act, d = evaluateRow(row, c.record)
 	}
-	w.follow(y, row, v, d)
+	s.applyAction(c, row, act, d)
 }
 
-func (w *world) follow(y *try, row observed, v verdict, d Decision) {
-	if y.state != tryWaiting || !y.alive() {
+func (s *simulation) applyAction(c *claimCall, row observedRow, act action, d Decision) {
+	if c.state != callWaiting || !c.alive() {
 		return
 	}
-	switch v {
-	case verdictAsk:
-		w.wire = append(w.wire, message{from: y, question: true, row: row})
-	case verdictHeld:
-		w.held(y, row.Revision)
-	case verdictWrite:
-		// As in Claimer.judge, the next write requires this revision only from
-		// here on. Set while a question was open, a repeat of the lost first
-		// write took over a claim whose claimant had not answered yet.
-		y.revision = row.Revision
-		w.send(y)
+	switch act {
+	case actionQuery:
+		s.inFlight = append(s.inFlight, message{from: c, query: true, row: row})
+	case actionProceed:
+		s.markHeld(c, row.Revision)
+	case actionWrite:
+		// As in Claimer.resolveConflict, the next write requires this revision only
+		// from here on. If it were set while a query is pending, a retry of the lost
+		// first write would take over a claim whose claimant has not replied yet.
+		c.revision = row.Revision
+		s.sendClaim(c)
 	default:
-		w.decide(y, d)
+		s.applyDecision(c, d)
 	}
 }
 
-func (w *world) held(y *try, revision uint64) {
-	y.revision = revision
-	if !y.daemon.ledger.held(key, y.record.Token) {
-		w.notRun(y)
+func (s *simulation) markHeld(c *claimCall, revision uint64) {
+	c.revision = revision
+	if !c.daemon.ledger.markHeld(testKey, c.record.Token) {
+		s.giveUp(c)
 		return
 	}
-	y.state = tryHeld
+	c.state = callHeld
 }
 
-func (w *world) finalAnswered(m message) (message, bool) {
+func (s *simulation) handleFinalReply(m message) (message, bool) {
 	if !m.written {
-		revision, settled := judgeFinal(*m.result, m.from.record.Token)
+		revision, settled := evaluateFinalConflict(*m.result, m.from.record.Token)
 		if !settled {
 			return message{from: m.from, final: true, record: m.record, revision: revision}, true
 		}
 	}
-	m.from.daemon.ledger.forget(key, m.from.record.Token)
+	m.from.daemon.ledger.removeFinished(testKey, m.from.record.Token)
 	return m, false
 }
 
-// notRun tells the caller that its request was not run.
-func (w *world) notRun(y *try) {
-	y.toldNotRun = true
-	y.state = tryEnded
-	y.daemon.ledger.drop(key, y.record.Token)
-	w.final(y, Outcome{Result: resultcode.NotRun})
+// giveUp tells the caller that its request was not run.
+func (s *simulation) giveUp(c *claimCall) {
+	c.reportedNotRun = true
+	c.state = callEnded
+	c.daemon.ledger.abandon(testKey, c.record.Token)
+	s.sendFinal(c, Outcome{Result: resultcode.NotRun})
 }
 
-func (w *world) final(y *try, o Outcome) {
-	record := y.record
+func (s *simulation) sendFinal(c *claimCall, o Outcome) {
+	record := c.record
 	record.Done, record.Outcome = true, o
-	w.wire = append(w.wire, message{from: y, final: true, record: record, revision: y.revision})
+	s.inFlight = append(s.inFlight, message{from: c, final: true, record: record, revision: c.revision})
 }
 
-// start asks for the first byte with a clock that was read before a pause. The
-// pause is shorter than the record lives without the term: a longer one between
-// the reading and the first byte is beyond the rule.
-func (w *world) start(y *try, pause time.Duration) {
-	if !y.daemon.ledger.start(key, y.record.Token, w.now.Add(-pause)) {
-		w.notRun(y)
+// start requests to send the first byte with a clock reading taken before a pause.
+// The pause is shorter than the record's TTL minus the start timeout; the rules do
+// not cover a longer pause between the clock reading and the first byte.
+func (s *simulation) start(c *claimCall, pause time.Duration) {
+	if !c.daemon.ledger.start(testKey, c.record.Token, s.now.Add(-pause)) {
+		s.giveUp(c)
 		return
 	}
-	y.state, y.generation = tryRunning, w.generation
-	w.ran++
+	c.state, c.generation = callRunning, s.generation
+	s.runs++
 }
 
-func (w *world) check(t *rapid.T) {
+func (s *simulation) checkInvariants(t *rapid.T) {
 	runs := map[int][]string{}
-	for _, y := range w.tries {
-		if y.state != tryRunning && y.state != tryRan {
+	for _, c := range s.calls {
+		if c.state != callRunning && c.state != callRan {
 			continue
 		}
-		if y.toldNotRun {
-			t.Fatalf("%s ran and its caller was told that it did not", y.name)
+		if c.reportedNotRun {
+			t.Fatalf("%s ran and its caller was told that it did not", c.name)
 		}
-		if runs[y.generation] = append(runs[y.generation], y.name); len(runs[y.generation]) > 1 {
-			t.Fatalf("more than one run: %v", runs[y.generation])
+		if runs[c.generation] = append(runs[c.generation], c.name); len(runs[c.generation]) > 1 {
+			t.Fatalf("more than one run: %v", runs[c.generation])
 		}
 	}
 }
 
-// pick draws one of the tries in a state whose process lives and is not paused.
-func (w *world) pick(t *rapid.T, state tryState) *try {
-	var able []*try
-	for _, y := range w.tries {
-		if y.state == state && y.alive() && !y.daemon.paused {
-			able = append(able, y)
+// pickCall draws a call in the given state whose process is alive and not paused.
+func (s *simulation) pickCall(t *rapid.T, state callState) *claimCall {
+	var candidates []*claimCall
+	for _, c := range s.calls {
+		if c.state == state && c.alive() && !c.daemon.paused {
+			candidates = append(candidates, c)
 		}
 	}
-	if len(able) == 0 {
-		t.Skip("no such try")
+	if len(candidates) == 0 {
+		t.Skip("no call in this state")
 	}
-	return rapid.SampledFrom(able).Draw(t, "try")
+	return rapid.SampledFrom(candidates).Draw(t, "call")
 }
 
-func (w *world) pickNode(t *rapid.T) *node { return rapid.SampledFrom(w.nodes).Draw(t, "daemon") }
+func (s *simulation) pickDaemon(t *rapid.T) *simulatedDaemon {
+	return rapid.SampledFrom(s.daemons).Draw(t, "daemon")
+}
 
-func (w *world) pickMessage(t *rapid.T) int {
-	if len(w.wire) == 0 {
+func (s *simulation) pickMessage(t *rapid.T) int {
+	if len(s.inFlight) == 0 {
 		t.Skip("nothing on the wire")
 	}
-	return rapid.IntRange(0, len(w.wire)-1).Draw(t, "message")
+	return rapid.IntRange(0, len(s.inFlight)-1).Draw(t, "message")
 }
 
-func (w *world) remove(i int) message {
-	m := w.wire[i]
-	w.wire = append(w.wire[:i:i], w.wire[i+1:]...)
+func (s *simulation) removeMessage(i int) message {
+	m := s.inFlight[i]
+	s.inFlight = append(s.inFlight[:i:i], s.inFlight[i+1:]...)
 	return m
 }
 
-func (w *world) hand(m message) {
-	if back, more := w.deliver(m); more {
-		w.wire = append(w.wire, back)
+func (s *simulation) deliverMessage(m message) {
+	if reply, ok := s.deliver(m); ok {
+		s.inFlight = append(s.inFlight, reply)
 	}
 }
 
-func (w *world) actions() map[string]func(*rapid.T) {
+func (s *simulation) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
-		"": w.check,
+		"": s.checkInvariants,
 		"repeat": func(t *rapid.T) {
-			if n := w.pickNode(t); !n.paused {
-				w.begin(n)
+			if n := s.pickDaemon(t); !n.paused {
+				s.begin(n)
 			}
 		},
-		"deliver": func(t *rapid.T) { w.hand(w.remove(w.pickMessage(t))) },
+		"deliver": func(t *rapid.T) { s.deliverMessage(s.removeMessage(s.pickMessage(t))) },
 		"catch up": func(t *rapid.T) {
-			for range len(w.wire) {
-				w.hand(w.remove(0))
+			for range len(s.inFlight) {
+				s.deliverMessage(s.removeMessage(0))
 			}
 		},
 		"round trip": func(*rapid.T) {
-			for n := 0; len(w.wire) > 0 && n < 20; n++ {
-				w.hand(w.remove(0))
+			for n := 0; len(s.inFlight) > 0 && n < 20; n++ {
+				s.deliverMessage(s.removeMessage(0))
 			}
 		},
-		"duplicate": func(t *rapid.T) { w.hand(w.wire[w.pickMessage(t)]) },
-		"lose":      func(t *rapid.T) { w.remove(w.pickMessage(t)) },
-		"resend":    func(t *rapid.T) { w.send(w.pick(t, tryWaiting)) },
-		"give up":   func(t *rapid.T) { w.notRun(w.pick(t, tryWaiting)) },
+		"duplicate": func(t *rapid.T) { s.deliverMessage(s.inFlight[s.pickMessage(t)]) },
+		"lose":      func(t *rapid.T) { s.removeMessage(s.pickMessage(t)) },
+		"resend":    func(t *rapid.T) { s.sendClaim(s.pickCall(t, callWaiting)) },
+		"give up":   func(t *rapid.T) { s.giveUp(s.pickCall(t, callWaiting)) },
 		"no answer": func(t *rapid.T) {
-			i := w.pickMessage(t)
-			if m := w.wire[i]; m.question || m.answer != nil {
-				w.remove(i)
-				v, d := judgeAnswer(Answer{}, errFake)
-				w.follow(m.from, m.row, v, d)
+			i := s.pickMessage(t)
+			if m := s.inFlight[i]; m.query || m.status != nil {
+				s.removeMessage(i)
+				act, d := evaluateStatus(Status{}, errInjected)
+				s.applyAction(m.from, m.row, act, d)
 			}
 		},
-		"abandon": func(t *rapid.T) { w.notRun(w.pick(t, tryHeld)) },
-		"start":   func(t *rapid.T) { w.start(w.pick(t, tryHeld), 0) },
+		"abandon": func(t *rapid.T) { s.giveUp(s.pickCall(t, callHeld)) },
+		"start":   func(t *rapid.T) { s.start(s.pickCall(t, callHeld), 0) },
 		"start after pause": func(t *rapid.T) {
-			w.start(w.pick(t, tryHeld), time.Duration(rapid.IntRange(1, 49).Draw(t, "seconds"))*time.Second)
+			s.start(s.pickCall(t, callHeld), time.Duration(rapid.IntRange(1, 49).Draw(t, "seconds"))*time.Second)
 		},
-		"rewind":  func(t *rapid.T) { w.rewind(w.pick(t, tryRunning)) },
-		"end":     w.end,
-		"pause":   func(t *rapid.T) { n := w.pickNode(t); n.paused = !n.paused },
-		"restart": func(t *rapid.T) { w.restart(w.pickNode(t)) },
+		"rewind":  func(t *rapid.T) { s.undoStart(s.pickCall(t, callRunning)) },
+		"end":     s.end,
+		"pause":   func(t *rapid.T) { n := s.pickDaemon(t); n.paused = !n.paused },
+		"restart": func(t *rapid.T) { s.restart(s.pickDaemon(t)) },
 		"time": func(t *rapid.T) {
 			seconds := rapid.SampledFrom([]int{1, 2, 11, 61}).Draw(t, "seconds")
-			w.now = w.now.Add(time.Duration(seconds) * time.Second)
+			s.now = s.now.Add(time.Duration(seconds) * time.Second)
 		},
 		"expire": func(t *rapid.T) {
-			if w.row.Revision == 0 || w.now.Sub(w.wroteAt) < worldTTL {
-				t.Skip("young")
+			if s.row.Revision == 0 || s.now.Sub(s.writtenAt) < simulatedTTL {
+				t.Skip("the TTL of the row has not passed")
 			}
-			w.row = observed{}
-			w.generation++
+			s.row = observedRow{}
+			s.generation++
 		},
 	}
 }
 
-func (w *world) rewind(y *try) {
-	y.daemon.ledger.rewind(key, y.record.Token)
-	y.state = tryHeld
-	w.ran--
+func (s *simulation) undoStart(c *claimCall) {
+	c.daemon.ledger.undoStart(testKey, c.record.Token)
+	c.state = callHeld
+	s.runs--
 }
 
-func (w *world) end(t *rapid.T) {
-	y := w.pick(t, tryRunning)
+func (s *simulation) end(t *rapid.T) {
+	c := s.pickCall(t, callRunning)
 	o := rapid.SampledFrom([]Outcome{
 		{Result: resultcode.NotRun}, {Result: resultcode.MayHaveRun},
-		{Result: resultcode.Ran}, {Result: resultcode.Ran, Kept: true},
+		{Result: resultcode.Ran}, {Result: resultcode.Ran, HasResponse: true},
 	}).Draw(t, "outcome")
-	y.daemon.ledger.finish(key, y.record.Token, o)
-	y.state = tryRan
+	c.daemon.ledger.finish(testKey, c.record.Token, o)
+	c.state = callRan
 	if o.Result == resultcode.NotRun {
-		y.state = tryEnded
-		w.ran--
+		c.state = callEnded
+		s.runs--
 	}
-	w.final(y, o)
+	s.sendFinal(c, o)
 }
 
-func (w *world) restart(n *node) {
+func (s *simulation) restart(n *simulatedDaemon) {
 	n.incarnation++
-	n.ledger = newLedger(worldTerm)
+	n.ledger = newLedger(simulatedStartTimeout)
 	n.paused = false
-	for _, y := range w.tries {
-		if y.daemon == n && y.state < tryRunning {
-			y.state = tryDead
+	for _, c := range s.calls {
+		if c.daemon == n && c.state < callRunning {
+			c.state = callDead
 		}
 	}
 }
 
 func TestRulesUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
-		actions := w.actions()
-		// A run is the precondition of most faults, so it is drawn more often.
+		s := newSimulation()
+		actions := s.actions()
+		// Most faults require a run, so these actions are drawn more often.
 		actions["start 2"], actions["repeat 2"] = actions["start"], actions["repeat"]
 		t.Repeat(actions)
 	})
 }
 
 func TestKeyIsUsableAfterFaults(t *testing.T) {
-	// Whatever was lost, late or paused: as long as no daemon restarted and
-	// nothing ran, a repeat after the faults is let through. A caller must not
-	// be told for a day that a request may have run that was never sent.
+	// If no daemon restarted and nothing ran, a retry after the faults is granted,
+	// whatever was lost, late or paused. Otherwise a caller could be told for a day
+	// (the default RecordTTL) that a request may have run although it was never sent.
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
-		actions := w.actions()
+		s := newSimulation()
+		actions := s.actions()
 		for _, name := range []string{"start", "start after pause", "rewind", "end", "restart"} {
 			delete(actions, name)
 		}
 		t.Repeat(actions)
-		for _, n := range w.nodes {
+		for _, n := range s.daemons {
 			n.paused = false
 		}
-		for _, y := range w.tries {
-			if y.state < tryRunning {
-				w.notRun(y)
+		for _, c := range s.calls {
+			if c.state < callRunning {
+				s.giveUp(c)
 			}
 		}
-		y := w.begin(w.pickNode(t))
-		for len(w.wire) > 0 {
-			w.hand(w.remove(0))
+		c := s.begin(s.pickDaemon(t))
+		for len(s.inFlight) > 0 {
+			s.deliverMessage(s.removeMessage(0))
 		}
-		if y.state != tryHeld {
-			t.Fatalf("the repeat was not let through: state %d, row %+v", y.state, w.row)
+		if c.state != callHeld {
+			t.Fatalf("the repeat was not granted: state %d, row %+v", c.state, s.row)
 		}
 	})
 }
--- a/internal/claim/fake_test.go
+++ b/internal/claim/fake_test.go
@@ -9,36 +9,36 @@
 	"github.com/savorystall/savorystall/internal/platform"
 )
 
-// fault is what a fakeTable does to one transaction.
+// fault determines how a fakeTable handles one transaction.
 type fault int
 
 const (
 	faultNone    fault = iota
-	faultDown          // refused, without effect
-	faultLost          // takes effect, the answer is lost
-	faultDelayed       // takes effect when release is called
-	faultDropped       // no effect and no answer
+	faultDown          // rejected without effect
+	faultLost          // takes effect, but the response is lost
+	faultDelayed       // takes effect when applyDelayed is called
+	faultDropped       // no effect and no response
 )
 
-// fakeTable is a table in memory. Faults are taken in order, one a transaction;
-// when none is left, always applies.
+// fakeTable is an in-memory table. Each transaction consumes the next of faults;
+// when none is left, defaultFault applies.
 type fakeTable struct {
-	mu       sync.Mutex
-	rows     map[string]platform.Row
-	revision uint64
-	faults   []fault
-	always   fault
-	latency  time.Duration
-	delayed  []platform.Transaction
-	commits  int
-	written  int
+	mu           sync.Mutex
+	rows         map[string]platform.Row
+	revision     uint64
+	faults       []fault
+	defaultFault fault
+	latency      time.Duration
+	delayed      []platform.Transaction
+	commits      int
+	rowsWritten  int
 }
 
 func newFakeTable(faults ...fault) *fakeTable {
 	return &fakeTable{rows: map[string]platform.Row{}, faults: faults}
 }
 
-var errFake = errors.New("injected")
+var errInjected = errors.New("injected")
 
 func (t *fakeTable) Commit(ctx context.Context, tx platform.Transaction) (uint64, error) {
 	if !sleep(ctx, t.latency) {
@@ -49,22 +49,22 @@
 	t.commits++
 	switch t.nextFault() {
 	case faultDown:
-		return 0, &platform.Unavailable{Cause: errFake}
+		return 0, &platform.Unavailable{Cause: errInjected}
 	case faultLost:
 		_, _ = t.apply(tx)
-		return 0, &platform.Unknown{Cause: errFake}
+		return 0, &platform.Unknown{Cause: errInjected}
 	case faultDelayed:
 		t.delayed = append(t.delayed, tx)
-		return 0, &platform.Unknown{Cause: errFake}
+		return 0, &platform.Unknown{Cause: errInjected}
 	case faultDropped:
-		return 0, &platform.Unknown{Cause: errFake}
+		return 0, &platform.Unknown{Cause: errInjected}
 	}
 	return t.apply(tx)
 }
 
 func (t *fakeTable) nextFault() fault {
 	if len(t.faults) == 0 {
-		return t.always
+		return t.defaultFault
 	}
 	f := t.faults[0]
 	t.faults = t.faults[1:]
@@ -84,14 +84,14 @@
 	}
 	t.revision++
 	for _, p := range tx.Puts {
-		t.written++
+		t.rowsWritten++
 		t.rows[p.Key] = platform.Row{Key: p.Key, Value: p.Value, Revision: t.revision, Operation: tx.Operation}
 	}
 	return t.revision, nil
 }
 
-// release lets the delayed transactions take effect.
-func (t *fakeTable) release() {
+// applyDelayed applies the delayed transactions.
+func (t *fakeTable) applyDelayed() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, tx := range t.delayed {
@@ -100,10 +100,10 @@
 	t.delayed = nil
 }
 
-func (t *fakeTable) set(always fault) {
+func (t *fakeTable) setDefaultFault(always fault) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.always = always
+	t.defaultFault = always
 }
 
 func (t *fakeTable) Get(_ context.Context, keys ...string) ([]platform.Row, error) {
@@ -119,5 +119,5 @@
 }
 
 func (t *fakeTable) Scan(context.Context, string, string, int) ([]platform.Row, error) {
-	return nil, errFake
+	return nil, errInjected
 }
--- a/internal/claim/hold.go
+++ b/internal/claim/hold.go
@@ -15,16 +15,17 @@
 	claimer *Claimer
 	key     Key
 	token   ident.Attempt
-	// local tells that the claim has no row.
-	local bool
-	// record and revision are the row as this daemon last knew it.
+	// unkeyed reports that the claim has no row.
+	unkeyed bool
+	// record and revision are the last state of the row known to this daemon.
 	record   Record
 	revision uint64
 }
 
-// Start permits the first byte. It must be called right before it, with a time
-// that carries a monotonic reading. The error is a *resultcode.Failure of an
-// outcome NotRun: the claim was given up, or its term has lapsed.
+// Start permits sending the first byte. It must be called immediately before
+// that, with a time that has a monotonic clock reading. The error is a
+// *resultcode.Failure with the outcome NotRun: the claim was abandoned, or its
+// StartTimeout has passed.
 func (h *Hold) Start(now time.Time) error {
 	c := h.claimer
 	c.mu.Lock()
@@ -35,115 +36,116 @@
 	return nil
 }
 
-// NotRun notes that the started run did not take place, by the word of the
-// connection or of the target's protocol. The hold may Start again. It is false
-// where the hold has not started.
-func (h *Hold) NotRun() bool {
+// MarkNotRun records that the started run did not take place, as shown by the
+// state of the connection or by the target's protocol. Start may then be called
+// again. MarkNotRun returns false if the hold has not started.
+func (h *Hold) MarkNotRun() bool {
 	c := h.claimer
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ledger.rewind(h.key, h.token)
+	return c.ledger.undoStart(h.key, h.token)
 }
 
-// Finish makes the outcome final and known to askers at once, and waits until
-// it is in the table or ctx ends; the write goes on in the second case. An
-// answer above the configured size is not kept. The result of a run that was
-// started is NotRun only where the target's protocol says so.
+// Finish makes the outcome final and immediately visible to queries, and waits
+// until it is in the table or ctx ends; in the second case the write continues in
+// the background. A response above the configured size is not stored. The result
+// of a started run may be NotRun only if the target's protocol says so.
 func (h *Hold) Finish(ctx context.Context, o Outcome) error {
 	c := h.claimer
-	o = o.bounded(c.cfg.KeepBytes)
+	o = o.limitResponse(c.cfg.MaxResponseBytes)
 	c.mu.Lock()
 	live := c.ledger.finish(h.key, h.token, o)
 	c.mu.Unlock()
 	if !live {
 		return nil
 	}
-	if h.local {
-		c.forget(h)
+	if h.unkeyed {
+		c.removeFinished(h)
 		return nil
 	}
-	recorded := make(chan struct{})
-	c.recordLater(h, o, func() {
-		c.forget(h)
-		close(recorded)
+	settled := make(chan struct{})
+	c.writeFinal(h, o, func() {
+		c.removeFinished(h)
+		close(settled)
 	})
 	select {
-	case <-recorded:
+	case <-settled:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Abandon promises never to dispatch. It returns false, and promises nothing,
-// where the hold has started or ended. It does not wait for the table.
+// Abandon promises never to dispatch. It returns false, and promises nothing, if
+// the hold has started or finished. It does not wait for the table.
 func (h *Hold) Abandon() bool {
-	if !h.claimer.drop(h) {
+	if !h.claimer.abandon(h) {
 		return false
 	}
-	if !h.local {
-		h.claimer.recordLater(h, Outcome{Result: resultcode.NotRun}, nil)
+	if !h.unkeyed {
+		h.claimer.writeFinal(h, Outcome{Result: resultcode.NotRun}, nil)
 	}
 	return true
 }
 
-// Close ends a hold that was neither finished nor abandoned, and else does
-// nothing. Defer it where the hold is obtained.
+// Close ends a hold that was neither finished nor abandoned; otherwise it does
+// nothing. Call it with defer where the hold is obtained.
 //
-// It guards against a panic on the way of the request: the claim would stay in
-// progress for as long as the process lives, and every repeat be told to wait.
+// It protects against a panic while the request is handled: without it the claim
+// would remain in progress for the lifetime of the process, and every retry would
+// be told to wait.
 func (h *Hold) Close() {
 	if h.Abandon() {
 		return
 	}
-	ended, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	// The write goes on without the wait.
-	_ = h.Finish(ended, Outcome{Result: resultcode.MayHaveRun})
+	// The context is already canceled, so Finish does not wait for the write.
+	_ = h.Finish(canceled, Outcome{Result: resultcode.MayHaveRun})
 }
 
-// recordLater writes the final record, for as long as it takes. Then is called
-// once it is settled; it must not block.
-func (c *Claimer) recordLater(h *Hold, o Outcome, then func()) {
+// writeFinal queues the final record, which is retried until its outcome is
+// settled. onSettled is then called; it must not block.
+func (c *Claimer) writeFinal(h *Hold, o Outcome, onSettled func()) {
 	record := h.record
 	record.Done, record.Outcome = true, o
-	w := &write{key: rowKey(h.key), revision: h.revision, value: record.encode(), final: true}
-	w.done = func(r writeResult) {
-		if r.conflict != nil && c.writeAgain(h, w, *r.conflict) {
+	w := &pendingWrite{key: rowKey(h.key), revision: h.revision, value: record.encode(), final: true}
+	w.onResult = func(r writeResult) {
+		if r.conflict != nil && c.retryFinal(h, w, *r.conflict) {
 			return
 		}
-		if then != nil {
-			then()
+		if onSettled != nil {
+			onSettled()
 		}
-		c.settledRecord()
+		c.finalSettled()
 	}
 	c.mu.Lock()
-	c.unrecorded++
+	c.pendingFinals++
 	c.mu.Unlock()
 	c.committer.submit(w)
 }
 
-// writeAgain submits a final record anew where the row in the way is the open
-// row of the same claim, whose write took effect unnoticed.
-func (c *Claimer) writeAgain(h *Hold, w *write, row platform.Row) bool {
-	o, err := decodeRow(row)
+// retryFinal resubmits a final record if the conflicting row is the open row of
+// the same claim, whose write took effect although its response was lost.
+func (c *Claimer) retryFinal(h *Hold, w *pendingWrite, row platform.Row) bool {
+	observed, err := decodeRow(row)
 	if err != nil {
 		event.ClaimRowBad.Log(c.log, "row", row.Key, "error", err)
 		return false
 	}
-	revision, settled := judgeFinal(o, h.token)
+	revision, settled := evaluateFinalConflict(observed, h.token)
 	if settled {
 		return false
 	}
-	c.committer.submit(&write{key: w.key, revision: revision, value: w.value, final: true, done: w.done})
+	c.committer.submit(&pendingWrite{key: w.key, revision: revision, value: w.value, final: true, onResult: w.onResult})
 	return true
 }
 
-func (c *Claimer) settledRecord() {
+func (c *Claimer) finalSettled() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.unrecorded--
-	if c.unrecorded == 0 {
+	c.pendingFinals--
+	if c.pendingFinals == 0 {
 		close(c.idle)
 		c.idle = make(chan struct{})
 	}
--- a/internal/claim/ledger.go
+++ b/internal/claim/ledger.go
@@ -8,80 +8,82 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-// phase is how far a claim has come at its claimant.
+// phase is the progress of a claim at its claimant.
 type phase uint8
 
 const (
-	phaseWriting phase = iota // the row is being written
-	phaseHeld                 // the row is written; no byte has left
-	phaseStarted              // bytes may have left
-	phaseDone                 // the outcome is final but not yet in the table
+	phaseWriting  phase = iota // the row is being written
+	phaseHeld                  // the row is written; no byte has been sent
+	phaseStarted               // bytes may have been sent
+	phaseFinished              // the outcome is final but not yet written to the table
 )
 
 type entry struct {
-	token   ident.Attempt
-	digest  []byte
-	begun   time.Time
-	phase   phase
-	outcome Outcome
-	// local tells that the claim has no row, so that nothing can lapse.
-	local bool
+	token     ident.Attempt
+	digest    []byte
+	createdAt time.Time
+	phase     phase
+	outcome   Outcome
+	// unkeyed reports that the claim has no row, so that it cannot expire.
+	unkeyed bool
 }
 
-// ledger is a claimant's memory of its own claims, at most one live one a key.
-// It is a state machine without lock, clock or network.
+// ledger is a claimant's in-memory state of its own claims, with at most one
+// active claim per key. It is a state machine that uses no lock, clock or
+// network.
 //
-// An entry lives until the table holds its outcome, so a token without entry
-// either never starts any more or has its outcome in the table. For both the
-// answer AnswerNever is safe: in the second case the row has moved on from the
-// revision that the asker judged, and the asker's write fails.
+// An entry is kept until its outcome is in the table, so a token without an entry
+// either can never start any more or has its outcome in the table. The reply
+// StateRevoked is safe in both cases: in the second, the row's revision is newer
+// than the one that the querying daemon evaluated, so its write fails.
 type ledger struct {
-	// term is how long a claim may wait for its start.
-	term    time.Duration
-	entries map[Key]*entry
+	// startTimeout is how long a claim may wait to be started.
+	startTimeout time.Duration
+	entries      map[Key]*entry
 }
 
 func newLedger(term time.Duration) *ledger {
-	return &ledger{term: term, entries: make(map[Key]*entry)}
+	return &ledger{startTimeout: term, entries: make(map[Key]*entry)}
 }
 
-// begin enters a new claim, unless an earlier one of this process decides.
+// begin adds a new claim, or returns a decision if an earlier claim of this
+// process determines one.
 func (l *ledger) begin(k Key, token ident.Attempt, digest []byte, now time.Time) Decision {
 	if e := l.entries[k]; e != nil {
-		if d := l.judgeLocal(e, digest, now); d != nil {
+		if d := l.evaluateEntry(e, digest, now); d != nil {
 			return d
 		}
 	}
-	l.entries[k] = &entry{token: token, digest: digest, begun: now}
+	l.entries[k] = &entry{token: token, digest: digest, createdAt: now}
 	return nil
 }
 
-// beginLocal enters a claim without row. It is held at once.
-func (l *ledger) beginLocal(k Key, token ident.Attempt) {
-	l.entries[k] = &entry{token: token, local: true, phase: phaseHeld}
+// beginUnkeyed adds a claim that has no row. It is held immediately.
+func (l *ledger) beginUnkeyed(k Key, token ident.Attempt) {
+	l.entries[k] = &entry{token: token, unkeyed: true, phase: phaseHeld}
 }
 
-// judgeLocal returns nil where the entry can be replaced.
-func (l *ledger) judgeLocal(e *entry, digest []byte, now time.Time) Decision {
-	if l.lapsed(e, now) {
+// evaluateEntry returns nil if the entry can be replaced.
+func (l *ledger) evaluateEntry(e *entry, digest []byte, now time.Time) Decision {
+	if l.expired(e, now) {
 		return nil
 	}
 	if !bytes.Equal(e.digest, digest) {
 		return Refuse{resultcode.Fail(resultcode.KeyReused, "")}
 	}
-	if e.phase != phaseDone {
+	if e.phase != phaseFinished {
 		return Refuse{resultcode.Fail(resultcode.InProgress, "")}
 	}
-	if v, d := judgeOutcome(e.outcome); v == verdictFinal {
+	if act, d := evaluateOutcome(e.outcome); act == actionDecided {
 		return d
 	}
 	return nil
 }
 
-// lapsed tells that the entry can no longer start. An entry that has started
-// never lapses.
-func (l *ledger) lapsed(e *entry, now time.Time) bool {
-	return !e.local && e.phase < phaseStarted && now.Sub(e.begun) >= l.term
+// expired reports whether the entry can no longer start. An entry that has
+// started never expires.
+func (l *ledger) expired(e *entry, now time.Time) bool {
+	return !e.unkeyed && e.phase < phaseStarted && now.Sub(e.createdAt) >= l.startTimeout
 }
 
 func (l *ledger) find(k Key, token ident.Attempt) *entry {
@@ -91,8 +93,9 @@
 	return nil
 }
 
-// held notes that the row is written. It is false where the claim was given up.
-func (l *ledger) held(k Key, token ident.Attempt) bool {
+// markHeld records that the row is written. It returns false if the claim was
+// abandoned.
+func (l *ledger) markHeld(k Key, token ident.Attempt) bool {
 	e := l.find(k, token)
 	if e == nil || e.phase != phaseWriting {
 		return false
@@ -101,20 +104,20 @@
 	return true
 }
 
-// start permits the first byte, once.
+// start permits sending the first byte, once.
 //
-// It guards against a pause between claim and first byte: the process is
-// stopped for longer than the record lives, the caller's repeat claims the key
-// afresh, and the first process wakes up and sends. The monotonic clock goes on
-// while a process is stopped, so the term has lapsed when it wakes up. A
-// shorter pause needs no clock: nobody takes the row over without an answer
-// from this process.
+// It protects against a pause between the claim and the first byte: the process
+// is stopped for longer than RecordTTL, a retry by the caller creates a new claim
+// for the key, and the first process resumes and sends. The monotonic clock
+// advances while a process is stopped, so startTimeout has passed when it resumes.
+// A shorter pause requires no clock: no other daemon takes over the row without a
+// reply from this process.
 func (l *ledger) start(k Key, token ident.Attempt, now time.Time) bool {
 	e := l.find(k, token)
 	if e == nil || e.phase != phaseHeld {
 		return false
 	}
-	if l.lapsed(e, now) {
+	if l.expired(e, now) {
 		delete(l.entries, k)
 		return false
 	}
@@ -122,9 +125,9 @@
 	return true
 }
 
-// rewind notes that a started run did not take place, so that the same hold
+// undoStart records that a started run did not take place, so that the same hold
 // may start again.
-func (l *ledger) rewind(k Key, token ident.Attempt) bool {
+func (l *ledger) undoStart(k Key, token ident.Attempt) bool {
 	e := l.find(k, token)
 	if e == nil || e.phase != phaseStarted {
 		return false
@@ -133,19 +136,19 @@
 	return true
 }
 
-// finish makes the outcome final. It is false where the claim is not live.
+// finish makes the outcome final. It returns false if the claim is not active.
 func (l *ledger) finish(k Key, token ident.Attempt, o Outcome) bool {
 	e := l.find(k, token)
-	if e == nil || e.phase == phaseDone {
+	if e == nil || e.phase == phaseFinished {
 		return false
 	}
-	e.phase, e.outcome = phaseDone, o
+	e.phase, e.outcome = phaseFinished, o
 	return true
 }
 
-// drop gives up a claim that has not started. It is false, and changes nothing,
-// for one that has started or ended: that one may have run.
-func (l *ledger) drop(k Key, token ident.Attempt) bool {
+// abandon removes a claim that has not started. It returns false and changes
+// nothing if the claim has started or finished, because it may have run.
+func (l *ledger) abandon(k Key, token ident.Attempt) bool {
 	e := l.find(k, token)
 	if e == nil || e.phase >= phaseStarted {
 		return false
@@ -154,26 +157,26 @@
 	return true
 }
 
-// forget removes a claim whose outcome is in the table.
-func (l *ledger) forget(k Key, token ident.Attempt) {
-	if e := l.find(k, token); e != nil && e.phase == phaseDone {
+// removeFinished removes a claim whose outcome is in the table.
+func (l *ledger) removeFinished(k Key, token ident.Attempt) {
+	if e := l.find(k, token); e != nil && e.phase == phaseFinished {
 		delete(l.entries, k)
 	}
 }
 
-// answer tells an asker about a claim of this process. AnswerNever binds: the
-// entry is gone, and start needs it.
-func (l *ledger) answer(k Key, token ident.Attempt, now time.Time) Answer {
+// answerQuery returns the status of a claim of this process. StateRevoked is
+// binding: the entry has been removed, and start requires it.
+func (l *ledger) answerQuery(k Key, token ident.Attempt, now time.Time) Status {
 	e := l.find(k, token)
 	if e == nil {
-		return Answer{Kind: AnswerNever}
+		return Status{Kind: StateRevoked}
 	}
-	if l.lapsed(e, now) {
+	if l.expired(e, now) {
 		delete(l.entries, k)
-		return Answer{Kind: AnswerNever}
+		return Status{Kind: StateRevoked}
 	}
-	if e.phase == phaseDone {
-		return Answer{Kind: AnswerFinished, Outcome: e.outcome}
+	if e.phase == phaseFinished {
+		return Status{Kind: StateFinished, Outcome: e.outcome}
 	}
-	return Answer{Kind: AnswerRunning}
+	return Status{Kind: StateRunning}
 }
--- a/internal/claim/platform_test.go
+++ b/internal/claim/platform_test.go
@@ -18,36 +18,36 @@
 	platformstandin "github.com/savorystall/savorystall/internal/standin/platform"
 )
 
-// direct asks the other claimers without a network.
-type direct struct {
+// directQuerier queries the other claimers without a network.
+type directQuerier struct {
 	mu       sync.Mutex
 	claimers map[string]*claim.Claimer
 }
 
-func (d *direct) Ask(_ context.Context, daemon ident.Daemon, incarnation uint64, k claim.Key, a ident.Attempt) (claim.Answer, error) {
+func (d *directQuerier) QueryClaim(_ context.Context, daemon ident.Daemon, incarnation uint64, key claim.Key, token ident.Attempt) (claim.Status, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.claimers[string(daemon)].Answer(daemon, incarnation, k, a), nil
+	return d.claimers[string(daemon)].AnswerQuery(daemon, incarnation, key, token), nil
 }
 
-// newDaemon returns a claimer on the platform's HTTP binding.
-func (d *direct) newDaemon(t *testing.T, url, name string, wait time.Duration) *claim.Claimer {
+// newClaimer starts a claimer that uses the platform's HTTP binding.
+func (d *directQuerier) newClaimer(t *testing.T, url, name string, wait time.Duration) *claim.Claimer {
 	client := platform.NewClient(platform.ClientConfig{URL: url, TryTimeout: 200 * time.Millisecond, Logger: slog.New(slog.DiscardHandler)})
-	c := claim.New(claim.Config{Daemon: ident.Daemon(name), Incarnation: 1, Wait: wait, WritesPerSecond: 1000}, client, d, slog.New(slog.DiscardHandler))
+	c := claim.New(claim.Config{Daemon: ident.Daemon(name), Incarnation: 1, ClaimTimeout: wait, WritesPerSecond: 1000}, client, d, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		c.Run(ctx)
 	}()
-	t.Cleanup(func() { cancel(); <-ended; client.Close() })
+	t.Cleanup(func() { cancel(); <-done; client.Close() })
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.claimers[name] = c
 	return c
 }
 
-func start(t *testing.T) (*platformstandin.Server, string) {
+func startPlatform(t *testing.T) (*platformstandin.Server, string) {
 	server := platformstandin.New(platformstandin.Config{})
 	listener := httptest.NewServer(server)
 	t.Cleanup(func() { listener.Close(); server.Wait() })
@@ -55,13 +55,13 @@
 }
 
 func TestClaimsOverLossyPlatform(t *testing.T) {
-	// Forty callers claim at once while the table takes their writes without
-	// answering, and then again through another daemon. Each key is granted
-	// once, and no caller is refused for the table's sake.
+	// 40 callers claim concurrently while the table applies their writes but the
+	// responses are lost, and then again through another daemon. Each key must be
+	// granted once, and no caller may be refused because of the table.
 	is := is.New(t)
-	server, url := start(t)
-	d := &direct{claimers: map[string]*claim.Claimer{}}
-	a, b := d.newDaemon(t, url, "a", 20*time.Second), d.newDaemon(t, url, "b", 20*time.Second)
+	server, url := startPlatform(t)
+	d := &directQuerier{claimers: map[string]*claim.Claimer{}}
+	a, b := d.newClaimer(t, url, "a", 20*time.Second), d.newClaimer(t, url, "b", 20*time.Second)
 	const keys = 40
 	var granted [keys]int
 	for _, c := range []*claim.Claimer{a, b} {
@@ -69,7 +69,7 @@
 		var callers sync.WaitGroup
 		for i := range keys {
 			callers.Go(func() {
-				k := claim.Key{Service: "s", Workspace: "w", Idempotency: fmt.Sprint(i)}
+				k := claim.Key{Service: "s", Workspace: "w", IdempotencyKey: fmt.Sprint(i)}
 				decision, err := c.Claim(context.Background(), k, []byte("digest"), "x")
 				if _, ok := decision.(claim.Proceed); ok && err == nil {
 					granted[i]++
@@ -86,8 +86,8 @@
 }
 
 func TestClaimsWhilePlatformIsDown(t *testing.T) {
-	// The table answers nothing for longer than the caller waits; then what it
-	// was sent takes effect late, and the caller repeats through another daemon.
+	// The table does not respond for longer than ClaimTimeout. The writes sent to it
+	// may then take effect late, and the caller retries through another daemon.
 	for name, faults := range map[string]platformstandin.Faults{
 		"down":   {Down: true},
 		"silent": {Silent: true},
@@ -95,11 +95,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			server, url := start(t)
-			d := &direct{claimers: map[string]*claim.Claimer{}}
-			a, b := d.newDaemon(t, url, "a", 300*time.Millisecond), d.newDaemon(t, url, "b", 20*time.Second)
+			server, url := startPlatform(t)
+			d := &directQuerier{claimers: map[string]*claim.Claimer{}}
+			a, b := d.newClaimer(t, url, "a", 300*time.Millisecond), d.newClaimer(t, url, "b", 20*time.Second)
 			server.SetFaults(platformstandin.Table, faults)
-			k := claim.Key{Service: "s", Workspace: "w", Idempotency: "k"}
+			k := claim.Key{Service: "s", Workspace: "w", IdempotencyKey: "k"}
 			decision, err := a.Claim(t.Context(), k, []byte("digest"), "x")
 			is.NoErr(err)
 			is.Equal(decision.(claim.Refuse).Failure.Code, resultcode.StoreUnavailable)
--- a/internal/claim/process_test.go
+++ b/internal/claim/process_test.go
@@ -18,48 +18,49 @@
 	"github.com/savorystall/savorystall/test/process"
 )
 
-// partClaimant is a daemon that claims the key, waits for the test, starts,
-// waits again and finishes. Its term is short, so that a stop can outlast it.
-func partClaimant(l *process.Lines, args []string) {
-	cfg := quick("claimant")
-	cfg.Term, _ = time.ParseDuration(args[1])
+// runClaimant is the main function of a process that claims the key, waits for the
+// test, starts, waits again and finishes. Its StartTimeout is an argument, so that
+// a test can stop the process for longer.
+func runClaimant(lines *process.Lines, args []string) {
+	cfg := testConfig("claimant")
+	cfg.StartTimeout, _ = time.ParseDuration(args[1])
 	client := platform.NewClient(platform.ClientConfig{URL: args[0], Logger: slog.New(slog.DiscardHandler)})
 	c := New(cfg, client, nil, slog.New(slog.DiscardHandler))
 	go c.Run(context.Background())
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		attempt := ident.Attempt(r.URL.Query().Get("attempt"))
-		_ = json.NewEncoder(w).Encode(c.Answer("claimant", 1, key, attempt))
+		_ = json.NewEncoder(w).Encode(c.AnswerQuery("claimant", 1, testKey, attempt))
 	}))
-	d, _ := c.Claim(context.Background(), key, digest, "x")
-	l.Say("held %s", server.URL)
-	l.Hear()
+	d, _ := c.Claim(context.Background(), testKey, testDigest, "x")
+	lines.Say("held %s", server.URL)
+	lines.Hear()
 	h := d.(Proceed).Hold
-	l.Say("started %v", h.Start(time.Now()) == nil)
-	l.Hear()
+	lines.Say("started %v", h.Start(time.Now()) == nil)
+	lines.Hear()
 	_ = h.Finish(context.Background(), Outcome{Result: resultcode.Ran})
-	l.Say("finished")
+	lines.Say("finished")
 	select {} // until the test ends
 }
 
-// remote asks the claimant over HTTP.
-type remote struct{ url string }
+// httpQuerier queries the claimant over HTTP.
+type httpQuerier struct{ url string }
 
-func (r remote) Ask(ctx context.Context, _ ident.Daemon, _ uint64, _ Key, a ident.Attempt) (Answer, error) {
-	var answer Answer
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, r.url+"?attempt="+string(a), nil)
+func (r httpQuerier) QueryClaim(ctx context.Context, _ ident.Daemon, _ uint64, _ Key, token ident.Attempt) (Status, error) {
+	var status Status
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, r.url+"?attempt="+string(token), nil)
 	if err != nil {
-		return answer, err
+		return status, err
 	}
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return answer, err
+		return status, err
 	}
 	defer res.Body.Close()
-	return answer, json.NewDecoder(res.Body).Decode(&answer)
+	return status, json.NewDecoder(res.Body).Decode(&status)
 }
 
-// stoppedClaimant returns a process that is stopped between claim and first
-// byte, and another daemon, which can ask it.
+// stoppedClaimant returns a process that is stopped between its claim and the first
+// byte, and the claimer of another daemon that can query it.
 func stoppedClaimant(t *testing.T, term time.Duration) (*process.Child, *Claimer) {
 	platformServer := httptest.NewServer(platformstandin.New(platformstandin.Config{}))
 	t.Cleanup(platformServer.Close)
@@ -67,16 +68,16 @@
 	url := child.Expect("held")
 	child.Stop()
 	client := platform.NewClient(platform.ClientConfig{URL: platformServer.URL, Logger: slog.New(slog.DiscardHandler)})
-	c := New(quick("other"), client, remote{url}, slog.New(slog.DiscardHandler))
+	c := New(testConfig("other"), client, httpQuerier{url}, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		c.Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
-		<-ended
+		<-done
 		client.Close()
 		http.DefaultClient.CloseIdleConnections()
 	})
@@ -85,34 +86,36 @@
 
 func TestClaimantProcessIsStoppedBeforeFirstByte(t *testing.T) {
 	// A daemon claims and is stopped (SIGSTOP) before the first byte. The caller
-	// repeats through another daemon, is told that the request may have run, and
-	// tries again. The first daemon goes on and runs the request: once.
+	// retries through another daemon, is told that the request may have run, and
+	// retries again. The first daemon resumes and runs the request, which must run
+	// only once.
 	is := is.New(t)
 	child, other := stoppedClaimant(t, time.Hour)
-	other.cfg.AskTimeout = 200 * time.Millisecond // it is not answered
-	is.Equal(refusal(t, other), resultcode.OutcomeUnknown)
-	other.cfg.AskTimeout = 20 * time.Second // it is answered, also by a busy machine
+	other.cfg.QueryTimeout = 200 * time.Millisecond // the stopped process does not reply
+	is.Equal(mustBeRefused(t, other), resultcode.OutcomeUnknown)
+	other.cfg.QueryTimeout = 20 * time.Second // long enough for a reply on a busy machine
 	child.Continue()
-	is.Equal(refusal(t, other), resultcode.InProgress)
+	is.Equal(mustBeRefused(t, other), resultcode.InProgress)
 	child.Tell("start")
 	is.Equal(child.Expect("started"), "true")
-	is.Equal(refusal(t, other), resultcode.InProgress)
+	is.Equal(mustBeRefused(t, other), resultcode.InProgress)
 	child.Tell("finish")
 	child.Expect("finished")
-	is.Equal(refusal(t, other), resultcode.AlreadyRan)
+	is.Equal(mustBeRefused(t, other), resultcode.AlreadyRan)
 }
 
-func TestClaimantProcessIsStoppedBeyondItsTerm(t *testing.T) {
-	// As above, but the stop outlasts the term. Once it goes on, the first daemon
-	// is asked before it would start: it promises not to, and the repeat runs in
-	// its place. Were it to start all the same, the request would run twice.
+func TestClaimantProcessIsStoppedBeyondStartTimeout(t *testing.T) {
+	// As in TestClaimantProcessIsStoppedBeforeFirstByte, but for longer than
+	// StartTimeout. After it resumes, the first daemon is queried before it starts:
+	// it promises never to, and the retry runs instead. If the first daemon started
+	// nevertheless, the request would run twice.
 	is := is.New(t)
 	const term = 300 * time.Millisecond
 	child, other := stoppedClaimant(t, term)
-	time.Sleep(2 * term) // the pause itself; the verdict does not hang on its length
+	time.Sleep(2 * term) // the pause under test; the result does not depend on its exact length
 	child.Continue()
-	other.cfg.AskTimeout = 20 * time.Second
-	h := hold(t, other)
+	other.cfg.QueryTimeout = 20 * time.Second
+	h := mustHold(t, other)
 	is.NoErr(h.Start(time.Now()))
 	child.Tell("start")
 	is.Equal(child.Expect("started"), "false")
--- a/internal/claim/race_test.go
+++ b/internal/claim/race_test.go
@@ -14,69 +14,69 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-// runs counts the runs of each key as its targets would.
-type runs struct {
-	mu  sync.Mutex
-	ran map[string]int
+// runCounter counts the runs of each key, as a target would see them.
+type runCounter struct {
+	mu     sync.Mutex
+	counts map[string]int
 }
 
-func (r *runs) add(key string) {
+func (r *runCounter) add(key string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ran[key]++
+	r.counts[key]++
 }
 
-func (r *runs) count(key string) int {
+func (r *runCounter) count(key string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ran[key]
+	return r.counts[key]
 }
 
-func TestCallersRepeatWhileTableMisbehaves(t *testing.T) {
-	// Callers repeat the same keys through four daemons until they are told an
-	// end, while one transaction in four is refused, lost, dropped or takes
-	// effect late. A key that runs twice is a claim that is filed twice; one
-	// that never runs is a caller who is told "try again" for ever.
+func TestCallersRetryDuringTableFaults(t *testing.T) {
+	// Callers retry the same keys through four daemons until they receive a final
+	// result, while one transaction in four is rejected, dropped, delayed or loses
+	// its response. A key that runs twice is a claim statement that is filed twice;
+	// with a key that never runs, the caller is told to retry forever.
 	const daemons, keys, callersPerKey = 4, 30, 3
 	const seed = 20261202
-	f, table, ran := newFleet(), newFakeTable(), &runs{ran: map[string]int{}}
+	f, table, ran := newFleet(), newFakeTable(), &runCounter{counts: map[string]int{}}
 	random := rand.New(rand.NewPCG(seed, 0))
 	for range 4000 {
 		table.faults = append(table.faults, fault(max(0, random.IntN(16)-11)))
 	}
 	var claimers []*Claimer
 	for i := range daemons {
-		claimers = append(claimers, f.add(t, table, quick(ident.Daemon(fmt.Sprint("d", i)))))
+		claimers = append(claimers, f.addDaemon(t, table, testConfig(ident.Daemon(fmt.Sprint("d", i)))))
 	}
 	var wg sync.WaitGroup
 	for k := range keys {
 		for c := range callersPerKey {
-			wg.Go(func() { persist(t, claimers, ran, fmt.Sprint("key", k), uint64(k*callersPerKey+c)) })
+			wg.Go(func() { retryUntilFinal(t, claimers, ran, fmt.Sprint("key", k), uint64(k*callersPerKey+c)) })
 		}
 	}
-	stop, late := context.WithCancel(t.Context())
+	releaseCtx, stopReleases := context.WithCancel(t.Context())
 	var releases sync.WaitGroup
 	releases.Go(func() {
-		for sleep(stop, 3*time.Millisecond) {
-			table.release()
+		for sleep(releaseCtx, 3*time.Millisecond) {
+			table.applyDelayed()
 		}
 	})
 	wg.Wait()
-	late()
+	stopReleases()
 	releases.Wait()
 	for k := range keys {
 		is.New(t).Equal(ran.count(fmt.Sprint("key", k)), 1)
 	}
 }
 
-// persist repeats one request until its caller has a final answer.
-func persist(t *testing.T, claimers []*Claimer, ran *runs, name string, seed uint64) {
+// retryUntilFinal retries one request until its caller has a final result.
+func retryUntilFinal(t *testing.T, claimers []*Claimer, ran *runCounter, name string, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	k := key
-	k.Idempotency = name
+	k := testKey
+	k.IdempotencyKey = name
 	for {
 		c := claimers[random.IntN(len(claimers))]
-		d, err := c.Claim(t.Context(), k, digest, ident.NewAttempt())
+		d, err := c.Claim(t.Context(), k, testDigest, ident.NewAttempt())
 		if err != nil {
 			t.Error(err)
 			return
@@ -88,7 +88,7 @@
 			}
 		case Replay:
 			if ran.count(name) != 1 {
-				t.Errorf("%s: an answer without a run", name)
+				t.Errorf("%s: replayed an answer without exactly one run", name)
 			}
 			return
 		case Refuse:
@@ -101,9 +101,9 @@
 	}
 }
 
-// runOnce runs the request, or one time in three gives it up before or after
-// its start.
-func runOnce(t *testing.T, h *Hold, random *rand.Rand, ran *runs, name string) bool {
+// runOnce runs the request or, with a probability of one third, abandons it before
+// the start or finishes it as not run after the start.
+func runOnce(t *testing.T, h *Hold, random *rand.Rand, ran *runCounter, name string) bool {
 	switch random.IntN(6) {
 	case 0:
 		h.Abandon()
@@ -117,6 +117,6 @@
 		return false
 	}
 	ran.add(name)
-	_ = h.Finish(t.Context(), Outcome{Result: resultcode.Ran, Kept: true})
+	_ = h.Finish(t.Context(), Outcome{Result: resultcode.Ran, HasResponse: true})
 	return true
 }
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -12,30 +12,30 @@
 	"github.com/savorystall/savorystall/internal/platform"
 )
 
-// rowPrefix starts the key of every claim's row.
+// rowPrefix is the key prefix of all claim rows.
 const rowPrefix = "claim/"
 
-// rowKey returns the key of the row. The caller's key is hashed: it is of any
-// length and may hold a slash.
+// rowKey returns the table key of a claim. The caller's idempotency key is hashed
+// because it may have any length and may contain a slash.
 func rowKey(k Key) string {
-	sum := sha256.Sum256([]byte(k.Idempotency))
+	sum := sha256.Sum256([]byte(k.IdempotencyKey))
 	return rowPrefix + url.PathEscape(string(k.Service)) + "/" +
 		url.PathEscape(string(k.Workspace)) + "/" + hex.EncodeToString(sum[:])
 }
 
-// Record is the value of a claim's row.
+// Record is the value stored in a claim's row.
 type Record struct {
-	// Done tells that Outcome is final. A record that is not done is open.
+	// Done reports that Outcome is final. A record that is not done is open.
 	Done    bool    `json:"done"`
 	Outcome Outcome `json:"outcome,omitzero"`
-	// Digest is the digest of the request.
+	// Digest identifies the content of the request.
 	Digest []byte `json:"digest"`
-	// Daemon and Incarnation are the claimant.
+	// Daemon and Incarnation identify the claimant.
 	Daemon      ident.Daemon `json:"daemon"`
 	Incarnation uint64       `json:"incarnation"`
-	// Token is fresh for each call of Claim and names the claim for ever.
+	// Token is unique to each call of Claim and identifies the claim permanently.
 	Token ident.Attempt `json:"token"`
-	// Attempt is the attempt that the claim was made for, for people.
+	// Attempt is the attempt that the claim was made for. It is informational.
 	Attempt ident.Attempt `json:"attempt"`
 }
 
@@ -45,19 +45,20 @@
 	return text
 }
 
-// observed is a row as the table holds it. Revision zero: there is none.
-type observed struct {
+// observedRow is a row as read from the table. Revision 0 means that the row does
+// not exist.
+type observedRow struct {
 	Record
 	Revision uint64
 }
 
-func decodeRow(row platform.Row) (observed, error) {
-	o := observed{Revision: row.Revision}
+func decodeRow(row platform.Row) (observedRow, error) {
+	observed := observedRow{Revision: row.Revision}
 	if row.Revision == 0 {
-		return o, nil
+		return observed, nil
 	}
-	if err := json.Unmarshal(row.Value, &o.Record); err != nil {
-		return o, merry.Prependf(err, "claim row %s", row.Key)
+	if err := json.Unmarshal(row.Value, &observed.Record); err != nil {
+		return observed, merry.Prependf(err, "cannot decode claim row %s", row.Key)
 	}
-	return o, nil
+	return observed, nil
 }
--- a/internal/claim/rule.go
+++ b/internal/claim/rule.go
@@ -7,81 +7,81 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-// verdict is what a claim does about the row that it found.
-type verdict uint8
+// action is what a claim does about an existing row.
+type action uint8
 
 const (
-	// verdictHeld: the row is this claim's own; the run is permitted.
-	verdictHeld verdict = iota
-	// verdictWrite: write the claim where the row still has its revision.
-	verdictWrite
-	// verdictAsk: the row is open; ask its claimant.
-	verdictAsk
-	// verdictFinal: the decision stands.
-	verdictFinal
+	// actionProceed: the row is this claim's own; the run is permitted.
+	actionProceed action = iota
+	// actionWrite: write the claim, provided that the row still has this revision.
+	actionWrite
+	// actionQuery: the row is open; query its claimant.
+	actionQuery
+	// actionDecided: return the decision.
+	actionDecided
 )
 
-// judge decides about a row that a claim found in place of the one that it
-// expected. The decision is set with verdictFinal.
-func judge(row observed, mine Record) (verdict, Decision) {
+// evaluateRow evaluates a row that a claim found instead of the one that it
+// expected. The decision is set with actionDecided.
+func evaluateRow(row observedRow, own Record) (action, Decision) {
 	if row.Revision == 0 {
-		return verdictWrite, nil
+		return actionWrite, nil
 	}
-	if row.Token == mine.Token && !row.Done {
-		// The write took effect and its answer was lost.
-		return verdictHeld, nil
+	if row.Token == own.Token && !row.Done {
+		// The write took effect, but its response was lost.
+		return actionProceed, nil
 	}
-	if !bytes.Equal(row.Digest, mine.Digest) {
-		return verdictFinal, Refuse{resultcode.Fail(resultcode.KeyReused, "")}
+	if !bytes.Equal(row.Digest, own.Digest) {
+		return actionDecided, Refuse{resultcode.Fail(resultcode.KeyReused, "")}
 	}
 	if row.Done {
-		return judgeOutcome(row.Outcome)
+		return evaluateOutcome(row.Outcome)
 	}
-	if row.Daemon == mine.Daemon && row.Incarnation != mine.Incarnation {
-		// An earlier process of this daemon may have dispatched, and what it
-		// knew died with it.
-		return verdictFinal, unknownOutcome("its daemon has restarted since")
+	if row.Daemon == own.Daemon && row.Incarnation != own.Incarnation {
+		// An earlier process of this daemon may have dispatched the request, and
+		// its in-memory state is lost.
+		return actionDecided, unknownOutcome("its daemon has restarted since")
 	}
-	return verdictAsk, nil
+	return actionQuery, nil
 }
 
-// judgeAnswer decides about an open row after its claimant was asked.
-func judgeAnswer(a Answer, err error) (verdict, Decision) {
+// evaluateStatus evaluates an open row after its claimant was queried.
+func evaluateStatus(status Status, err error) (action, Decision) {
 	switch {
 	case err != nil:
-		return verdictFinal, unknownOutcome("its daemon cannot be asked")
-	case a.Kind == AnswerNever:
-		return verdictWrite, nil
-	case a.Kind == AnswerRunning:
-		return verdictFinal, Refuse{resultcode.Fail(resultcode.InProgress, "")}
-	case a.Kind == AnswerFinished:
-		return judgeOutcome(a.Outcome)
+		return actionDecided, unknownOutcome("its daemon cannot be asked")
+	case status.Kind == StateRevoked:
+		return actionWrite, nil
+	case status.Kind == StateRunning:
+		return actionDecided, Refuse{resultcode.Fail(resultcode.InProgress, "")}
+	case status.Kind == StateFinished:
+		return evaluateOutcome(status.Outcome)
 	}
-	return verdictFinal, unknownOutcome("its daemon has restarted since")
+	return actionDecided, unknownOutcome("its daemon has restarted since")
 }
 
-func judgeOutcome(o Outcome) (verdict, Decision) {
+func evaluateOutcome(o Outcome) (action, Decision) {
 	switch {
 	case o.Result == resultcode.NotRun:
-		return verdictWrite, nil
-	case o.Result == resultcode.Ran && o.Kept:
-		return verdictFinal, Replay{o}
+		return actionWrite, nil
+	case o.Result == resultcode.Ran && o.HasResponse:
+		return actionDecided, Replay{o}
 	case o.Result == resultcode.Ran:
-		return verdictFinal, Refuse{resultcode.Fail(resultcode.AlreadyRan, "")}
+		return actionDecided, Refuse{resultcode.Fail(resultcode.AlreadyRan, "")}
 	}
-	return verdictFinal, unknownOutcome("the attempt broke off")
+	return actionDecided, unknownOutcome("the attempt broke off")
 }
 
-func unknownOutcome(why string) Decision {
-	return Refuse{resultcode.Fail(resultcode.OutcomeUnknown, "%s", why)}
+func unknownOutcome(reason string) Decision {
+	return Refuse{resultcode.Fail(resultcode.OutcomeUnknown, "%s", reason)}
 }
 
-// judgeFinal tells whether the write of a claim's final record is settled by
-// the row that it found, and else at which revision it has to be tried again.
-func judgeFinal(row observed, token ident.Attempt) (revision uint64, settled bool) {
+// evaluateFinalConflict reports whether the conflicting row settles the write of a
+// claim's final record. If not, it returns the revision at which to retry.
+func evaluateFinalConflict(row observedRow, token ident.Attempt) (revision uint64, settled bool) {
 	if row.Revision == 0 || row.Token != token || row.Done {
-		// Expired, taken over after a promise, or written by a repeat whose
-		// answer was lost.
+		// The row expired, was taken over after a promise, or was written by an
+		// earlier try whose response was lost.
 		return 0, true
 	}
 	return row.Revision, false
--- a/internal/claim/rule_test.go
+++ b/internal/claim/rule_test.go
@@ -9,23 +9,24 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-func TestClaimThatWasGivenUpStaysSo(t *testing.T) {
-	// The table's answer comes after the caller was told "not run". The claim must
-	// not come to life again: by its entry, or by its own final record in the row.
+func TestAbandonedClaimStaysAbandoned(t *testing.T) {
+	// The table responds after the caller was told that the request did not run. The
+	// claim must not become active again, either through its entry or through its own
+	// final record in the row.
 	is := is.New(t)
 	now := time.Now()
 	l := newLedger(time.Hour)
-	is.Equal(l.begin(key, "token", digest, now), nil)
-	is.True(l.drop(key, "token"))
-	is.True(!l.held(key, "token"))
-	is.True(!l.start(key, "token", now))
-	is.Equal(l.answer(key, "token", now).Kind, AnswerNever)
+	is.Equal(l.begin(testKey, "token", testDigest, now), nil)
+	is.True(l.abandon(testKey, "token"))
+	is.True(!l.markHeld(testKey, "token"))
+	is.True(!l.start(testKey, "token", now))
+	is.Equal(l.answerQuery(testKey, "token", now).Kind, StateRevoked)
 
-	mine := Record{Token: "token", Digest: digest, Daemon: "a", Incarnation: 1}
-	row := observed{Record: mine, Revision: 7}
-	v, _ := judge(row, mine)
-	is.Equal(v, verdictHeld)
+	own := Record{Token: "token", Digest: testDigest, Daemon: "a", Incarnation: 1}
+	row := observedRow{Record: own, Revision: 7}
+	act, _ := evaluateRow(row, own)
+	is.Equal(act, actionProceed)
 	row.Done, row.Outcome = true, Outcome{Result: resultcode.MayHaveRun}
-	v, _ = judge(row, mine)
-	is.Equal(v, verdictFinal)
+	act, _ = evaluateRow(row, own)
+	is.Equal(act, actionDecided)
 }
--- a/internal/claim/types.go
+++ b/internal/claim/types.go
@@ -8,29 +8,30 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-// Key names one unrepeatable request for as long as its record is kept.
+// Key identifies one non-idempotent request for as long as its record is kept.
 type Key struct {
 	Service   ident.Service
 	Workspace ident.Workspace
-	// Idempotency is the caller's Idempotency-Key. It is empty where the caller
-	// sent none; such a request is not written to the table, since nobody but
-	// the daemon that holds it can name it again.
-	Idempotency string
+	// IdempotencyKey is the caller's Idempotency-Key. It is empty if the caller
+	// sent none; such a request is not written to the table, because only the
+	// daemon that handles it can identify it again.
+	IdempotencyKey string
 }
 
-// Outcome is what is known of a run, with its answer where that was kept.
+// Outcome is what is known about a run, with its response if that was stored.
 type Outcome struct {
 	// Result is Ran, NotRun or MayHaveRun.
 	Result resultcode.Outcome `json:"result"`
-	// Kept tells that Status, Header and Body are the complete answer.
-	Kept   bool                `json:"kept,omitempty"`
-	Status int                 `json:"status,omitempty"`
-	Header map[string][]string `json:"header,omitempty"`
-	Body   []byte              `json:"body,omitempty"`
+	// HasResponse reports that StatusCode, Header and Body are the complete
+	// response.
+	HasResponse bool                `json:"kept,omitempty"`
+	StatusCode  int                 `json:"status,omitempty"`
+	Header      map[string][]string `json:"header,omitempty"`
+	Body        []byte              `json:"body,omitempty"`
 }
 
-// Size returns the bytes that the answer takes, about.
-func (o Outcome) Size() int {
+// ResponseSize returns the approximate size of the response in bytes.
+func (o Outcome) ResponseSize() int {
 	n := len(o.Body)
 	for name, values := range o.Header {
 		for _, v := range values {
@@ -40,98 +41,104 @@
 	return n
 }
 
-// bounded drops an answer that is larger than limit bytes.
-func (o Outcome) bounded(limit int) Outcome {
-	if o.Result != resultcode.Ran || !o.Kept || o.Size() > limit {
+// limitResponse drops a response that is larger than limit bytes.
+func (o Outcome) limitResponse(limit int) Outcome {
+	if o.Result != resultcode.Ran || !o.HasResponse || o.ResponseSize() > limit {
 		return Outcome{Result: o.Result}
 	}
 	return o
 }
 
-// Decision is what Claim decided; it is Proceed, Replay or Refuse.
+// Decision is the result of Claim: Proceed, Replay or Refuse.
 type Decision interface{ decision() }
 
-// Proceed permits one run under the hold.
+// Proceed permits one run under Hold.
 type Proceed struct{ Hold *Hold }
 
-// Replay gives the kept answer of the run that took place.
+// Replay carries the stored response of the run that took place.
 type Replay struct{ Outcome Outcome }
 
-// Refuse ends the request with a failure: InProgress, OutcomeUnknown,
-// AlreadyRan, KeyReused or StoreUnavailable.
+// Refuse fails the request with InProgress, OutcomeUnknown, AlreadyRan,
+// KeyReused or StoreUnavailable.
 type Refuse struct{ Failure *resultcode.Failure }
 
 func (Proceed) decision() {}
 func (Replay) decision()  {}
 func (Refuse) decision()  {}
 
-// AnswerKind is what a claimant says of one of its claims.
-type AnswerKind string
+// State is the state of a claim as reported by its claimant.
+type State string
 
-// What a claimant can say.
+// States that a claimant can report.
 const (
-	// AnswerFinished comes with the outcome. The claim's token never starts again.
-	AnswerFinished AnswerKind = "finished"
-	// AnswerRunning means that the request waits or runs at the claimant.
-	AnswerRunning AnswerKind = "running"
-	// AnswerNever is the promise never to dispatch under the claim's token.
-	AnswerNever AnswerKind = "never"
-	// AnswerUnknown means that the daemon asked is not the claimant, or is a
+	// StateFinished is reported with the outcome. The claim's token never starts
+	// again.
+	StateFinished State = "finished"
+	// StateRunning means that the request is waiting or running at the claimant.
+	StateRunning State = "running"
+	// StateRevoked is the promise never to dispatch under the claim's token.
+	StateRevoked State = "never"
+	// StateUnknown means that the queried daemon is not the claimant, or is a
 	// later incarnation of it.
-	AnswerUnknown AnswerKind = "unknown"
+	StateUnknown State = "unknown"
 )
 
-// Answer is a claimant's answer. Outcome is set for AnswerFinished.
-type Answer struct {
-	Kind    AnswerKind
+// Status is a claimant's reply to a query. Outcome is set for StateFinished.
+type Status struct {
+	Kind    State
 	Outcome Outcome
 }
 
-// Asker asks another daemon about a claim of its own. The attempt is the token
-// that the claim's row holds. An error means that no answer came.
-type Asker interface {
-	Ask(ctx context.Context, daemon ident.Daemon, incarnation uint64, key Key, attempt ident.Attempt) (Answer, error)
+// Querier queries another daemon about one of that daemon's claims. The attempt
+// is the token stored in the claim's row. An error means that no reply was
+// received.
+type Querier interface {
+	QueryClaim(ctx context.Context, daemon ident.Daemon, incarnation uint64, key Key, attempt ident.Attempt) (Status, error)
 }
 
-// DefaultKeepBytes is the default bound of a kept answer.
-const DefaultKeepBytes = 16 << 10
+// DefaultMaxResponseBytes is the default size limit of a stored response.
+const DefaultMaxResponseBytes = 16 << 10
 
-// Config holds the settings of a Claimer. A zero field gets its default.
+// Config holds the settings of a Claimer. Zero fields are replaced by defaults.
 type Config struct {
 	// Daemon and Incarnation identify this process. No other process may ever
-	// have the same pair; a restart needs a new incarnation.
+	// use the same pair; a restart requires a new incarnation.
 	Daemon      ident.Daemon
 	Incarnation uint64
-	// Wait bounds the whole of Claim, a store outage included. Default 5 s.
-	Wait time.Duration
-	// AskTimeout bounds one question to a claimant. Default 1 s.
-	AskTimeout time.Duration
-	// Term is the longest time between Claim and the first byte, by this
-	// process's monotonic clock. It must be above the longest wait in a queue
-	// and far below RecordTTL. Default 1 h.
-	Term time.Duration
-	// RecordTTL is how long a record is kept after its last write. A repeat
-	// after it runs again. Default 24 h.
+	// ClaimTimeout limits the total duration of Claim, including a store outage.
+	// Default 5 s.
+	ClaimTimeout time.Duration
+	// QueryTimeout limits one query to a claimant. Default 1 s.
+	QueryTimeout time.Duration
+	// StartTimeout is the longest time between Claim and the first byte, measured
+	// by this process's monotonic clock. It must exceed the longest wait in a
+	// queue and be far below RecordTTL. Default 1 h.
+	StartTimeout time.Duration
+	// RecordTTL is how long a record is kept after its last write. A retry after
+	// that time runs again. Default 24 h.
 	RecordTTL time.Duration
-	// KeepBytes bounds the kept answer, headers and body. Default 16 KiB.
-	KeepBytes int
-	// BatchRows bounds the rows of one transaction. Default 200.
-	BatchRows int
-	// BatchBytes bounds the values of one transaction. Default 512 KiB.
-	BatchBytes int
-	// Linger is how long a transaction waits for more rows. Default 2 ms.
+	// MaxResponseBytes limits the size of a stored response, headers and body.
+	// Default 16 KiB.
+	MaxResponseBytes int
+	// MaxBatchRows limits the number of rows per transaction. Default 200.
+	MaxBatchRows int
+	// MaxBatchBytes limits the total size of the values per transaction. Default
+	// 512 KiB.
+	MaxBatchBytes int
+	// Linger is how long a transaction waits for further rows. Default 2 ms.
 	Linger time.Duration
-	// CommitTimeout bounds one transaction, with the tries by which the table's
-	// client settles a lost answer. Default 10 s.
+	// CommitTimeout limits one transaction, including the retries by which the
+	// table's client resolves a lost response. Default 10 s.
 	CommitTimeout time.Duration
-	// WritesPerSecond bounds this daemon's transactions. Default 40, which is
-	// the share of 7 daemons in a budget of 300 writes a second.
+	// WritesPerSecond limits this daemon's transaction rate. Default 40, which is
+	// the share of each of 7 daemons in a budget of 300 writes per second.
 	WritesPerSecond float64
-	// Backoff is the mean wait after the first failed transaction in a row; it
-	// doubles up to BackoffMax. Defaults 50 ms and 2 s.
+	// Backoff is the mean delay after the first of several consecutive failed
+	// transactions; it doubles up to BackoffMax. Defaults 50 ms and 2 s.
 	Backoff, BackoffMax time.Duration
-	// Now is the clock; its results carry a monotonic reading. Default time.Now.
+	// Now returns the current time with a monotonic clock reading. Default
+	// time.Now.
 	Now func() time.Time
-	// Random returns a number in [0,1) for the jitter. Default math/rand/v2.
+	// Random returns a number in [0,1) for backoff jitter. Default math/rand/v2.
 	Random func() float64
 }
--- a/internal/daemon/bridge.go
+++ b/internal/daemon/bridge.go
@@ -147,15 +147,15 @@
 
 // Claim implements fleet.Handler.
 func (b *bridge) Claim(q fleet.ClaimQuery) fleet.ClaimAnswer {
-	key := claim.Key{Service: q.Service, Workspace: q.Workspace, Idempotency: q.Key}
-	answer := b.claimer.Answer(b.self, q.Incarnation, key, q.Attempt)
+	key := claim.Key{Service: q.Service, Workspace: q.Workspace, IdempotencyKey: q.Key}
+	answer := b.claimer.AnswerQuery(b.self, q.Incarnation, key, q.Attempt)
 	reply := fleet.ClaimAnswer{State: fleet.ClaimUnknown}
 	switch answer.Kind {
-	case claim.AnswerRunning:
+	case claim.StateRunning:
 		reply.State = fleet.ClaimRunning
-	case claim.AnswerNever:
+	case claim.StateRevoked:
 		reply.State = fleet.ClaimNever
-	case claim.AnswerFinished:
+	case claim.StateFinished:
 		outcome, err := json.Marshal(answer.Outcome)
 		if err != nil {
 			return reply
@@ -166,22 +166,22 @@
 }
 
 // Ask implements claim.Asker.
-func (b *bridge) Ask(ctx context.Context, daemon ident.Daemon, incarnation uint64, key claim.Key, attempt ident.Attempt) (claim.Answer, error) {
+func (b *bridge) QueryClaim(ctx context.Context, daemon ident.Daemon, incarnation uint64, key claim.Key, attempt ident.Attempt) (claim.Status, error) {
 	reply, err := b.node.AskClaim(ctx, daemon, fleet.ClaimQuery{
-		Service: key.Service, Workspace: key.Workspace, Key: key.Idempotency,
+		Service: key.Service, Workspace: key.Workspace, Key: key.IdempotencyKey,
 		Attempt: attempt, Incarnation: incarnation,
 	})
 	if err != nil {
-		return claim.Answer{}, err
+		return claim.Status{}, err
 	}
 	switch reply.State {
 	case fleet.ClaimRunning:
-		return claim.Answer{Kind: claim.AnswerRunning}, nil
+		return claim.Status{Kind: claim.StateRunning}, nil
 	case fleet.ClaimNever:
-		return claim.Answer{Kind: claim.AnswerNever}, nil
+		return claim.Status{Kind: claim.StateRevoked}, nil
 	case fleet.ClaimFinished:
-		answer := claim.Answer{Kind: claim.AnswerFinished}
+		answer := claim.Status{Kind: claim.StateFinished}
 		return answer, json.Unmarshal(reply.Outcome, &answer.Outcome)
 	}
-	return claim.Answer{Kind: claim.AnswerUnknown}, nil
+	return claim.Status{Kind: claim.StateUnknown}, nil
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -130,7 +130,7 @@
 }
 
 func newClaimer(id identity, s settings.Settings, b *bridge, client *platform.Client, log *slog.Logger) *claim.Claimer {
-	b.claimer = claim.New(claim.Config{Daemon: id.Daemon, Incarnation: id.Incarnation, Wait: s.Claims.Wait}, client, b, log)
+	b.claimer = claim.New(claim.Config{Daemon: id.Daemon, Incarnation: id.Incarnation, ClaimTimeout: s.Claims.Wait}, client, b, log)
 	return b.claimer
 }
 
--- a/internal/ingress/job.go
+++ b/internal/ingress/job.go
@@ -110,7 +110,7 @@
 	if !j.operation.Unrepeatable {
 		return s.place(ctx, j, nil)
 	}
-	key := claim.Key{Service: j.name(), Workspace: j.workspace, Idempotency: j.key}
+	key := claim.Key{Service: j.name(), Workspace: j.workspace, IdempotencyKey: j.key}
 	decision, err := s.Claims.Claim(ctx, key, j.digest, ident.NewAttempt())
 	if err != nil {
 		return resultcode.Fail(resultcode.CallerGone, "").Because(err)
@@ -135,7 +135,7 @@
 		w.Header()[name] = values
 	}
 	w.Header().Set(HeaderReplayed, "true")
-	w.WriteHeader(o.Status)
+	w.WriteHeader(o.StatusCode)
 	_, _ = w.Write(o.Body)
 }
 
@@ -156,7 +156,7 @@
 		outcome.Result = failure.Code.Outcome
 	}
 	if outcome.Result == resultcode.NotRun {
-		hold.NotRun() // false where it never started, which is as well
+		hold.MarkNotRun() // false where it never started, which is as well
 		if hold.Abandon() {
 			return failure
 		}
@@ -164,8 +164,8 @@
 	if failure == nil {
 		j.finish()
 		j.finish = func() {}
-		outcome.Kept = !j.w.record.overflow
-		outcome.Status = j.w.status
+		outcome.HasResponse = !j.w.record.overflow
+		outcome.StatusCode = j.w.status
 		outcome.Header = keptHeader(j.w.Header())
 		outcome.Body = j.w.record.body
 	}
--- a/internal/ingress/place.go
+++ b/internal/ingress/place.go
@@ -79,7 +79,7 @@
 	if !decision.Retry {
 		return false
 	}
-	if hold != nil && !hold.NotRun() {
+	if hold != nil && !hold.MarkNotRun() {
 		return false
 	}
 	timer := time.NewTimer(decision.Backoff)
--- a/internal/ingress/respond.go
+++ b/internal/ingress/respond.go
@@ -123,7 +123,7 @@
 
 // recordLimit bounds the answer that is kept for repeats of an unrepeatable
 // request; a larger one is answered as already run.
-const recordLimit = claim.DefaultKeepBytes
+const recordLimit = claim.DefaultMaxResponseBytes
 
 // record is a bounded copy of an answer's body.
 type record struct {
