--- a/internal/booking/members.go
+++ b/internal/booking/members.go
@@ -59,7 +59,7 @@
 	for _, s := range c.services {
 		owned := 0
 		for _, e := range s.sortedEngines {
-			owner := owners.Of(s.name, e.Name, e.Zone)
+			owner := owners.Lookup(s.name, e.Name, e.Zone)
 			if e.owned && owner != c.cfg.Self {
 				c.dropRuns(e)
 				e.runs, e.unsharedMemory = nil, 0
--- a/internal/booking/tell.go
+++ b/internal/booking/tell.go
@@ -72,7 +72,7 @@
 	if len(members) < minDaemonsForHubs {
 		return exchangeGroup{}
 	}
-	hubOf := func(zone ident.Zone) ident.Daemon { return owners.Of("", "sums", zone) }
+	hubOf := func(zone ident.Zone) ident.Daemon { return owners.Lookup("", "sums", zone) }
 	g := exchangeGroup{hub: hubOf(c.cfg.Zone)}
 	for _, m := range members {
 		switch {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -137,9 +137,9 @@
 func newReconciler(id identity, s settings.Settings, client *platform.Client, log *slog.Logger) *order.Reconciler {
 	cfg := order.Config{
 		Daemon: id.Daemon, Incarnation: id.Incarnation,
-		Term: s.Orders.LeaseTerm, ReadBack: s.Orders.ReadBack,
+		LeaseTerm: s.Orders.LeaseTerm, ReadInterval: s.Orders.ReadBack,
 	}
-	return order.New(cfg, client, client, order.NewHTTP(), log)
+	return order.New(cfg, client, client, order.NewHTTPClient(), log)
 }
 
 func newRunner(tracing *telemetry.Tracing) *attempt.Runner {
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -29,7 +29,7 @@
 	defer ticker.Stop()
 	defer f.reconciler.Stop()
 	for {
-		f.reconciler.Set(f.wanted())
+		f.reconciler.SetTargets(f.wanted())
 		select {
 		case <-ctx.Done():
 			return
@@ -38,10 +38,10 @@
 	}
 }
 
-func (f *orderFollower) wanted() []order.Wanted {
+func (f *orderFollower) wanted() []order.Desired {
 	owned := map[ident.Service]map[ident.Target]bool{}
 	f.loop.Inspect(func(c *scheduler.Core) { owned = c.OwnedTargets() })
-	var wanted []order.Wanted
+	var wanted []order.Desired
 	for _, s := range f.store.Snapshot().Services() {
 		for _, w := range order.FromDocument(s.Document, s.Revision) {
 			if owned[w.Service][w.Target] {
--- a/internal/daemon/sharing_bench_test.go
+++ b/internal/daemon/sharing_bench_test.go
@@ -28,7 +28,7 @@
 // refuses for want of processor time and at the hub of a zone.
 func BenchmarkSharing(b *testing.B) {
 	members := benchMembers()
-	hub := membership.NewOwners(members).Of("", "sums", benchZones[0])
+	hub := membership.NewOwners(members).Lookup("", "sums", benchZones[0])
 	for _, m := range members {
 		if m.Zone == benchZones[0] && m.ID != hub {
 			b.Run("member", func(b *testing.B) { benchmarkSharing(b, members, m.ID) })
--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -26,15 +26,15 @@
 // than what the new link has already brought.
 func (r received) apply(n *Node, now time.Time) {
 	l := r.link
-	if n.links.byPeer[l.peer] != l || !n.table.Heard(now, l.peer, l.incarnation) {
+	if n.links.byPeer[l.peer] != l || !n.table.FrameReceived(now, l.peer, l.incarnation) {
 		return
 	}
 	if r.leaving {
-		n.table.Announced(l.peer, l.incarnation)
+		n.table.LeaveAnnounced(l.peer, l.incarnation)
 		n.tellPeers()
 	}
 	for _, report := range r.reports {
-		n.table.Reported(now, report)
+		n.table.ReportReceived(now, report)
 	}
 	if len(r.reports) > 0 {
 		n.tellWatched()
@@ -80,7 +80,7 @@
 type vmList []membership.ListedVM
 
 func (v vmList) apply(n *Node, now time.Time) {
-	n.table.SetList(now, v)
+	n.table.SetVMList(now, v)
 	n.keepAddresses(v)
 	n.startDials(now)
 }
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -87,14 +87,14 @@
 		return nil, err
 	}
 	table := membership.New(membership.Config{
-		Self:         cfg.Self,
-		Zone:         cfg.Zone,
-		SuspectAfter: suspectBeats * cfg.Heartbeat,
-		DeadAfter:    deadBeats * cfg.Heartbeat,
-		Grace:        2 * cfg.Heartbeat,
-		WatchAll:     cfg.WatchAll,
-		UseFor:       useBeats * cfg.Heartbeat,
-		RestAfter:    suspectBeats * restBeats * cfg.Heartbeat,
+		Self:          cfg.Self,
+		Zone:          cfg.Zone,
+		SuspectAfter:  suspectBeats * cfg.Heartbeat,
+		DeadAfter:     deadBeats * cfg.Heartbeat,
+		DialGrace:     2 * cfg.Heartbeat,
+		WatchAllLimit: cfg.WatchAll,
+		WatchAfterUse: useBeats * cfg.Heartbeat,
+		ProbeAfter:    suspectBeats * restBeats * cfg.Heartbeat,
 	}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	n := &Node{
 		cfg: cfg, handler: handler, table: table,
@@ -246,7 +246,7 @@
 func (n *Node) tick(now time.Time) {
 	n.noteUse(now)
 	n.table.Tick(now)
-	for _, peer := range n.table.Silent(now) {
+	for _, peer := range n.table.SilentLinks(now) {
 		l := n.links.byPeer[peer]
 		if l == nil {
 			continue
@@ -274,7 +274,7 @@
 }
 
 func (n *Node) startDials(now time.Time) {
-	for _, d := range n.table.Dials(now, dialsAtOnce-n.dialing) {
+	for _, d := range n.table.StartDials(now, dialsAtOnce-n.dialing) {
 		n.dialing++
 		n.session++
 		session := n.session
@@ -289,7 +289,7 @@
 	if old != nil && l.incarnation >= old.incarnation && !newer(l, old, n.cfg.Self) {
 		return errNotKept
 	}
-	sighting := membership.Sighting{
+	sighting := membership.PeerInfo{
 		ID: l.peer, Incarnation: l.incarnation, Zone: l.zone, Address: l.address,
 	}
 	if !n.table.LinkUp(now, sighting) {
--- a/internal/fleet/watch.go
+++ b/internal/fleet/watch.go
@@ -44,7 +44,7 @@
 func (n *Node) noteUse(now time.Time) {
 	for peer, l := range n.links.byPeer {
 		if l.used.Swap(false) {
-			n.table.Used(now, peer)
+			n.table.MessageSent(now, peer)
 		}
 	}
 }
@@ -67,7 +67,7 @@
 
 // tellReports tells all peers whom this daemon watches and does not hear.
 func (n *Node) tellReports() {
-	reports := n.table.Reports()
+	reports := n.table.TakeReports()
 	if len(reports) == 0 {
 		return
 	}
--- a/internal/membership/dials.go
+++ b/internal/membership/dials.go
@@ -7,12 +7,12 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// Dials returns at most limit daemons to dial now and counts them as being
-// dialled until LinkUp or DialFailed.
-func (t *Table) Dials(now time.Time, limit int) []Dial {
+// StartDials returns at most limit daemons to dial now and marks them as being
+// dialed until LinkUp or DialFailed is called.
+func (t *Table) StartDials(now time.Time, limit int) []Dial {
 	var due []*entry
 	for _, e := range t.entries {
-		if t.wanted(now, e) && !now.Before(e.nextDial) {
+		if t.needsDial(now, e) && !now.Before(e.nextDial) {
 			due = append(due, e)
 		}
 	}
@@ -27,38 +27,40 @@
 	}
 	dials := make([]Dial, 0, len(due))
 	for _, e := range due {
-		e.dialling = true
+		e.dialing = true
 		dials = append(dials, Dial{ID: e.id, Address: e.address})
 	}
 	return dials
 }
 
-func (t *Table) wanted(now time.Time, e *entry) bool {
-	if e.linked || e.dialling || e.address == "" {
+func (t *Table) needsDial(now time.Time, e *entry) bool {
+	if e.linked || e.dialing || e.address == "" {
 		return false
 	}
-	return e.listed || now.Sub(e.from()) < unlistedDials
+	return e.listed || now.Sub(e.silentSince()) < unlistedDialPeriod
 }
 
-// DialFailed takes in that a dial brought no link and sets the next one.
+// DialFailed records that a dial has failed and schedules the next one.
 func (t *Table) DialFailed(now time.Time, id ident.Daemon) {
 	e, ok := t.entries[id]
 	if !ok {
 		return
 	}
-	e.dialling = false
+	e.dialing = false
 	wait := t.cfg.BackoffCap
-	if e.failures < maxDoublings {
-		wait = min(wait, t.cfg.BackoffBase<<e.failures)
-		e.failures++
+	if e.dialFailures < maxBackoffDoublings {
+		wait = min(wait, t.cfg.BackoffBase<<e.dialFailures)
+		e.dialFailures++
 	}
 	e.nextDial = now.Add(t.jitter(wait))
 }
 
-// maxDoublings keeps the shift of the backoff in range.
-const maxDoublings = 16
+// maxBackoffDoublings prevents the shift that computes the backoff from
+// overflowing.
+const maxBackoffDoublings = 16
 
-// jitter spreads a wait evenly between half and one and a half of it.
+// jitter returns a uniformly distributed duration between half and one and a
+// half times wait.
 func (t *Table) jitter(wait time.Duration) time.Duration {
 	return wait/2 + time.Duration(t.random.Int64N(int64(wait)+1))
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,21 +1,23 @@
-// Package membership decides which daemons of the fleet are live, and which of
-// them owns a target. It has no network: time and randomness are arguments.
+// Package membership determines which daemons of the fleet are live and which
+// of them owns a target. It does no I/O: time and randomness are arguments.
 //
-// Load pattern it answers: at a planned size of 360 daemons about 200 are
-// replaced on an ordinary day, now and then a whole zone is cut off, and the
-// platform's VM list lags behind all of it. The list alone would keep grants
-// flowing to dead daemons and pass over new ones; heartbeats alone would not
-// find the first peer, and would take a cut zone for a stop of all its daemons
-// for good. So the list says whom to look for, and heartbeats say who is there:
-// a daemon that the list no longer holds stays live while it is heard.
+// The load pattern it addresses: at a planned size of 360 daemons about 200 are
+// replaced on an ordinary day, occasionally a whole availability zone is
+// partitioned, and the platform's VM list lags behind all of it. The list alone
+// would keep sending grants to dead daemons and miss new ones. Heartbeats alone
+// could not discover the first peer, and would treat a partitioned zone as the
+// permanent stop of all its daemons. The list is therefore used for discovery
+// and heartbeats for liveness: a daemon that is no longer in the list stays
+// live as long as its heartbeats arrive.
 //
-// After a partition both sides look for each other at the same moment. Dials
-// back off with jitter, up to BackoffCap, so that a node that found n peers
-// gone makes about n/BackoffCap dials a second, and not all at once.
+// After a partition both sides try to reconnect at the same time. Dials back
+// off with jitter, up to BackoffCap, so that a daemon that lost n peers makes
+// about n/BackoffCap dials per second instead of all of them at once.
 //
-// A heartbeat a second is what the budget of control traffic allows; three missed in a row are rare on links that lose one packet
-// in a hundred (one in a million), which is when the link is replaced; a
-// replacement takes up to three more, after which the peer is dead.
+// The budget for control traffic allows one heartbeat per second. Three
+// consecutive losses are rare (one in a million) on links that lose one packet
+// in a hundred; after three the link is replaced. The replacement takes up to
+// three more heartbeat intervals, after which the peer is dead.
 package membership
 
 import (
@@ -41,61 +43,65 @@
 
 // Triggers of charts/member.yaml.
 const (
-	heard     chart.Trigger = "heard"
-	silent    chart.Trigger = "silent"
-	leaves    chart.Trigger = "leaves"
-	stays     chart.Trigger = "stays"
-	restarted chart.Trigger = "restarted"
-	expired   chart.Trigger = "expired"
-	forgotten chart.Trigger = "forgotten"
+	triggerHeard     chart.Trigger = "heard"
+	triggerSilent    chart.Trigger = "silent"
+	triggerLeaves    chart.Trigger = "leaves"
+	triggerStays     chart.Trigger = "stays"
+	triggerRestarted chart.Trigger = "restarted"
+	triggerExpired   chart.Trigger = "expired"
+	triggerForgotten chart.Trigger = "forgotten"
 )
 
 // Defaults of Config.
 const (
-	DefaultSuspectAfter = 3 * time.Second
-	DefaultDeadAfter    = 6 * time.Second
-	DefaultBackoffBase  = 200 * time.Millisecond
-	DefaultBackoffCap   = 10 * time.Second
-	DefaultGrace        = 2 * time.Second
-	DefaultForgetAfter  = 24 * time.Hour
-	DefaultWatchAll     = 18
-	DefaultUseFor       = 10 * time.Second
-	DefaultRestAfter    = 6 * time.Minute
-	// unlistedDials is how long a daemon that the list lacks is dialled after
-	// it was last heard: the list may hold it again soon.
-	unlistedDials = 2 * time.Minute
+	DefaultSuspectAfter  = 3 * time.Second
+	DefaultDeadAfter     = 6 * time.Second
+	DefaultBackoffBase   = 200 * time.Millisecond
+	DefaultBackoffCap    = 10 * time.Second
+	DefaultDialGrace     = 2 * time.Second
+	DefaultForgetAfter   = 24 * time.Hour
+	DefaultWatchAllLimit = 18
+	DefaultWatchAfterUse = 10 * time.Second
+	DefaultProbeAfter    = 6 * time.Minute
+	// unlistedDialPeriod is how long a daemon that is missing from the VM list
+	// is still dialed after it was last heard from, since it may reappear in
+	// the list.
+	unlistedDialPeriod = 2 * time.Minute
 )
 
-// Config is the fixed part of a table.
+// Config configures a Table. Zero durations and limits take their defaults.
 type Config struct {
-	// Self is the daemon that holds the table; it is not in it. Zone is its own.
+	// Self is the daemon that holds the table; the table has no entry for it.
+	// Zone is its availability zone.
 	Self ident.Daemon
 	Zone ident.Zone
-	// SuspectAfter is the silence that makes a member suspect. Default: 3 s.
+	// SuspectAfter is the time without heartbeats after which a member becomes
+	// suspect. Default: 3 s.
 	SuspectAfter time.Duration
-	// DeadAfter is the silence that makes a member dead. Default: 6 s.
+	// DeadAfter is the time without heartbeats after which a member is dead.
+	// Default: 6 s.
 	DeadAfter time.Duration
-	// BackoffBase and BackoffCap bound the mean wait between two dials of a
+	// BackoffBase and BackoffCap bound the mean delay between two dials of a
 	// member. Defaults: 200 ms, 10 s.
 	BackoffBase, BackoffCap time.Duration
-	// Grace is how long the daemon with the greater name leaves the first dial
-	// to the other one. Default: 2 s.
-	Grace time.Duration
-	// ForgetAfter is how long a dead member's incarnation is remembered once
-	// the list lacks it. Default: 24 h.
+	// DialGrace is how long the daemon with the greater name waits for the
+	// other one to dial first. Default: 2 s.
+	DialGrace time.Duration
+	// ForgetAfter is how long the incarnation of a dead member is kept once the
+	// member is missing from the VM list. Default: 24 h.
 	ForgetAfter time.Duration
-	// WatchAll is the size of the fleet, this daemon included, up to which it
-	// watches all others. Default: 18.
-	WatchAll int
-	// UseFor is how long a daemon is watched after it was last sent something.
-	// Default: 10 s.
-	UseFor time.Duration
-	// RestAfter is the silence of a resting link that makes the table look at
-	// the daemon. Default: 6 min.
-	RestAfter time.Duration
+	// WatchAllLimit is the size of the fleet, including this daemon, up to
+	// which it watches all others. Default: 18.
+	WatchAllLimit int
+	// WatchAfterUse is how long a daemon is watched after a message was last
+	// sent to it. Default: 10 s.
+	WatchAfterUse time.Duration
+	// ProbeAfter is the time without messages after which an unwatched daemon
+	// is probed. Default: 6 min.
+	ProbeAfter time.Duration
 }
 
-func (c Config) complete() Config {
+func (c Config) withDefaults() Config {
 	for _, d := range []struct {
 		field *time.Duration
 		value time.Duration
@@ -104,20 +110,20 @@
 		{&c.DeadAfter, DefaultDeadAfter},
 		{&c.BackoffBase, DefaultBackoffBase},
 		{&c.BackoffCap, DefaultBackoffCap},
-		{&c.Grace, DefaultGrace},
+		{&c.DialGrace, DefaultDialGrace},
 		{&c.ForgetAfter, DefaultForgetAfter},
-		{&c.UseFor, DefaultUseFor},
-		{&c.RestAfter, DefaultRestAfter},
+		{&c.WatchAfterUse, DefaultWatchAfterUse},
+		{&c.ProbeAfter, DefaultProbeAfter},
 	} {
 		if *d.field == 0 {
 			*d.field = d.value
 		}
 	}
-	c.WatchAll = cmp.Or(c.WatchAll, DefaultWatchAll)
+	c.WatchAllLimit = cmp.Or(c.WatchAllLimit, DefaultWatchAllLimit)
 	return c
 }
 
-// ListedVM is what the platform's list says of one daemon.
+// ListedVM is the entry of one daemon in the platform's VM list.
 type ListedVM struct {
 	ID      ident.Daemon
 	Zone    ident.Zone
@@ -133,72 +139,73 @@
 	Leaving     bool
 }
 
-// Sighting is what a daemon says of itself when a link opens.
-type Sighting struct {
+// PeerInfo is what a daemon announces about itself when a link opens.
+type PeerInfo struct {
 	ID          ident.Daemon
 	Incarnation uint64
 	Zone        ident.Zone
 	Address     string
 }
 
-// Dial asks for a new link.
+// Dial requests a new link to a daemon.
 type Dial struct {
 	ID      ident.Daemon
 	Address string
 }
 
-// entry is one daemon of the table.
+// entry is the state of one daemon in the table.
 type entry struct {
-	machine     *chart.Machine
-	id          ident.Daemon
-	zone        ident.Zone
-	address     string
-	incarnation uint64
-	// announced is the incarnation that said it is leaving.
-	announced   uint64
-	lastHeard   time.Time
-	listed      bool
-	listLeaving bool
-	linked      bool
-	dialling    bool
-	nextDial    time.Time
-	failures    int
-	watch
+	stateMachine *chart.Machine
+	id           ident.Daemon
+	zone         ident.Zone
+	address      string
+	incarnation  uint64
+	// leavingIncarnation is the incarnation that announced that it is leaving.
+	leavingIncarnation uint64
+	lastHeard          time.Time
+	listed             bool
+	listedLeaving      bool
+	linked             bool
+	dialing            bool
+	nextDial           time.Time
+	dialFailures       int
+	watchState
 }
 
-// Table holds the other daemons of the fleet. It is not safe for concurrent use.
+// Table tracks the other daemons of the fleet. It is not safe for concurrent use.
 type Table struct {
-	cfg     Config
-	chart   *chart.Chart
-	random  *rand.Rand
-	entries map[ident.Daemon]*entry
-	version uint64
-	ticked  time.Time
-	few     fewState
+	cfg         Config
+	memberChart *chart.Chart
+	random      *rand.Rand
+	entries     map[ident.Daemon]*entry
+	version     uint64
+	lastTick    time.Time
+	selection   watchSelection
 }
 
-var lifeChart = chart.MustParse(charts.Member,
+var memberChart = chart.MustParse(charts.Member,
 	[]chart.State{Listed, Live, Suspect, Leaving, Dead, Forgotten},
-	[]chart.Trigger{heard, silent, leaves, stays, restarted, expired, forgotten},
+	[]chart.Trigger{triggerHeard, triggerSilent, triggerLeaves, triggerStays, triggerRestarted, triggerExpired, triggerForgotten},
 )
 
-// New returns an empty table. Random spreads the dials.
+// New returns an empty table. The random source provides the jitter of dials.
 func New(cfg Config, random *rand.Rand) *Table {
-	return &Table{cfg: cfg.complete(), chart: lifeChart, random: random, entries: map[ident.Daemon]*entry{}}
+	return &Table{cfg: cfg.withDefaults(), memberChart: memberChart, random: random, entries: map[ident.Daemon]*entry{}}
 }
 
-// Version changes whenever Members may have changed.
+// Version returns a number that changes whenever the result of Members may have
+// changed.
 func (t *Table) Version() uint64 { return t.version }
 
-// Members returns who is live, suspect or leaving, by name.
+// Members returns the daemons that are live, suspect or leaving, sorted by name.
 func (t *Table) Members() []Member {
 	var members []Member
 	for _, e := range t.entries {
-		switch e.machine.State() {
+		switch e.stateMachine.State() {
 		case Live, Suspect, Leaving:
 			members = append(members, Member{
 				ID: e.id, Zone: e.zone, Incarnation: e.incarnation,
-				Leaving: e.machine.State() == Leaving,
+				Leaving: e.stateMachine.State() == Leaving,
 			})
 		}
 	}
@@ -206,15 +213,15 @@
 	return members
 }
 
-// State returns the state of a daemon; it is Forgotten where the table has none.
+// State returns the state of a daemon, or Forgotten if it is not in the table.
 func (t *Table) State(id ident.Daemon) chart.State {
 	if e, ok := t.entries[id]; ok {
-		return e.machine.State()
+		return e.stateMachine.State()
 	}
 	return Forgotten
 }
 
-// Address returns where a daemon listens.
+// Address returns the address at which a daemon listens.
 func (t *Table) Address(id ident.Daemon) (string, bool) {
 	e, ok := t.entries[id]
 	if !ok || e.address == "" {
@@ -223,135 +230,139 @@
 	return e.address, true
 }
 
-// fire follows a trigger where the state accepts it.
-func (t *Table) fire(e *entry, on chart.Trigger) {
-	if !e.machine.Accepts(on) {
+// fireIfAccepted fires a trigger if the current state accepts it.
+func (t *Table) fireIfAccepted(e *entry, trigger chart.Trigger) {
+	if !e.stateMachine.Accepts(trigger) {
 		return
 	}
-	before := e.machine.State()
-	after, err := e.machine.Fire(on)
-	if err == nil && (after != before || on == restarted) {
+	before := e.stateMachine.State()
+	after, err := e.stateMachine.Fire(trigger)
+	if err == nil && (after != before || trigger == triggerRestarted) {
 		t.version++
 	}
 }
 
-func (t *Table) entry(id ident.Daemon, now time.Time) *entry {
+func (t *Table) getOrCreate(id ident.Daemon, now time.Time) *entry {
 	e, ok := t.entries[id]
 	if !ok {
-		e = &entry{machine: t.chart.New(), id: id, nextDial: now, watch: watch{watched: true, met: now}}
+		e = &entry{stateMachine: t.memberChart.New(), id: id, nextDial: now, watchState: watchState{watched: true, createdAt: now}}
 		if id < t.cfg.Self {
-			e.nextDial = now.Add(t.cfg.Grace)
+			e.nextDial = now.Add(t.cfg.DialGrace)
 		}
 		t.entries[id] = e
 	}
 	return e
 }
 
-// SetList takes the platform's list in, which may be out of date. It adds whom
-// to look for and who should leave; it never ends the life of a daemon that is
-// still heard.
-func (t *Table) SetList(now time.Time, list []ListedVM) {
+// SetVMList applies the platform's VM list, which may be out of date. The list
+// adds daemons to connect to and marks daemons that should leave; it never
+// removes a daemon whose heartbeats still arrive.
+func (t *Table) SetVMList(now time.Time, list []ListedVM) {
 	for _, e := range t.entries {
-		e.listed, e.listLeaving = false, false
+		e.listed, e.listedLeaving = false, false
 	}
 	for _, vm := range list {
 		if vm.ID == t.cfg.Self {
 			continue
 		}
-		e := t.entry(vm.ID, now)
+		e := t.getOrCreate(vm.ID, now)
 		if e.incarnation == 0 {
 			e.zone = vm.Zone
 		}
 		if e.address != vm.Address {
-			e.address, e.failures = vm.Address, 0
+			e.address, e.dialFailures = vm.Address, 0
 		}
-		e.listed, e.listLeaving = true, vm.Leaving
+		e.listed, e.listedLeaving = true, vm.Leaving
 	}
 	for _, e := range t.entries {
-		t.settleLeaving(e)
+		t.updateLeaving(e)
 	}
-	t.few.chosen = time.Time{}
-	t.forget(now)
+	t.selection.assignedAt = time.Time{}
+	t.removeForgotten(now)
 }
 
-// settleLeaving joins the list's word with the daemon's own.
-func (t *Table) settleLeaving(e *entry) {
-	switch e.machine.State() {
+// updateLeaving derives the leaving state from the VM list and the daemon's own
+// announcement.
+func (t *Table) updateLeaving(e *entry) {
+	switch e.stateMachine.State() {
 	case Live, Suspect:
-		if e.leaves() {
-			t.fire(e, leaves)
+		if e.isLeaving() {
+			t.fireIfAccepted(e, triggerLeaves)
 		}
 	case Leaving:
-		if !e.leaves() {
-			t.fire(e, stays)
+		if !e.isLeaving() {
+			t.fireIfAccepted(e, triggerStays)
 		}
 	}
 }
 
-// leaves tells whether the daemon or the list says that it is leaving. What an
-// older incarnation announced doesn't bind the present one.
-func (e *entry) leaves() bool {
-	return e.listLeaving || e.incarnation != 0 && e.announced == e.incarnation
+// isLeaving reports whether the daemon is leaving according to itself or to the
+// VM list. An announcement by an older incarnation does not apply to the
+// current one.
+func (e *entry) isLeaving() bool {
+	return e.listedLeaving || e.incarnation != 0 && e.leavingIncarnation == e.incarnation
 }
 
-// LinkUp takes in that a link to a daemon opened. It returns false where the
-// sighting is of an older incarnation than one already known: a process that
-// was paused or cut off while its successor started.
-func (t *Table) LinkUp(now time.Time, s Sighting) bool {
-	if s.ID == t.cfg.Self || s.Incarnation == 0 {
+// LinkUp records that a link to a daemon has opened. It returns false if the
+// peer's incarnation is older than the one already known: the process was
+// paused or partitioned while its successor started.
+func (t *Table) LinkUp(now time.Time, peer PeerInfo) bool {
+	if peer.ID == t.cfg.Self || peer.Incarnation == 0 {
 		return false
 	}
-	e := t.entry(s.ID, now)
-	if s.Incarnation < e.incarnation {
+	e := t.getOrCreate(peer.ID, now)
+	if peer.Incarnation < e.incarnation {
 		return false
 	}
-	if s.Zone != e.zone {
+	if peer.Zone != e.zone {
 		t.version++
 	}
-	if s.Address != "" && !e.listed {
-		e.address = s.Address
+	if peer.Address != "" && !e.listed {
+		e.address = peer.Address
 	}
-	e.zone, e.linked, e.dialling, e.failures = s.Zone, true, false, 0
-	if s.Incarnation > e.incarnation {
-		again := e.incarnation != 0
-		e.incarnation = s.Incarnation
-		if again {
-			t.fire(e, restarted)
+	e.zone, e.linked, e.dialing, e.dialFailures = peer.Zone, true, false, 0
+	if peer.Incarnation > e.incarnation {
+		restart := e.incarnation != 0
+		e.incarnation = peer.Incarnation
+		if restart {
+			t.fireIfAccepted(e, triggerRestarted)
 		}
 	}
-	t.heard(now, e)
+	t.markAlive(now, e)
 	return true
 }
 
-// Heard takes in a sign of life over a link. It returns false where it is of
-// an older incarnation.
-func (t *Table) Heard(now time.Time, id ident.Daemon, incarnation uint64) bool {
+// FrameReceived records that a frame has arrived over a link. It returns false
+// if the daemon is unknown or the frame is of another incarnation.
+func (t *Table) FrameReceived(now time.Time, id ident.Daemon, incarnation uint64) bool {
 	e, ok := t.entries[id]
 	if !ok || incarnation != e.incarnation {
 		return false
 	}
-	t.heard(now, e)
+	t.markAlive(now, e)
 	return true
 }
 
-func (t *Table) heard(now time.Time, e *entry) {
-	e.lastHeard, e.reported = now, false
-	t.fire(e, heard)
-	t.settleLeaving(e)
+func (t *Table) markAlive(now time.Time, e *entry) {
+	e.lastHeard, e.silenceHandled = now, false
+	t.fireIfAccepted(e, triggerHeard)
+	t.updateLeaving(e)
 }
 
-// Announced takes in that a daemon says its planned stop has begun.
-func (t *Table) Announced(id ident.Daemon, incarnation uint64) {
+// LeaveAnnounced records that a daemon has announced the start of its planned
+// stop.
+func (t *Table) LeaveAnnounced(id ident.Daemon, incarnation uint64) {
 	e, ok := t.entries[id]
 	if !ok || incarnation != e.incarnation {
 		return
 	}
-	e.announced = incarnation
-	t.settleLeaving(e)
+	e.leavingIncarnation = incarnation
+	t.updateLeaving(e)
 }
 
-// LinkLost takes in that the link to a daemon ended; the next dial is due at
-// once, or after the grace where the other one dials first.
+// LinkLost records that the link to a daemon has ended. The next dial is due
+// after BackoffBase with jitter, and DialGrace later if the other daemon dials
+// first.
 func (t *Table) LinkLost(now time.Time, id ident.Daemon) {
 	e, ok := t.entries[id]
 	if !ok {
@@ -360,6 +371,6 @@
 	e.linked = false
 	e.nextDial = now.Add(t.jitter(t.cfg.BackoffBase))
 	if id < t.cfg.Self {
-		e.nextDial = e.nextDial.Add(t.cfg.Grace)
+		e.nextDial = e.nextDial.Add(t.cfg.DialGrace)
 	}
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -18,7 +18,7 @@
 	return membership.New(membership.Config{Self: self}, rand.New(rand.NewPCG(1, 2)))
 }
 
-func listed(ids ...ident.Daemon) []membership.ListedVM {
+func vmList(ids ...ident.Daemon) []membership.ListedVM {
 	var list []membership.ListedVM
 	for _, id := range ids {
 		list = append(list, membership.ListedVM{ID: id, Zone: "hall-a", Address: string(id) + ":1"})
@@ -26,12 +26,12 @@
 	return list
 }
 
-func sighting(id ident.Daemon, incarnation uint64) membership.Sighting {
-	return membership.Sighting{ID: id, Incarnation: incarnation, Zone: "hall-a", Address: string(id) + ":1"}
+func peerInfo(id ident.Daemon, incarnation uint64) membership.PeerInfo {
+	return membership.PeerInfo{ID: id, Incarnation: incarnation, Zone: "hall-a", Address: string(id) + ":1"}
 }
 
-// tickTo ticks several times a second up to d after start.
-func tickTo(table *membership.Table, from, to time.Duration) {
+// tickRange ticks five times per second between two offsets from start.
+func tickRange(table *membership.Table, from, to time.Duration) {
 	for d := from; d <= to; d += 200 * time.Millisecond {
 		table.Tick(start.Add(d))
 	}
@@ -40,89 +40,89 @@
 func TestSilenceMakesSuspectThenDead(t *testing.T) {
 	is := is.New(t)
 	table := newTable("a")
-	table.SetList(start, listed("a", "b"))
+	table.SetVMList(start, vmList("a", "b"))
 	is.Equal(table.State("b"), membership.Listed)
-	is.Equal(len(table.Members()), 0) // nothing was heard yet
-	is.True(table.LinkUp(start, sighting("b", 1)))
+	is.Equal(len(table.Members()), 0) // no frame has been received yet
+	is.True(table.LinkUp(start, peerInfo("b", 1)))
 	is.Equal(table.State("b"), membership.Live)
-	tickTo(table, 0, 2800*time.Millisecond)
+	tickRange(table, 0, 2800*time.Millisecond)
 	is.Equal(table.State("b"), membership.Live)
-	tickTo(table, 3*time.Second, 5800*time.Millisecond)
+	tickRange(table, 3*time.Second, 5800*time.Millisecond)
 	is.Equal(table.State("b"), membership.Suspect)
 	is.Equal(len(table.Members()), 1) // it keeps its targets
-	is.Equal(table.Silent(start.Add(3*time.Second)), []ident.Daemon{"b"})
-	tickTo(table, 6*time.Second, 6*time.Second)
+	is.Equal(table.SilentLinks(start.Add(3*time.Second)), []ident.Daemon{"b"})
+	tickRange(table, 6*time.Second, 6*time.Second)
 	is.Equal(table.State("b"), membership.Dead)
 	is.Equal(len(table.Members()), 0)
 }
 
-// The platform's list drops a daemon that is well: it was replaced under the
-// same name, or the list is wrong. Its callers would lose their grants if the
-// list were believed more than the heartbeats.
-func TestDaemonThatIsHeardOutlivesTheList(t *testing.T) {
+// The platform's VM list drops a healthy daemon, because it was replaced under the
+// same name or the list is wrong. Its callers would lose their grants if the list
+// took precedence over heartbeats.
+func TestHeartbeatingDaemonOutlivesVMList(t *testing.T) {
 	is := is.New(t)
 	table := newTable("a")
-	table.SetList(start, listed("b"))
-	table.LinkUp(start, sighting("b", 1))
-	table.SetList(start.Add(time.Second), nil)
+	table.SetVMList(start, vmList("b"))
+	table.LinkUp(start, peerInfo("b", 1))
+	table.SetVMList(start.Add(time.Second), nil)
 	is.Equal(table.State("b"), membership.Live)
-	tickTo(table, 0, 7*time.Second)
-	is.Equal(table.State("b"), membership.Dead) // silence ends it
+	tickRange(table, 0, 7*time.Second)
+	is.Equal(table.State("b"), membership.Dead) // the missing heartbeats make it dead
 }
 
-func TestLeavingIsJoinedFromListAndDaemon(t *testing.T) {
+func TestLeavingCombinesVMListAndAnnouncement(t *testing.T) {
 	is := is.New(t)
 	table := newTable("a")
-	leaving := listed("b")
+	leaving := vmList("b")
 	leaving[0].Leaving = true
-	table.LinkUp(start, sighting("b", 1))
-	table.SetList(start, leaving)
+	table.LinkUp(start, peerInfo("b", 1))
+	table.SetVMList(start, leaving)
 	is.Equal(table.State("b"), membership.Leaving)
-	table.SetList(start, listed("b"))
-	is.Equal(table.State("b"), membership.Live) // the list took its word back
-	table.Announced("b", 1)
-	table.SetList(start, listed("b"))
-	is.Equal(table.State("b"), membership.Leaving) // the daemon's own word stands
+	table.SetVMList(start, vmList("b"))
+	is.Equal(table.State("b"), membership.Live) // the list no longer marks it as leaving
+	table.LeaveAnnounced("b", 1)
+	table.SetVMList(start, vmList("b"))
+	is.Equal(table.State("b"), membership.Leaving) // the daemon's own announcement still applies
 	is.True(table.Members()[0].Leaving)
-	is.True(table.LinkUp(start, sighting("b", 2)))
-	is.Equal(table.State("b"), membership.Live) // a new incarnation is not bound by it
-	table.Announced("b", 1)
+	is.True(table.LinkUp(start, peerInfo("b", 2)))
+	is.Equal(table.State("b"), membership.Live) // the announcement does not apply to a new incarnation
+	table.LeaveAnnounced("b", 1)
 	is.Equal(table.State("b"), membership.Live)
 }
 
-// A daemon is cut off, and its VM is replaced under the same name. After the
-// cut heals, the old process is still there and dials. If it were believed, the
-// grants of its successor would be taken for stale ones.
+// A daemon is partitioned, and its VM is replaced under the same name. After the
+// partition the old process is still running and dials. If it were accepted, the
+// grants of its successor would be considered stale.
 func TestOldIncarnationIsRefused(t *testing.T) {
 	is := is.New(t)
 	table := newTable("a")
-	is.True(table.LinkUp(start, sighting("b", 5)))
-	is.True(!table.LinkUp(start, sighting("b", 4)))
-	is.True(!table.Heard(start, "b", 4))
+	is.True(table.LinkUp(start, peerInfo("b", 5)))
+	is.True(!table.LinkUp(start, peerInfo("b", 4)))
+	is.True(!table.FrameReceived(start, "b", 4))
 	table.LinkLost(start, "b")
-	tickTo(table, 0, 10*time.Second)
+	tickRange(table, 0, 10*time.Second)
 	is.Equal(table.State("b"), membership.Dead)
-	is.True(!table.LinkUp(start.Add(time.Hour), sighting("b", 4))) // also long after
-	is.True(table.LinkUp(start.Add(time.Hour), sighting("b", 5)))
+	is.True(!table.LinkUp(start.Add(time.Hour), peerInfo("b", 4))) // even much later
+	is.True(table.LinkUp(start.Add(time.Hour), peerInfo("b", 5)))
 }
 
-// A daemon's process is stopped for a minute. When it goes on, every peer seems
-// to have been silent for a minute, though their frames wait in its buffers.
-// Without a guard it would take over the targets of the whole zone.
-func TestOwnPauseIsNoEvidence(t *testing.T) {
+// A daemon's process is paused for a minute. When it resumes, every peer seems to
+// have been silent for a minute although their frames wait in its receive buffers.
+// Without compensation it would take over the targets of the whole zone.
+func TestLocalPauseDoesNotFailPeers(t *testing.T) {
 	is := is.New(t)
 	table := newTable("a")
-	table.LinkUp(start, sighting("b", 1))
-	tickTo(table, 0, time.Second)
+	table.LinkUp(start, peerInfo("b", 1))
+	tickRange(table, 0, time.Second)
 	table.Tick(start.Add(time.Minute))
 	is.Equal(table.State("b"), membership.Live)
-	tickTo(table, time.Minute, time.Minute+7*time.Second)
-	is.Equal(table.State("b"), membership.Dead) // silence while awake counts
+	tickRange(table, time.Minute, time.Minute+7*time.Second)
+	is.Equal(table.State("b"), membership.Dead) // silence while running counts
 }
 
-// A zone with half of 360 daemons is cut off for an hour and comes back. Each
-// daemon then looks for 180 others. The dials of one daemon in any second must
-// stay few, and none may be forgotten.
+// A zone with half of 360 daemons is partitioned for an hour and reconnects. Each
+// daemon then tries to reach 180 others. A daemon must make only a few dials in any
+// second and must not omit any peer.
 func TestRejoinAfterPartitionIsSpread(t *testing.T) {
 	is := is.New(t)
 	const peers = 180
@@ -131,16 +131,16 @@
 	for i := range peers {
 		ids = append(ids, ident.Daemon(fmt.Sprintf("b%03d", i)))
 	}
-	table.SetList(start, listed(ids...))
+	table.SetVMList(start, vmList(ids...))
 	step := 100 * time.Millisecond
-	worst, window := 0, []int{}
+	maxDials, window := 0, []int{}
 	for d := time.Duration(0); d < time.Hour; d += step {
-		dials := table.Dials(start.Add(d), 1000)
+		dials := table.StartDials(start.Add(d), 1000)
 		for _, dial := range dials {
 			table.DialFailed(start.Add(d), dial.ID)
 		}
 		if d < time.Minute {
-			continue // the backoff grows to its cap
+			continue // the backoff has not reached its cap
 		}
 		window = append(window, len(dials))
 		if len(window) >= 10 {
@@ -148,22 +148,22 @@
 			for _, n := range window[len(window)-10:] {
 				sum += n
 			}
-			worst = max(worst, sum)
+			maxDials = max(maxDials, sum)
 		}
 	}
-	t.Logf("dials of one daemon in its worst second: %d of %d peers", worst, peers)
-	is.True(worst < peers/3)
+	t.Logf("most dials of one daemon in a second: %d of %d peers", maxDials, peers)
+	is.True(maxDials < peers/3)
 	found := 0
 	for d := time.Hour; d < time.Hour+16*time.Second; d += step {
-		for _, dial := range table.Dials(start.Add(d), 1000) {
-			is.True(table.LinkUp(start.Add(d), sighting(dial.ID, 1)))
+		for _, dial := range table.StartDials(start.Add(d), 1000) {
+			is.True(table.LinkUp(start.Add(d), peerInfo(dial.ID, 1)))
 			found++
 		}
 	}
-	is.Equal(found, peers) // all are back within one and a half times the cap
+	is.Equal(found, peers) // all reconnect within one and a half times the cap
 }
 
-func TestOwnerMovesLittleAndStaysInTheZone(t *testing.T) {
+func TestOwnershipMovesMinimallyAndStaysInZone(t *testing.T) {
 	is := is.New(t)
 	var members []membership.Member
 	for i := range 12 {
@@ -174,7 +174,7 @@
 		all := map[ident.Target]ident.Daemon{}
 		for i := range 600 {
 			name := ident.Target(fmt.Sprint("e", i))
-			all[name] = membership.NewOwners(members).Of("lm-pool", name, "hall-a")
+			all[name] = membership.NewOwners(members).Lookup("lm-pool", name, "hall-a")
 		}
 		return all
 	}
@@ -183,24 +183,24 @@
 	for _, d := range before {
 		count[d]++
 	}
-	is.Equal(len(count), 6) // just the daemons of the zone
+	is.Equal(len(count), 6) // only daemons of the zone
 	for _, n := range count {
 		is.True(n > 60 && n < 150) // about 100 each
 	}
 	members[0].Leaving = true
 	for name, d := range owners(members) {
 		is.True(d != "d0")
-		is.True(before[name] == "d0" || before[name] == d) // nobody else's moved
+		is.True(before[name] == "d0" || before[name] == d) // only the targets of d0 moved
 	}
 	for i := range members {
 		members[i].Leaving = members[i].Zone == "hall-a"
 	}
-	is.Equal(membership.NewOwners(members).Of("lm-pool", "e1", "hall-a")[0], byte('d'))
+	is.Equal(membership.NewOwners(members).Lookup("lm-pool", "e1", "hall-a")[0], byte('d'))
 	for _, d := range owners(members) {
 		n := 0
 		_, err := fmt.Sscanf(string(d), "d%d", &n)
 		is.NoErr(err)
-		is.Equal(n%2, 1) // the other zone stands in
+		is.Equal(n%2, 1) // the other zone takes over
 	}
-	is.Equal(membership.NewOwners(nil).Of("lm-pool", "e1", "hall-a"), ident.Daemon(""))
+	is.Equal(membership.NewOwners(nil).Lookup("lm-pool", "e1", "hall-a"), ident.Daemon(""))
 }
--- a/internal/membership/silence.go
+++ b/internal/membership/silence.go
@@ -7,14 +7,14 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// Silent returns the daemons whose link has brought nothing for SuspectAfter.
-// Such a link is to be replaced by one on a new connection: something between
-// the two ends may have lost track of the old one, which then stays silent for
-// good while new connections work.
-func (t *Table) Silent(now time.Time) []ident.Daemon {
+// SilentLinks returns the watched daemons over whose link nothing has arrived
+// for SuspectAfter. The caller replaces such a link by one on a new connection:
+// a middlebox between the two ends may have lost the state of the old
+// connection, which then stays silent forever while new connections work.
+func (t *Table) SilentLinks(now time.Time) []ident.Daemon {
 	var ids []ident.Daemon
 	for _, e := range t.entries {
-		if e.linked && e.quiet(now) >= t.cfg.SuspectAfter {
+		if e.linked && e.silence(now) >= t.cfg.SuspectAfter {
 			ids = append(ids, e.id)
 		}
 	}
@@ -22,38 +22,39 @@
 	return ids
 }
 
-// Tick lets time pass: members that were not heard become suspect, then dead.
-// It is to be called several times a second.
+// Tick advances the time: members without heartbeats become suspect, then dead.
+// It must be called several times per second.
 func (t *Table) Tick(now time.Time) {
-	t.forgivePause(now)
-	t.settleWatch(now)
+	t.compensateLocalPause(now)
+	t.updateWatched(now)
 	for _, e := range t.entries {
-		quiet := e.quiet(now)
+		quiet := e.silence(now)
 		if quiet >= t.cfg.SuspectAfter {
-			t.fire(e, silent)
-			t.report(now, e)
+			t.fireIfAccepted(e, triggerSilent)
+			t.reportSilence(now, e)
 		}
 		if quiet >= t.cfg.DeadAfter {
-			t.fire(e, expired)
+			t.fireIfAccepted(e, triggerExpired)
 		}
 	}
-	t.forget(now)
+	t.removeForgotten(now)
 }
 
-// forgivePause guards against the daemon's own pause (a stopped process, a busy
-// VM): when it wakes, every peer has been silent for as long as it slept, and it
-// would declare all of them dead at once and take over all their targets, while
-// their frames still wait in its buffers. A gap between two ticks says nothing
-// about the peers, so it is taken off their silence.
-func (t *Table) forgivePause(now time.Time) {
-	gap := now.Sub(t.ticked)
-	first := t.ticked.IsZero()
-	t.ticked = now
+// compensateLocalPause handles a pause of this daemon itself (a stopped process,
+// an overloaded VM). When it resumes, every peer seems to have been silent for
+// the whole pause while their frames still wait in the receive buffers; the
+// daemon would declare all of them dead at once and take over all their targets.
+// A gap between two ticks is no evidence about the peers, so it is subtracted
+// from their silence.
+func (t *Table) compensateLocalPause(now time.Time) {
+	gap := now.Sub(t.lastTick)
+	first := t.lastTick.IsZero()
+	t.lastTick = now
 	if first || gap < t.cfg.SuspectAfter/2 {
 		return
 	}
 	for _, e := range t.entries {
-		for _, since := range []*time.Time{&e.lastHeard, &e.since} {
+		for _, since := range []*time.Time{&e.lastHeard, &e.watchedSince} {
 			if !since.IsZero() {
 				*since = since.Add(min(gap, now.Sub(*since)))
 			}
@@ -61,13 +62,13 @@
 	}
 }
 
-func (t *Table) forget(now time.Time) {
+func (t *Table) removeForgotten(now time.Time) {
 	for id, e := range t.entries {
-		if e.listed || e.linked || e.dialling {
+		if e.listed || e.linked || e.dialing {
 			continue
 		}
-		if e.incarnation == 0 || e.machine.State() == Dead && now.Sub(e.lastHeard) >= t.cfg.ForgetAfter {
-			t.fire(e, forgotten)
+		if e.incarnation == 0 || e.stateMachine.State() == Dead && now.Sub(e.lastHeard) >= t.cfg.ForgetAfter {
+			t.fireIfAccepted(e, triggerForgotten)
 			delete(t.entries, id)
 		}
 	}
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -7,206 +7,226 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// Watching few: in a fleet larger than Config.WatchAll a daemon judges the
-// silence of few others. The rest keep their links, but those rest: nothing is
-// expected of them, and a link that ends still shows at once.
+// Partial watching: in a fleet larger than Config.WatchAllLimit a daemon monitors
+// the heartbeats of only a few others, which it watches. The links to the
+// unwatched ones stay open without heartbeats; the end of such a link is still
+// detected at once.
 //
 // A daemon is watched
-//   - by watchersEach others, chosen by rendezvous hashing, so that each has as
-//     many watchers as any other, one of them in another zone;
-//   - by the daemons of its zone whose first or second watcher it is: each
-//     daemon so hears a few others, and their configuration heads, every second;
-//   - by whoever has sent it something within Config.UseFor, or has no link to it;
-//   - by whoever looks at it, until it is heard.
+//   - by watchersPerDaemon others, assigned by rendezvous hashing, so that all
+//     daemons have the same number of watchers, one of them in another zone;
+//   - by the daemons of its zone whose first or second watcher it is, so that
+//     each daemon receives the heartbeats of a few others, with their
+//     configuration heads, every second;
+//   - by each daemon that has sent it a message within Config.WatchAfterUse or
+//     has no link to it;
+//   - by each daemon that probes it, until a heartbeat arrives.
 //
-// One that a watcher has not heard for SuspectAfter is reported to all others
-// (Reports, Reported). A report is never believed: it only makes its receiver
-// look for itself, so that neither an old one nor a wrong one ends a life, and
-// no incarnation is learnt at second hand.
+// A daemon from which a watcher has received nothing for SuspectAfter is reported
+// to all others (TakeReports, ReportReceived). A report is not trusted: it only
+// makes the receiver probe the daemon itself, so that neither a stale nor a wrong
+// report marks a daemon dead, and incarnations are never learned indirectly.
 //
-// Daemons fail together. When two seem to be gone, everybody is looked at (alarm):
-// a daemon whose watchers died with it is found that way, and a zone that is cut
-// off finds all others, of which it watches but a few. At the worst the table
-// watches everybody, as a small one does.
+// Failures are correlated. When a second daemon seems to be gone, all daemons are
+// probed (probeAllOnSecondFailure). That detects a daemon whose watchers failed
+// together with it, and lets a partitioned zone detect the loss of all other
+// daemons although it watches only a few of them. In the worst case the table
+// watches all daemons, as it does in a small fleet.
 const (
-	// watchersEach is how many watch one daemon; where they can be had, nearWatchers
-	// of them are in its zone and the others in a zone each.
-	watchersEach = 4
-	nearWatchers = 3
-	// watchedBack is how many of its watchers in its zone a daemon watches itself.
-	watchedBack = 2
-	// countFor is how long a listed daemon counts as a watcher before it was ever
-	// heard. Without that, the first daemons that a new one links to would
-	// believe it to be one of two, and be watched by it.
-	countFor = 2 * time.Minute
-	// chooseEvery bounds the age of the choice where no state has changed.
-	chooseEvery = 5 * time.Second
+	// watchersPerDaemon is the number of watchers of a daemon. If there are enough
+	// candidates, sameZoneWatchers of them are in its zone and each of the others
+	// is in a different zone.
+	watchersPerDaemon = 4
+	sameZoneWatchers  = 3
+	// reciprocalWatches is how many of its watchers in its own zone a daemon
+	// watches in turn.
+	reciprocalWatches = 2
+	// unheardCandidatePeriod is how long a listed daemon counts as a possible
+	// watcher before anything has been received from it. Otherwise a new daemon
+	// would consider itself one of only two daemons and start to watch the first
+	// daemons it links to.
+	unheardCandidatePeriod = 2 * time.Minute
+	// reassignInterval bounds the age of the watcher assignment when no state has
+	// changed.
+	reassignInterval = 5 * time.Second
 )
 
-// watch is the part of an entry that tells whether its silence means something.
-type watch struct {
-	// watched: the daemon is expected to be heard; its silence counts from since,
-	// or from when it was last heard.
-	watched bool
-	since   time.Time
-	// chosen: this daemon is one of its watchers.
-	chosen    bool
-	usedUntil time.Time
-	// reported: its present silence was taken notice of.
-	reported bool
-	// met is when the entry was made.
-	met time.Time
+// watchState is the part of an entry that determines whether the silence of the
+// daemon is evidence of a failure.
+type watchState struct {
+	// watched reports that the daemon is expected to send heartbeats. Its silence
+	// is measured from watchedSince or the last received frame, whichever is later.
+	watched      bool
+	watchedSince time.Time
+	// assigned reports that the local daemon is to watch this one permanently.
+	assigned   bool
+	inUseUntil time.Time
+	// silenceHandled reports that the current silence has already been processed
+	// by reportSilence.
+	silenceHandled bool
+	// createdAt is when the entry was created.
+	createdAt time.Time
 }
 
-// fewState is the part of a table that chooses whom to watch.
-type fewState struct {
-	all     bool
-	chosen  time.Time
-	version uint64
-	reports []Report
-	// missed is the daemon that last seemed to be gone, and missedAt since when;
-	// everybody is when all were last looked at.
-	missed              ident.Daemon
-	missedAt, everybody time.Time
+// watchSelection is the part of a table that selects the daemons to watch.
+type watchSelection struct {
+	watchAll        bool
+	assignedAt      time.Time
+	assignedVersion uint64
+	pendingReports  []Report
+	// lastMissing is the daemon that was last found to be missing and
+	// lastMissingAt the time of that; lastProbeAll is when all daemons were last
+	// probed.
+	lastMissing                 ident.Daemon
+	lastMissingAt, lastProbeAll time.Time
 }
 
-// Report tells that a watcher does not hear an incarnation of a daemon.
+// Report states that a watcher no longer receives heartbeats from an incarnation
+// of a daemon.
 type Report struct {
 	ID          ident.Daemon
 	Incarnation uint64
 }
 
-// from is the time since which the daemon's silence counts.
-func (e *entry) from() time.Time {
-	if e.since.After(e.lastHeard) {
-		return e.since
+// silentSince returns the time from which the daemon's silence is measured.
+func (e *entry) silentSince() time.Time {
+	if e.watchedSince.After(e.lastHeard) {
+		return e.watchedSince
 	}
 	return e.lastHeard
 }
 
-// quiet is how long a watched daemon has been silent; zero for one that rests.
-func (e *entry) quiet(now time.Time) time.Duration {
+// silence returns how long a watched daemon has been silent; it is zero for an
+// unwatched one.
+func (e *entry) silence(now time.Time) time.Duration {
 	if !e.watched {
 		return 0
 	}
-	return now.Sub(e.from())
+	return now.Sub(e.silentSince())
 }
 
-// Watched tells whether the daemon is expected to be heard at each heartbeat. The
-// caller tells it so; without a word it is to believe that it is.
+// Watched reports whether the daemon is expected to send heartbeats. The caller
+// informs the daemon of it; until then the daemon must assume that it is watched.
 func (t *Table) Watched(id ident.Daemon) bool {
 	e, ok := t.entries[id]
 	return !ok || e.watched
 }
 
-// Used takes in that the daemon was sent something; it is watched from the next
-// tick on. Whoever waits for an answer has to notice a link that went silent.
-func (t *Table) Used(now time.Time, id ident.Daemon) {
+// MessageSent records that a message was sent to the daemon, which is watched
+// from the next tick on: a sender that waits for a reply must detect a link that
+// has gone silent.
+func (t *Table) MessageSent(now time.Time, id ident.Daemon) {
 	if e, ok := t.entries[id]; ok {
-		e.usedUntil = now.Add(t.cfg.UseFor)
+		e.inUseUntil = now.Add(t.cfg.WatchAfterUse)
 	}
 }
 
-// Reports returns what is to be told to all others, once.
-func (t *Table) Reports() []Report {
-	reports := t.few.reports
-	t.few.reports = nil
+// TakeReports returns the pending reports, to be sent to all others, and clears
+// them.
+func (t *Table) TakeReports() []Report {
+	reports := t.selection.pendingReports
+	t.selection.pendingReports = nil
 	return reports
 }
 
-// Reported takes in another daemon's report. Half of SuspectAfter is left to the
-// daemon to show that it is there; a report about another incarnation than the
-// one known is too late, or about one that will dial by itself.
-func (t *Table) Reported(now time.Time, r Report) {
+// ReportReceived handles a report by another daemon. The reported daemon has half
+// of SuspectAfter left to send a heartbeat. A report about an incarnation other
+// than the known one is ignored: it is either stale or about a new incarnation,
+// which will dial on its own.
+func (t *Table) ReportReceived(now time.Time, r Report) {
 	e, ok := t.entries[r.ID]
-	if !ok || t.few.all || e.incarnation != r.Incarnation || e.machine.State() == Dead {
+	if !ok || t.selection.watchAll || e.incarnation != r.Incarnation || e.stateMachine.State() == Dead {
 		return
 	}
-	t.look(e, now.Add(-t.cfg.SuspectAfter/2))
-	t.alarm(now, e)
+	t.startWatching(e, now.Add(-t.cfg.SuspectAfter/2))
+	t.probeAllOnSecondFailure(now, e)
 }
 
-// look watches a daemon that rests; its silence counts from since.
-func (t *Table) look(e *entry, since time.Time) {
+// startWatching starts to watch an unwatched daemon. Its silence is measured from
+// since.
+func (t *Table) startWatching(e *entry, since time.Time) {
 	if !e.watched {
-		e.watched, e.since = true, since
+		e.watched, e.watchedSince = true, since
 	}
 }
 
-// report takes notice of a silence, once.
-func (t *Table) report(now time.Time, e *entry) {
-	state := e.machine.State()
-	if t.few.all || e.reported || state != Suspect && state != Leaving {
+// reportSilence handles the silence of a daemon, once per silence.
+func (t *Table) reportSilence(now time.Time, e *entry) {
+	state := e.stateMachine.State()
+	if t.selection.watchAll || e.silenceHandled || state != Suspect && state != Leaving {
 		return
 	}
-	e.reported = true
-	if e.chosen {
-		t.few.reports = append(t.few.reports, Report{e.id, e.incarnation})
+	e.silenceHandled = true
+	if e.assigned {
+		t.selection.pendingReports = append(t.selection.pendingReports, Report{e.id, e.incarnation})
 	}
-	t.alarm(now, e)
+	t.probeAllOnSecondFailure(now, e)
 }
 
-// alarm looks at everybody where a second daemon seems to be gone, but not again
-// while such a look is under way. One that is leaving is expected to go.
-func (t *Table) alarm(now time.Time, e *entry) {
-	if e.machine.State() == Leaving {
+// probeAllOnSecondFailure probes all daemons if a second one seems to be gone,
+// unless they are already being probed. A leaving daemon is expected to
+// disappear and does not count.
+func (t *Table) probeAllOnSecondFailure(now time.Time, e *entry) {
+	if e.stateMachine.State() == Leaving {
 		return
 	}
-	second := t.few.missed != e.id && now.Sub(t.few.missedAt) < t.cfg.DeadAfter
-	t.few.missed, t.few.missedAt = e.id, now
-	if !second || now.Sub(t.few.everybody) < t.cfg.SuspectAfter {
+	second := t.selection.lastMissing != e.id && now.Sub(t.selection.lastMissingAt) < t.cfg.DeadAfter
+	t.selection.lastMissing, t.selection.lastMissingAt = e.id, now
+	if !second || now.Sub(t.selection.lastProbeAll) < t.cfg.SuspectAfter {
 		return
 	}
-	t.few.everybody = now
-	for _, o := range t.entries {
-		t.look(o, now)
+	t.selection.lastProbeAll = now
+	for _, other := range t.entries {
+		t.startWatching(other, now)
 	}
 }
 
-// settleWatch chooses whom to watch and lets rest who has been heard since.
-func (t *Table) settleWatch(now time.Time) {
-	t.choose(now)
+// updateWatched starts to watch the daemons that need it and stops watching the
+// others once a frame has arrived from them.
+func (t *Table) updateWatched(now time.Time) {
+	t.assignWatchers(now)
 	for _, e := range t.entries {
-		wanted := t.few.all || e.chosen || !e.linked || now.Before(e.usedUntil)
+		wanted := t.selection.watchAll || e.assigned || !e.linked || now.Before(e.inUseUntil)
 		switch {
 		case wanted:
-			t.look(e, now)
-		case e.watched && e.lastHeard.After(e.since):
+			t.startWatching(e, now)
+		case e.watched && e.lastHeard.After(e.watchedSince):
 			e.watched = false
-		case !e.watched && now.Sub(e.lastHeard) >= t.cfg.RestAfter:
-			t.look(e, now)
+		case !e.watched && now.Sub(e.lastHeard) >= t.cfg.ProbeAfter:
+			t.startWatching(e, now)
 		}
 	}
 }
 
-// choose works out whose watcher this daemon is, when members have changed.
-func (t *Table) choose(now time.Time) {
-	if t.version == t.few.version && now.Sub(t.few.chosen) < chooseEvery {
+// assignWatchers recomputes which daemons this one is assigned to watch, after
+// the members have changed or reassignInterval has passed.
+func (t *Table) assignWatchers(now time.Time) {
+	if t.version == t.selection.assignedVersion && now.Sub(t.selection.assignedAt) < reassignInterval {
 		return
 	}
-	t.few.version, t.few.chosen = t.version, now
-	byZone, size := t.candidates(now)
-	t.few.all = size <= t.cfg.WatchAll
-	if t.few.all {
+	t.selection.assignedVersion, t.selection.assignedAt = t.version, now
+	byZone, size := t.watcherCandidates(now)
+	t.selection.watchAll = size <= t.cfg.WatchAllLimit
+	if t.selection.watchAll {
 		return
 	}
-	c := newChoice(byZone)
+	assignment := newWatcherAssignment(byZone)
 	for _, e := range t.entries {
-		e.chosen = c.watches(t.cfg.Self, t.cfg.Zone, e.id, e.zone) ||
-			e.zone == t.cfg.Zone && ahead(t.cfg.Self, e.id, byZone[e.zone]) < watchedBack
+		e.assigned = assignment.isWatcher(t.cfg.Self, t.cfg.Zone, e.id, e.zone) ||
+			e.zone == t.cfg.Zone && countHigherRanked(t.cfg.Self, e.id, byZone[e.zone]) < reciprocalWatches
 	}
 }
 
-// candidates are the daemons that may be watchers, this one included, by zone.
-// Size counts the fleet.
-func (t *Table) candidates(now time.Time) (byZone map[ident.Zone][]ident.Daemon, size int) {
+// watcherCandidates returns the daemons that may be watchers, including this one,
+// by zone, and the size of the fleet.
+func (t *Table) watcherCandidates(now time.Time) (byZone map[ident.Zone][]ident.Daemon, size int) {
 	byZone = map[ident.Zone][]ident.Daemon{t.cfg.Zone: {t.cfg.Self}}
 	size = 1
 	for _, e := range t.entries {
-		switch e.machine.State() {
+		switch e.stateMachine.State() {
 		case Live, Suspect:
 		case Listed:
-			if now.Sub(e.met) >= countFor {
+			if now.Sub(e.createdAt) >= unheardCandidatePeriod {
 				continue
 			}
 		case Leaving:
@@ -221,60 +241,62 @@
 	return byZone, size
 }
 
-// choice tells who watches whom among a set of daemons.
-type choice struct {
+// watcherAssignment determines which daemons of a set watch which others.
+type watcherAssignment struct {
 	byZone map[ident.Zone][]ident.Daemon
 	zones  []ident.Zone
 }
 
-func newChoice(byZone map[ident.Zone][]ident.Daemon) choice {
-	c := choice{byZone: byZone}
+func newWatcherAssignment(byZone map[ident.Zone][]ident.Daemon) watcherAssignment {
+	a := watcherAssignment{byZone: byZone}
 	for zone := range byZone {
-		c.zones = append(c.zones, zone)
+		a.zones = append(a.zones, zone)
 	}
-	slices.Sort(c.zones)
-	return c
+	slices.Sort(a.zones)
+	return a
 }
 
-// watches tells whether a daemon is one of the watchers of another.
-func (c choice) watches(self ident.Daemon, own ident.Zone, id ident.Daemon, zone ident.Zone) bool {
+// isWatcher reports whether the daemon self in selfZone is one of the watchers of
+// the daemon id in zone.
+func (a watcherAssignment) isWatcher(self ident.Daemon, selfZone ident.Zone, id ident.Daemon, zone ident.Zone) bool {
 	if self == id {
 		return false
 	}
-	others := len(c.byZone[zone])
-	if slices.Contains(c.byZone[zone], id) {
-		others--
+	sameZone := len(a.byZone[zone])
+	if slices.Contains(a.byZone[zone], id) {
+		sameZone--
 	}
-	far := len(c.zones)
-	if _, ok := c.byZone[zone]; ok {
-		far--
+	otherZones := len(a.zones)
+	if _, ok := a.byZone[zone]; ok {
+		otherZones--
 	}
-	far = min(far, watchersEach-min(nearWatchers, others))
-	if zone == own {
-		return ahead(id, self, c.byZone[own]) < watchersEach-far
+	otherZones = min(otherZones, watchersPerDaemon-min(sameZoneWatchers, sameZone))
+	if zone == selfZone {
+		return countHigherRanked(id, self, a.byZone[selfZone]) < watchersPerDaemon-otherZones
 	}
-	if ahead(id, self, c.byZone[own]) > 0 {
+	if countHigherRanked(id, self, a.byZone[selfZone]) > 0 {
 		return false
 	}
-	better := 0
-	mine := weight("", ident.Target(id), ident.Daemon(own))
-	for _, z := range c.zones {
-		if z != zone && z != own && weight("", ident.Target(id), ident.Daemon(z)) > mine {
-			better++
+	higherZones := 0
+	selfZoneWeight := hashWeight("", ident.Target(id), ident.Daemon(selfZone))
+	for _, z := range a.zones {
+		if z != zone && z != selfZone && hashWeight("", ident.Target(id), ident.Daemon(z)) > selfZoneWeight {
+			higherZones++
 		}
 	}
-	return better < far
+	return higherZones < otherZones
 }
 
-// ahead counts the candidates that are to watch a daemon rather than self.
-func ahead(id, self ident.Daemon, candidates []ident.Daemon) int {
+// countHigherRanked counts the candidates that rank higher than self as watchers
+// of a daemon.
+func countHigherRanked(id, self ident.Daemon, candidates []ident.Daemon) int {
 	n := 0
-	mine := weight("", ident.Target(id), self)
+	selfWeight := hashWeight("", ident.Target(id), self)
 	for _, other := range candidates {
 		if other == id || other == self {
 			continue
 		}
-		if w := weight("", ident.Target(id), other); w > mine || w == mine && other < self {
+		if w := hashWeight("", ident.Target(id), other); w > selfWeight || w == selfWeight && other < self {
 			n++
 		}
 	}
--- a/internal/order/document.go
+++ b/internal/order/document.go
@@ -5,9 +5,10 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// FromDocument returns what the document, in force with the revision, wants of
-// its targets; none where it leaves them alone.
-func FromDocument(d *document.Document, revision uint64) []Wanted {
+// FromDocument returns the desired state of each target that the document, which
+// is in force with the revision, manages. It is nil if the document does not
+// manage its targets.
+func FromDocument(d *document.Document, revision uint64) []Desired {
 	if d.Orders == nil {
 		return nil
 	}
@@ -15,13 +16,13 @@
 	for _, t := range d.Targets {
 		addresses[t.Name] = t.Address
 	}
-	wanted := make([]Wanted, 0, len(d.Orders.Targets))
+	desired := make([]Desired, 0, len(d.Orders.Targets))
 	for _, t := range d.Orders.Targets {
-		wanted = append(wanted, Wanted{
-			Service: d.Service, Target: t.Name, Address: addresses[t.Name], Document: revision,
+		desired = append(desired, Desired{
+			Service: d.Service, Target: t.Name, Address: addresses[t.Name], DocumentRevision: revision,
 			Fenced: d.Orders.Fencing == document.Enforced, LongestOrder: d.Orders.LongestOrder,
 			State: State{Models: t.Models, Adapters: t.Adapters, Version: t.Version, Role: t.Role},
 		})
 	}
-	return wanted
+	return desired
 }
--- a/internal/order/http.go
+++ b/internal/order/http.go
@@ -12,60 +12,63 @@
 
 const (
 	ordersPath = "/orders"
-	// maxAnswer bounds the body of an answer in bytes.
-	maxAnswer = 1 << 20
+	// maxResponseBytes limits the size of a response body.
+	maxResponseBytes = 1 << 20
 )
 
-// HTTP speaks the orders part of the engine protocol.
-type HTTP struct {
+// HTTPClient is a TargetClient that implements the orders part of the engine
+// protocol.
+type HTTPClient struct {
 	client *http.Client
 }
 
-var _ Orderer = (*HTTP)(nil)
+var _ TargetClient = (*HTTPClient)(nil)
 
-// NewHTTP returns an HTTP with connections of its own. Connections are not
-// kept: orders are rare, and an idle connection may have gone silent.
-func NewHTTP() *HTTP {
-	return &HTTP{client: &http.Client{
+// NewHTTPClient returns an HTTPClient with its own connections. Connections are
+// not reused: orders are rare, and an idle connection may have been dropped
+// silently.
+func NewHTTPClient() *HTTPClient {
+	return &HTTPClient{client: &http.Client{
 		Transport: &http.Transport{DisableKeepAlives: true},
-		// The protocol has no redirects; one would send an order elsewhere.
+		// The protocol has no redirects; following one would send an order to
+		// another target.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
 
-// Read implements Orderer.
-func (h *HTTP) Read(ctx context.Context, address string) (Order, error) {
-	var present Order
-	status, err := h.exchange(ctx, http.MethodGet, address, nil, &present)
+// Read implements TargetClient.
+func (h *HTTPClient) Read(ctx context.Context, address string) (Order, error) {
+	var current Order
+	status, err := h.do(ctx, http.MethodGet, address, nil, &current)
 	if err == nil && status != http.StatusOK {
-		err = merry.Errorf("orders of %s: status %d", address, status)
+		err = merry.Errorf("read orders of %s: unexpected status %d", address, status)
 	}
-	return present, err
+	return current, err
 }
 
-// Give implements Orderer.
-func (h *HTTP) Give(ctx context.Context, address string, o Order) error {
-	// A target must not have to tell null from an empty list.
+// Send implements TargetClient.
+func (h *HTTPClient) Send(ctx context.Context, address string, o Order) error {
+	// Encode a nil list as an empty one, so that targets need not handle null.
 	o.Models = append([]string{}, o.Models...)
 	o.Adapters = append([]string{}, o.Adapters...)
 	body, err := json.Marshal(o)
 	if err != nil {
 		return err
 	}
-	var present Order
-	status, err := h.exchange(ctx, http.MethodPost, address, body, &present)
+	var current Order
+	status, err := h.do(ctx, http.MethodPost, address, body, &current)
 	switch {
 	case err != nil:
 		return err
 	case status == http.StatusConflict:
-		return &Refused{Present: present}
+		return &StaleFencingError{Current: current}
 	case status != http.StatusOK:
-		return merry.Errorf("order to %s: status %d", address, status)
+		return merry.Errorf("send order to %s: unexpected status %d", address, status)
 	}
 	return nil
 }
 
-func (h *HTTP) exchange(ctx context.Context, method, address string, body []byte, into *Order) (int, error) {
+func (h *HTTPClient) do(ctx context.Context, method, address string, body []byte, out *Order) (int, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+ordersPath, bytes.NewReader(body))
 	if err != nil {
 		return 0, err
@@ -76,12 +79,12 @@
 		return 0, err
 	}
 	defer res.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	text, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
 		return 0, err
 	}
 	if res.StatusCode != http.StatusOK && res.StatusCode != http.StatusConflict {
 		return res.StatusCode, nil
 	}
-	return res.StatusCode, merry.Prependf(json.Unmarshal(text, into), "answer of %s", address)
+	return res.StatusCode, merry.Prependf(json.Unmarshal(text, out), "parse response of %s", address)
 }
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -1,19 +1,20 @@
-// Package order brings targets to the state that a service's document wants:
-// which models and adapters they hold, in which version and role.
+// Package order reconciles targets with the state that a service's document
+// specifies: the models and adapters they have loaded, their version and role.
 //
-// The load pattern: a target restarts empty, a document changes thirteen
-// thousand times a day in the fleet, several daemons see a change at different
-// moments, and orders get lost or arrive late. Without the package a target
-// goes on serving what the last order to arrive said.
+// The load pattern it addresses: a target restarts empty, documents change
+// thirteen thousand times a day in the fleet, several daemons see a change at
+// different times, and orders are lost or arrive late. Without this package a
+// target would keep serving what the last order to arrive specified.
 //
-// An order is absolute: it states the whole wanted state, so that a repeat does
-// no harm. It carries a fencing number that was never used before. What the
-// target holds is read back after each order and from time to time, and a
-// difference is repaired. That is what makes a late order lose in the end at
-// targets that ignore fencing numbers; package lease bounds who may order when.
+// An order is idempotent: it contains the complete desired state, so that it can
+// be repeated safely. It carries a fencing number that has never been used
+// before. The state of the target is read back after each order and
+// periodically, and any difference is repaired. This ensures that a late order
+// is eventually corrected on targets that ignore fencing numbers. Package lease
+// limits which daemon may send orders at a time.
 //
-// Several daemons may reconcile the same target without harm. That one of them
-// does is left to the caller, who picks a daemon for each target.
+// Several daemons may safely reconcile the same target. The caller is
+// responsible for assigning at least one daemon to each target.
 package order
 
 import (
@@ -25,65 +26,67 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// State is the state of a target, wanted or present.
+// State is the desired or current state of a target.
 type State struct {
 	Models   []string `json:"models"`
 	Adapters []string `json:"adapters"`
 	// Version is the version of the models.
 	Version string `json:"version"`
-	// Role is a word that the engine knows, such as "prefill".
+	// Role is a role that the engine supports, such as "prefill".
 	Role string `json:"role"`
 }
 
-// Order is the whole wanted state with the fencing number of its sender.
+// Order is the complete desired state of a target with the fencing number of the
+// sender.
 type Order struct {
 	Fencing uint64 `json:"fencing"`
 	State
 }
 
-// Wanted is what a document wants of one target.
-type Wanted struct {
+// Desired is what a document specifies for one target.
+type Desired struct {
 	Service ident.Service
 	Target  ident.Target
 	// Address is IP:port.
 	Address string
-	// Document is the revision of the document.
-	Document uint64
-	// Fenced tells that the target refuses orders with an old fencing number.
+	// DocumentRevision is the revision of the document.
+	DocumentRevision uint64
+	// Fenced reports that the target refuses orders with an old fencing number.
 	Fenced bool
-	// LongestOrder bounds how long an order can be on its way.
+	// LongestOrder is the maximum time that an order can be in transit.
 	LongestOrder time.Duration
-	// State is to be reached. What it does not list is to be unloaded; an empty
-	// Version or Role is left to the target.
+	// State is the state to reach. Models and adapters that it does not list are
+	// to be unloaded; an empty Version or Role leaves the choice to the target.
 	State State
 }
 
-// satisfiedBy tells whether the present state is the wanted one.
-func (w Wanted) satisfiedBy(present State) bool {
-	return sameSet(w.State.Models, present.Models) &&
-		sameSet(w.State.Adapters, present.Adapters) &&
-		(w.State.Version == "" || w.State.Version == present.Version) &&
-		(w.State.Role == "" || w.State.Role == present.Role)
+// satisfiedBy reports whether the current state matches the desired one.
+func (d Desired) satisfiedBy(current State) bool {
+	return sameSet(d.State.Models, current.Models) &&
+		sameSet(d.State.Adapters, current.Adapters) &&
+		(d.State.Version == "" || d.State.Version == current.Version) &&
+		(d.State.Role == "" || d.State.Role == current.Role)
 }
 
-// weights returns the names that have to be fetched before the order.
-func (w Wanted) weights(present State) []string {
+// missingWeights returns the names of the weights that have to be fetched before
+// an order is sent.
+func (d Desired) missingWeights(current State) []string {
 	var names []string
-	changed := w.State.Version != "" && w.State.Version != present.Version
-	for _, m := range w.State.Models {
-		if changed || !slices.Contains(present.Models, m) {
-			names = append(names, versioned(m, w.State.Version))
+	changed := d.State.Version != "" && d.State.Version != current.Version
+	for _, m := range d.State.Models {
+		if changed || !slices.Contains(current.Models, m) {
+			names = append(names, versionedName(m, d.State.Version))
 		}
 	}
-	for _, a := range w.State.Adapters {
-		if !slices.Contains(present.Adapters, a) {
+	for _, a := range d.State.Adapters {
+		if !slices.Contains(current.Adapters, a) {
 			names = append(names, a)
 		}
 	}
 	return names
 }
 
-func versioned(model, version string) string {
+func versionedName(model, version string) string {
 	if version == "" {
 		return model
 	}
@@ -91,10 +94,10 @@
 }
 
 func sameSet(a, b []string) bool {
-	return within(a, b) && within(b, a)
+	return isSubset(a, b) && isSubset(b, a)
 }
 
-func within(a, b []string) bool {
+func isSubset(a, b []string) bool {
 	for _, x := range a {
 		if !slices.Contains(b, x) {
 			return false
@@ -103,22 +106,23 @@
 	return true
 }
 
-// Orderer speaks to targets.
-type Orderer interface {
+// TargetClient sends orders to targets.
+type TargetClient interface {
 	// Read returns the order that the target holds.
 	Read(ctx context.Context, address string) (Order, error)
-	// Give sends an order. The error is a *Refused where the target holds a
-	// later one; after any other error the order may yet take effect.
-	Give(ctx context.Context, address string, o Order) error
+	// Send sends an order. The error is a *StaleFencingError if the target holds
+	// a later order. After any other error the order may still take effect.
+	Send(ctx context.Context, address string, o Order) error
 }
 
-// Refused is the error of an order with an old fencing number.
-type Refused struct {
-	// Present is the order that the target holds.
-	Present Order
+// StaleFencingError is the error of an order that the target refused because of
+// an old fencing number.
+type StaleFencingError struct {
+	// Current is the order that the target holds.
+	Current Order
 }
 
 // Error implements error.
-func (r *Refused) Error() string {
-	return fmt.Sprintf("the target holds an order with the fencing number %d", r.Present.Fencing)
+func (r *StaleFencingError) Error() string {
+	return fmt.Sprintf("order refused: the target holds an order with fencing number %d", r.Current.Fencing)
 }
--- a/internal/order/process_test.go
+++ b/internal/order/process_test.go
@@ -17,8 +17,8 @@
 	"github.com/savorystall/savorystall/test/process"
 )
 
-// pausingTable and pausingTarget wait for the test at the two moments between
-// which a lease can lapse unnoticed.
+// pausingTable and pausingTarget block at the two points between which a lease
+// can expire unnoticed, until the test lets them continue.
 type pausingTable struct {
 	platform.Table
 	pause func()
@@ -31,123 +31,124 @@
 }
 
 type pausingTarget struct {
-	Orderer
-	pause func()
-	after func(error)
+	TargetClient
+	pause     func()
+	afterSend func(error)
 }
 
-func (p pausingTarget) Give(_ context.Context, address string, o Order) error {
+func (p pausingTarget) Send(_ context.Context, address string, o Order) error {
 	p.pause()
-	// The order leaves whatever its context says: a byte may have been in the
-	// socket's buffer already.
-	err := p.Orderer.Give(context.Background(), address, o)
-	p.after(err)
+	// The order is sent regardless of its context: the first byte may already
+	// have been in the socket's buffer.
+	err := p.TargetClient.Send(context.Background(), address, o)
+	p.afterSend(err)
 	return err
 }
 
 const (
 	pauseAfterAcquire = "acquired"
-	pauseBeforeOrder  = "ordering"
+	pauseBeforeSend   = "ordering"
 )
 
-// processTerm is long enough for the parent's daemon on a busy machine.
-const processTerm = 500 * time.Millisecond
+// childLeaseTerm is long enough for the parent's daemon on a loaded machine.
+const childLeaseTerm = 500 * time.Millisecond
 
-// partOldDaemon is a daemon with document 1 that stops once at the moment that
-// the test names, and says what became of its order.
-func partOldDaemon(l *process.Lines, args []string) {
-	url, address, fenced, moment := args[0], args[1], args[2] == "true", args[3]
-	once := func() func() {
+// runOldDaemon runs a daemon with document 1 that blocks once at the pause point
+// given by the test and prints whether its order was accepted.
+func runOldDaemon(lines *process.Lines, args []string) {
+	url, address, fenced, pausePoint := args[0], args[1], args[2] == "true", args[3]
+	pauseOnce := func() func() {
 		done := false
 		return func() {
 			if done {
 				return
 			}
 			done = true
-			l.Say("%s", moment)
-			l.Hear()
+			lines.Say("%s", pausePoint)
+			lines.Hear()
 		}
 	}()
-	never := func() {}
+	noop := func() {}
 	client := platform.NewClient(platform.ClientConfig{URL: url, Logger: slog.New(slog.DiscardHandler)})
 	var table platform.Table = client
-	target := pausingTarget{NewHTTP(), never, func(err error) { l.Say("ordered %v", err == nil) }}
-	if moment == pauseAfterAcquire {
-		table = pausingTable{client, once}
+	target := pausingTarget{NewHTTPClient(), noop, func(err error) { lines.Say("ordered %v", err == nil) }}
+	if pausePoint == pauseAfterAcquire {
+		table = pausingTable{client, pauseOnce}
 	} else {
-		target.pause = once
+		target.pause = pauseOnce
 	}
-	r := New(Config{Daemon: "old", Incarnation: 1, Term: processTerm, ReadBack: 20 * time.Millisecond, Backoff: 5 * time.Millisecond},
+	r := New(Config{Daemon: "old", Incarnation: 1, LeaseTerm: childLeaseTerm, ReadInterval: 20 * time.Millisecond, Backoff: 5 * time.Millisecond},
 		table, client, target, slog.New(slog.DiscardHandler))
-	r.Set([]Wanted{processWanted(1, address, fenced)})
+	r.SetTargets([]Desired{newProcessDesired(1, address, fenced)})
 	select {} // until the test ends
 }
 
-func processWanted(document uint64, address string, fenced bool) Wanted {
-	w := wanted(document, "of-document-"+strconv.FormatUint(document, 10))
-	w.Address, w.Fenced, w.LongestOrder = address, fenced, processTerm
-	return w
+func newProcessDesired(document uint64, address string, fenced bool) Desired {
+	d := newDesired(document, "of-document-"+strconv.FormatUint(document, 10))
+	d.Address, d.Fenced, d.LongestOrder = address, fenced, childLeaseTerm
+	return d
 }
 
-type processBench struct {
-	*bench
-	engine  *enginestandin.Engine
-	address string
-	child   *process.Child
-	second  *Reconciler
-	want    Wanted
+type processFixture struct {
+	*fixture
+	engine        *enginestandin.Engine
+	address       string
+	child         *process.Child
+	newReconciler *Reconciler
+	desired       Desired
 }
 
-// stopAndTakeOver stops a daemon at the moment and lets another daemon with a
-// later document order the engine.
-func stopAndTakeOver(t *testing.T, fenced bool, moment string) *processBench {
-	b := &processBench{bench: newBench(t, platformstandin.Config{})}
-	b.engine = enginestandin.New(enginestandin.Config{Models: []string{"none"}, EnforceFencing: fenced})
-	server := httptest.NewServer(b.engine)
-	t.Cleanup(func() { server.Close(); b.engine.Close() })
-	b.address = server.Listener.Addr().String()
-	b.child = process.Start(t, "old-daemon", b.url, b.address, strconv.FormatBool(fenced), moment)
-	b.child.Expect(moment)
-	b.child.Stop()
-	b.want = processWanted(2, b.address, fenced)
-	b.second = b.reconciler(t, ident.Daemon("new"), NewHTTP())
-	b.second.Set([]Wanted{b.want})
-	eventually(t, "the later state", holds(NewHTTP(), b.address, b.want))
-	b.child.Continue()
-	b.child.Tell("go on")
-	return b
+// pauseAndTakeOver pauses a daemon at the pause point, lets another daemon with a
+// later document bring the engine to its desired state, and resumes the first one.
+func pauseAndTakeOver(t *testing.T, fenced bool, pausePoint string) *processFixture {
+	f := &processFixture{fixture: newFixture(t, platformstandin.Config{})}
+	f.engine = enginestandin.New(enginestandin.Config{Models: []string{"none"}, EnforceFencing: fenced})
+	server := httptest.NewServer(f.engine)
+	t.Cleanup(func() { server.Close(); f.engine.Close() })
+	f.address = server.Listener.Addr().String()
+	f.child = process.Start(t, "old-daemon", f.url, f.address, strconv.FormatBool(fenced), pausePoint)
+	f.child.Expect(pausePoint)
+	f.child.Stop()
+	f.desired = newProcessDesired(2, f.address, fenced)
+	f.newReconciler = f.reconciler(t, ident.Daemon("new"), NewHTTPClient())
+	f.newReconciler.SetTargets([]Desired{f.desired})
+	eventually(t, "the later state", holds(NewHTTPClient(), f.address, f.desired))
+	f.child.Continue()
+	f.child.Tell("go on")
+	return f
 }
 
-func TestLeaseLapsesWhileProcessIsStopped(t *testing.T) {
-	// A daemon is stopped (SIGSTOP) right after it took the lease, and its clock
-	// shows the lapse when it goes on. It must not send the old order at all.
+func TestLeaseExpiresWhileProcessIsPaused(t *testing.T) {
+	// A daemon is paused (SIGSTOP) right after it acquired the lease. When it
+	// resumes, its clock shows that the lease has expired. It must not send the
+	// old order at all.
 	for name, fenced := range map[string]bool{"fencing enforced": true, "fencing ignored": false} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := stopAndTakeOver(t, fenced, pauseAfterAcquire)
-			// The old daemon reads back, finds a state that is not its own, and
-			// learns from the lease that its document is behind.
+			f := pauseAndTakeOver(t, fenced, pauseAfterAcquire)
+			// The old daemon reads a state that differs from the one it desires
+			// and learns from the lease that its document is outdated.
 			for range 20 {
-				is.True(holds(NewHTTP(), b.address, b.want)())
+				is.True(holds(NewHTTPClient(), f.address, f.desired)())
 				time.Sleep(10 * time.Millisecond)
 			}
-			for _, o := range b.engine.Orders() {
-				is.Equal(o.Models, b.want.State.Models) // no order of the old daemon
+			for _, o := range f.engine.Orders() {
+				is.Equal(o.Models, f.desired.State.Models) // the old daemon sent no order
 			}
 		})
 	}
 }
 
-func TestProcessIsStoppedBeforeFirstByteOfOrder(t *testing.T) {
-	// A daemon is stopped between the question to its clock and the order, so
-	// that the old order goes out after the newer one. An engine that enforces
-	// fencing refuses it; for one that does not the state is repaired.
+func TestProcessIsPausedBeforeSendingOrder(t *testing.T) {
+	// A daemon is paused between the lease check and sending, so that the old
+	// order is sent after the newer one. An engine that enforces fencing refuses
+	// it; on one that does not, the state is repaired.
 	for name, fenced := range map[string]bool{"fencing enforced": true, "fencing ignored": false} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := stopAndTakeOver(t, fenced, pauseBeforeOrder)
-			is.Equal(b.child.Expect("ordered"), strconv.FormatBool(!fenced))
-			eventually(t, "the later state again", holds(NewHTTP(), b.address, b.want))
+			f := pauseAndTakeOver(t, fenced, pauseBeforeSend)
+			is.Equal(f.child.Expect("ordered"), strconv.FormatBool(!fenced))
+			eventually(t, "the later state again", holds(NewHTTPClient(), f.address, f.desired))
 		})
 	}
 }
--- a/internal/order/reconciler.go
+++ b/internal/order/reconciler.go
@@ -15,41 +15,42 @@
 
 // Defaults of Config.
 const (
-	DefaultReadBack    = 10 * time.Second
-	DefaultReadTimeout = 2 * time.Second
-	DefaultBackoff     = 500 * time.Millisecond
-	DefaultBackoffMax  = 30 * time.Second
+	DefaultReadInterval = 10 * time.Second
+	DefaultReadTimeout  = 2 * time.Second
+	DefaultBackoff      = 500 * time.Millisecond
+	DefaultBackoffMax   = 30 * time.Second
 )
 
-// releaseTimeout bounds the release of a lease when a worker ends.
+// releaseTimeout limits the release of a lease.
 const releaseTimeout = 2 * time.Second
 
-// Config holds the settings of a Reconciler. A zero field gets its default.
+// Config configures a Reconciler. Zero fields take their defaults.
 type Config struct {
 	// Daemon and Incarnation identify this process.
 	Daemon      ident.Daemon
 	Incarnation uint64
-	// Term is the term of a lease; default 20 s.
-	Term time.Duration
-	// ReadBack is the mean time between two readings of a target's state;
+	// LeaseTerm is the term of a lease; default 20 s.
+	LeaseTerm time.Duration
+	// ReadInterval is the mean interval between two reads of a target's state;
 	// default 10 s.
-	ReadBack time.Duration
-	// ReadTimeout bounds one reading; default 2 s.
+	ReadInterval time.Duration
+	// ReadTimeout limits one read; default 2 s.
 	ReadTimeout time.Duration
-	// Backoff is the mean wait after the first failure in a row; it doubles up
-	// to BackoffMax. Defaults 500 ms and 30 s.
+	// Backoff is the mean delay after the first of consecutive failures; it
+	// doubles up to BackoffMax. Defaults 500 ms and 30 s.
 	Backoff, BackoffMax time.Duration
-	// Clock defaults to the real one; its results carry a monotonic reading.
+	// Clock defaults to the system clock. Its times must have a monotonic clock
+	// reading.
 	Clock clock.Clock
-	// Random returns a number in [0,1) for the jitter; default math/rand/v2.
+	// Random returns a number in [0,1) for jitter; default math/rand/v2.
 	Random func() float64
 }
 
 func (c *Config) applyDefaults() {
-	orDefault(&c.ReadBack, DefaultReadBack)
-	orDefault(&c.ReadTimeout, DefaultReadTimeout)
-	orDefault(&c.Backoff, DefaultBackoff)
-	orDefault(&c.BackoffMax, DefaultBackoffMax)
+	setDefault(&c.ReadInterval, DefaultReadInterval)
+	setDefault(&c.ReadTimeout, DefaultReadTimeout)
+	setDefault(&c.Backoff, DefaultBackoff)
+	setDefault(&c.BackoffMax, DefaultBackoffMax)
 	if c.Clock == nil {
 		c.Clock = clock.Real
 	}
@@ -58,91 +59,91 @@
 	}
 }
 
-func orDefault(d *time.Duration, value time.Duration) {
+func setDefault(d *time.Duration, value time.Duration) {
 	if *d <= 0 {
 		*d = value
 	}
 }
 
-type targetID struct {
+type targetKey struct {
 	service ident.Service
 	target  ident.Target
 }
 
-// Reconciler keeps some targets in their wanted state, each by a goroutine of
-// its own. It is safe for concurrent use.
+// Reconciler keeps a set of targets in their desired state, with one goroutine
+// per target. It is safe for concurrent use.
 type Reconciler struct {
-	cfg     Config
-	table   platform.Table
-	weights *weightGate
-	orderer Orderer
-	log     *slog.Logger
+	cfg           Config
+	leaseTable    platform.Table
+	weightFetcher *weightFetcher
+	targetClient  TargetClient
+	log           *slog.Logger
 
-	// ctx ends with stop.
-	ctx  context.Context
-	stop context.CancelFunc
+	// ctx is canceled by cancel.
+	ctx    context.Context
+	cancel context.CancelFunc
 
 	mu      sync.Mutex
-	workers map[targetID]*worker
-	running sync.WaitGroup
+	workers map[targetKey]*worker
+	wg      sync.WaitGroup
 }
 
 // New returns a Reconciler without targets.
-func New(cfg Config, table platform.Table, weights platform.Weights, orderer Orderer, log *slog.Logger) *Reconciler {
+func New(cfg Config, table platform.Table, weights platform.Weights, client TargetClient, log *slog.Logger) *Reconciler {
 	cfg.applyDefaults()
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	return &Reconciler{
-		cfg: cfg, table: table, orderer: orderer, log: log,
-		weights: newWeightGate(weights, cfg.Clock),
-		ctx:     ctx, stop: stop,
-		workers: make(map[targetID]*worker),
+		cfg: cfg, leaseTable: table, targetClient: client, log: log,
+		weightFetcher: newWeightFetcher(weights, cfg.Clock),
+		ctx:           ctx, cancel: cancel,
+		workers: make(map[targetKey]*worker),
 	}
 }
 
-// Set replaces the list of targets to keep. A target that is no longer in it is
-// left as it is.
-func (r *Reconciler) Set(wanted []Wanted) {
+// SetTargets replaces the list of targets to reconcile. A target that is no
+// longer in the list keeps its state.
+func (r *Reconciler) SetTargets(desired []Desired) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.ctx.Err() != nil {
 		return
 	}
-	listed := make(map[targetID]bool, len(wanted))
-	for _, w := range wanted {
-		id := targetID{w.Service, w.Target}
-		listed[id] = true
-		r.set(id, w)
+	listed := make(map[targetKey]bool, len(desired))
+	for _, d := range desired {
+		key := targetKey{d.Service, d.Target}
+		listed[key] = true
+		r.setTarget(key, d)
 	}
-	for id, k := range r.workers {
-		if !listed[id] {
-			k.stop()
-			delete(r.workers, id)
+	for key, w := range r.workers {
+		if !listed[key] {
+			w.cancel()
+			delete(r.workers, key)
 		}
 	}
 }
 
-func (r *Reconciler) set(id targetID, w Wanted) {
-	if k := r.workers[id]; k != nil {
-		k.want(w)
+func (r *Reconciler) setTarget(key targetKey, d Desired) {
+	if w := r.workers[key]; w != nil {
+		w.setDesired(d)
 		return
 	}
-	ctx, stop := context.WithCancel(r.ctx)
-	k := &worker{
+	ctx, cancel := context.WithCancel(r.ctx)
+	w := &worker{
 		Reconciler: r,
-		lease:      lease.New(r.table, r.cfg.Clock, id.service, id.target, r.cfg.Term),
-		stop:       stop,
+		lease:      lease.New(r.leaseTable, r.cfg.Clock, key.service, key.target, r.cfg.LeaseTerm),
+		cancel:     cancel,
 		changed:    make(chan struct{}, 1),
 	}
-	k.want(w)
-	r.workers[id] = k
-	r.running.Go(func() {
-		defer stop()
-		k.run(ctx)
+	w.setDesired(d)
+	r.workers[key] = w
+	r.wg.Go(func() {
+		defer cancel()
+		w.run(ctx)
 	})
 }
 
-// Stop gives every lease up and returns when no order will leave any more.
+// Stop releases all leases and returns once no further orders will be sent.
 func (r *Reconciler) Stop() {
-	r.stop()
-	r.running.Wait()
+	r.cancel()
+	r.wg.Wait()
 }
--- a/internal/order/reconciler_test.go
+++ b/internal/order/reconciler_test.go
@@ -23,61 +23,61 @@
 )
 
 func TestMain(m *testing.M) {
-	process.Main(map[string]process.Part{"old-daemon": partOldDaemon})
+	process.Main(map[string]process.Part{"old-daemon": runOldDaemon})
 	goleak.VerifyTestMain(m)
 }
 
-// fakeTarget is an Orderer with one target. Each call of Give uses up one of
-// the errors; a late order takes effect when the test says so.
+// fakeTarget is a TargetClient for a single target. Each call of Send returns the
+// next of errs, and the order then takes effect only if the test delivers it.
 type fakeTarget struct {
-	mu      sync.Mutex
-	fenced  bool
-	present Order
-	given   []Order
-	errs    []error
+	mu       sync.Mutex
+	fenced   bool
+	current  Order
+	received []Order
+	errs     []error
 }
 
-var errLost = errors.New("lost")
+var errResponseLost = errors.New("lost")
 
 func (f *fakeTarget) Read(context.Context, string) (Order, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.present, nil
+	return f.current, nil
 }
 
-func (f *fakeTarget) Give(_ context.Context, _ string, o Order) error {
+func (f *fakeTarget) Send(_ context.Context, _ string, o Order) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.given = append(f.given, o)
+	f.received = append(f.received, o)
 	if len(f.errs) > 0 {
 		err := f.errs[0]
 		f.errs = f.errs[1:]
 		return err
 	}
-	return f.take(o)
+	return f.apply(o)
 }
 
-func (f *fakeTarget) take(o Order) error {
-	if f.fenced && o.Fencing < f.present.Fencing {
-		return &Refused{Present: f.present}
+func (f *fakeTarget) apply(o Order) error {
+	if f.fenced && o.Fencing < f.current.Fencing {
+		return &StaleFencingError{Current: f.current}
 	}
-	f.present = o
+	f.current = o
 	return nil
 }
 
-func (f *fakeTarget) arrive(o Order) error {
+func (f *fakeTarget) deliver(o Order) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.take(o)
+	return f.apply(o)
 }
 
 func (f *fakeTarget) orders() []Order {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.given)
+	return slices.Clone(f.received)
 }
 
-// logBuffer is a log that tests read.
+// logBuffer collects log output for inspection by tests.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -89,44 +89,44 @@
 	return b.text.Write(p)
 }
 
-func (b *logBuffer) has(text string) bool {
+func (b *logBuffer) contains(text string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return strings.Contains(b.text.String(), text)
 }
 
-type bench struct {
+type fixture struct {
 	platform *platformstandin.Server
 	client   *platform.Client
 	url      string
 	log      logBuffer
 }
 
-func newBench(t *testing.T, c platformstandin.Config) *bench {
-	b := &bench{platform: platformstandin.New(c)}
-	server := httptest.NewServer(b.platform)
-	b.url = server.URL
-	b.client = platform.NewClient(platform.ClientConfig{URL: server.URL, Logger: slog.New(slog.DiscardHandler)})
+func newFixture(t *testing.T, c platformstandin.Config) *fixture {
+	f := &fixture{platform: platformstandin.New(c)}
+	server := httptest.NewServer(f.platform)
+	f.url = server.URL
+	f.client = platform.NewClient(platform.ClientConfig{URL: server.URL, Logger: slog.New(slog.DiscardHandler)})
 	t.Cleanup(func() {
-		b.client.Close()
+		f.client.Close()
 		server.Close()
 	})
-	return b
+	return f
 }
 
-func (b *bench) reconciler(t *testing.T, d ident.Daemon, o Orderer) *Reconciler {
+func (f *fixture) reconciler(t *testing.T, d ident.Daemon, o TargetClient) *Reconciler {
 	cfg := Config{
-		Daemon: d, Incarnation: 1, Term: 200 * time.Millisecond, ReadBack: 10 * time.Millisecond,
+		Daemon: d, Incarnation: 1, LeaseTerm: 200 * time.Millisecond, ReadInterval: 10 * time.Millisecond,
 		Backoff: 2 * time.Millisecond, BackoffMax: 20 * time.Millisecond,
 	}
-	r := New(cfg, b.client, b.client, o, slog.New(slog.NewTextHandler(&b.log, nil)))
+	r := New(cfg, f.client, f.client, o, slog.New(slog.NewTextHandler(&f.log, nil)))
 	t.Cleanup(r.Stop)
 	return r
 }
 
-func wanted(document uint64, models ...string) Wanted {
-	return Wanted{
-		Service: "lm-pool", Target: "engine-1", Document: document, Fenced: true,
+func newDesired(document uint64, models ...string) Desired {
+	return Desired{
+		Service: "lm-pool", Target: "engine-1", DocumentRevision: document, Fenced: true,
 		LongestOrder: 50 * time.Millisecond, State: State{Models: models},
 	}
 }
@@ -138,140 +138,141 @@
 			return
 		}
 	}
-	t.Fatal("never came true: " + what)
+	t.Fatal("timed out waiting for " + what)
 }
 
-func holds(o Orderer, address string, w Wanted) func() bool {
+func holds(client TargetClient, address string, d Desired) func() bool {
 	return func() bool {
-		present, err := o.Read(context.Background(), address)
-		return err == nil && w.satisfiedBy(present.State)
+		current, err := client.Read(context.Background(), address)
+		return err == nil && d.satisfiedBy(current.State)
 	}
 }
 
 func TestEngineReachesWantedState(t *testing.T) {
-	// A document changes while two daemons look after the same engine, one of
-	// which learns of the change late. The engine must end with the last state,
-	// and return to it when an old order arrives late.
+	// A document changes while two daemons reconcile the same engine, one of
+	// which receives the change late. The engine must reach the latest state and
+	// return to it after an old order arrives late.
 	for name, fenced := range map[string]bool{"fencing enforced": true, "fencing ignored": false} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(t, platformstandin.Config{})
+			f := newFixture(t, platformstandin.Config{})
 			engine := enginestandin.New(enginestandin.Config{Models: []string{"old"}, EnforceFencing: fenced})
 			server := httptest.NewServer(engine)
 			t.Cleanup(func() { server.Close(); engine.Close() })
-			target := NewHTTP()
-			first, second := wanted(1, "ride-1"), wanted(2, "ride-2", "scene")
-			for _, w := range []*Wanted{&first, &second} {
+			target := NewHTTPClient()
+			first, second := newDesired(1, "ride-1"), newDesired(2, "ride-2", "scene")
+			for _, w := range []*Desired{&first, &second} {
 				w.Address, w.Fenced = server.Listener.Addr().String(), fenced
 			}
 			second.State.Adapters = []string{"club-nord"}
 			second.State.Version, second.State.Role = "7", "prefill"
-			r1, r2 := b.reconciler(t, "d1", target), b.reconciler(t, "d2", target)
-			r1.Set([]Wanted{first})
-			r2.Set([]Wanted{first})
+			r1, r2 := f.reconciler(t, "d1", target), f.reconciler(t, "d2", target)
+			r1.SetTargets([]Desired{first})
+			r2.SetTargets([]Desired{first})
 			eventually(t, "the first state", holds(target, first.Address, first))
 			old, err := target.Read(t.Context(), first.Address)
 			is.NoErr(err)
-			r1.Set([]Wanted{second})
+			r1.SetTargets([]Desired{second})
 			eventually(t, "the second state", holds(target, second.Address, second))
-			err = target.Give(t.Context(), second.Address, old)
-			var refused *Refused
-			is.Equal(errors.As(err, &refused), fenced)
+			err = target.Send(t.Context(), second.Address, old)
+			var stale *StaleFencingError
+			is.Equal(errors.As(err, &stale), fenced)
 			eventually(t, "the repair", holds(target, second.Address, second))
-			r2.Set([]Wanted{second})
-			is.True(b.platform.Fetches("scene:7") >= 1)
-			is.True(b.platform.Fetches("club-nord") >= 1)
+			r2.SetTargets([]Desired{second})
+			is.True(f.platform.Fetches("scene:7") >= 1)
+			is.True(f.platform.Fetches("club-nord") >= 1)
 		})
 	}
 }
 
-func TestEachOrderHasANumberOfItsOwn(t *testing.T) {
-	// The answers of two orders are lost, one of which took effect. The repeats
-	// carry higher numbers, so that no late order of the same daemon wins.
+func TestEachOrderHasAUniqueFencingNumber(t *testing.T) {
+	// The responses to two orders are lost, either of which may take effect
+	// late. The retries must have higher fencing numbers, so that no late order
+	// of the same daemon overrides a newer one.
 	is := is.New(t)
-	b, target := newBench(t, platformstandin.Config{}), &fakeTarget{fenced: true, errs: []error{errLost, errLost}}
-	b.reconciler(t, "d1", target).Set([]Wanted{wanted(1, "m")})
-	eventually(t, "the state", holds(target, "", wanted(1, "m")))
+	f, target := newFixture(t, platformstandin.Config{}), &fakeTarget{fenced: true, errs: []error{errResponseLost, errResponseLost}}
+	f.reconciler(t, "d1", target).SetTargets([]Desired{newDesired(1, "m")})
+	eventually(t, "the state", holds(target, "", newDesired(1, "m")))
 	orders := target.orders()
 	is.Equal(len(orders), 3)
 	is.True(orders[0].Fencing < orders[1].Fencing && orders[1].Fencing < orders[2].Fencing)
-	var refused *Refused
-	is.True(errors.As(target.arrive(orders[0]), &refused))
+	var stale *StaleFencingError
+	is.True(errors.As(target.deliver(orders[0]), &stale))
 }
 
 func TestLateOrderAtTargetThatIgnoresFencing(t *testing.T) {
-	// An order to a target that ignores the number has no answer and takes
-	// effect after its successor. The state is read back and repaired.
+	// An order to a target that ignores fencing numbers gets no response and
+	// takes effect after its successor. The state must be read back and repaired.
 	is := is.New(t)
-	b, target := newBench(t, platformstandin.Config{}), &fakeTarget{errs: []error{errLost}}
-	first, second := wanted(1, "old"), wanted(2, "new")
+	f, target := newFixture(t, platformstandin.Config{}), &fakeTarget{errs: []error{errResponseLost}}
+	first, second := newDesired(1, "old"), newDesired(2, "new")
 	first.Fenced, second.Fenced = false, false
-	r := b.reconciler(t, "d1", target)
-	r.Set([]Wanted{first})
+	r := f.reconciler(t, "d1", target)
+	r.SetTargets([]Desired{first})
 	eventually(t, "the first order", func() bool { return len(target.orders()) > 0 })
-	r.Set([]Wanted{second})
+	r.SetTargets([]Desired{second})
 	eventually(t, "the second state", holds(target, "", second))
-	is.NoErr(target.arrive(target.orders()[0]))
+	is.NoErr(target.deliver(target.orders()[0]))
 	eventually(t, "the repair", holds(target, "", second))
 }
 
-func TestDaemonWithOldDocumentGivesNoOrder(t *testing.T) {
-	// A daemon that was cut off from the configuration wants what was wanted an
-	// hour ago. It must leave the target as the others made it.
-	b, target := newBench(t, platformstandin.Config{}), &fakeTarget{fenced: true}
-	current, stale := wanted(2, "new"), wanted(1, "old")
-	b.reconciler(t, "d1", target).Set([]Wanted{current})
-	eventually(t, "the state", holds(target, "", current))
-	b.reconciler(t, "d2", target).Set([]Wanted{stale})
-	eventually(t, "the stale daemon to notice", func() bool { return b.log.has("event=524") })
-	is.New(t).True(holds(target, "", current)())
+func TestDaemonWithOldDocumentSendsNoOrder(t *testing.T) {
+	// A daemon without access to the configuration still has the desired state of
+	// an hour ago. It must not change the target that the others have updated.
+	f, target := newFixture(t, platformstandin.Config{}), &fakeTarget{fenced: true}
+	currentDesired, staleDesired := newDesired(2, "new"), newDesired(1, "old")
+	f.reconciler(t, "d1", target).SetTargets([]Desired{currentDesired})
+	eventually(t, "the state", holds(target, "", currentDesired))
+	f.reconciler(t, "d2", target).SetTargets([]Desired{staleDesired})
+	eventually(t, "the stale daemon to notice", func() bool { return f.log.contains("event=524") })
+	is.New(t).True(holds(target, "", currentDesired)())
 }
 
-func TestTargetThatTakesNoOrdersIsReported(t *testing.T) {
-	// An engine holds a number above any of the table's, since it was ordered
-	// by hand or the table was restored. Every order is refused; the operator
-	// is told, and the daemon goes on with growing waits.
-	b, target := newBench(t, platformstandin.Config{}), &fakeTarget{fenced: true}
-	target.present.Fencing = 1 << 60
-	b.reconciler(t, "d1", target).Set([]Wanted{wanted(1, "m")})
-	eventually(t, "the report", func() bool { return b.log.has("event=525") })
+func TestTargetThatRefusesOrdersIsReported(t *testing.T) {
+	// An engine holds a fencing number higher than any in the table, because of a
+	// manual order or a restored table. Every order is refused. The operator must
+	// be notified, and the daemon must keep retrying with increasing backoff.
+	f, target := newFixture(t, platformstandin.Config{}), &fakeTarget{fenced: true}
+	target.current.Fencing = 1 << 60
+	f.reconciler(t, "d1", target).SetTargets([]Desired{newDesired(1, "m")})
+	eventually(t, "the report", func() bool { return f.log.contains("event=525") })
 	target.mu.Lock()
-	target.present.Fencing = 0
+	target.current.Fencing = 0
 	target.mu.Unlock()
-	eventually(t, "the state", holds(target, "", wanted(1, "m")))
+	eventually(t, "the state", holds(target, "", newDesired(1, "m")))
 }
 
-func TestStopReleasesTheLease(t *testing.T) {
-	// A planned stop in the middle of an order that is never answered. The next
-	// daemon waits for the longest order, not for the term as well.
+func TestStopReleasesLease(t *testing.T) {
+	// A daemon stops as planned during an order that gets no response. The next
+	// daemon must wait for the longest order only, not also for the lease term.
 	is := is.New(t)
-	b, target := newBench(t, platformstandin.Config{}), &fakeTarget{errs: []error{errLost}}
-	w := wanted(1, "m")
+	f, target := newFixture(t, platformstandin.Config{}), &fakeTarget{errs: []error{errResponseLost}}
+	w := newDesired(1, "m")
 	w.Fenced, w.LongestOrder = false, 300*time.Millisecond
-	r := b.reconciler(t, "d1", target)
-	r.Set([]Wanted{w})
+	r := f.reconciler(t, "d1", target)
+	r.SetTargets([]Desired{w})
 	eventually(t, "the order", func() bool { return len(target.orders()) == 1 })
 	r.Stop()
-	rows, err := b.client.Get(t.Context(), "lease/lm-pool/engine-1")
+	rows, err := f.client.Get(t.Context(), "lease/lm-pool/engine-1")
 	is.NoErr(err)
 	is.True(strings.Contains(string(rows[0].Value), `"released":true`))
-	b.reconciler(t, "d2", target).Set([]Wanted{w})
+	f.reconciler(t, "d2", target).SetTargets([]Desired{w})
 	eventually(t, "the state", holds(target, "", w))
 }
 
 func TestWeightsAreFetchedOneAtATime(t *testing.T) {
-	// A new version for a whole pool. The weight store lets one fetch through
-	// each interval; no engine is ordered to load what is not ready, and no
-	// name is fetched again and again while a target waits.
+	// A whole pool gets a new version, and the weight store allows one fetch per
+	// interval. No engine must be ordered to load weights that are not ready, and
+	// no name must be fetched repeatedly while a target waits.
 	is := is.New(t)
 	const interval = 30 * time.Millisecond
-	b := newBench(t, platformstandin.Config{WeightInterval: interval})
+	f := newFixture(t, platformstandin.Config{WeightInterval: interval})
 	target := &fakeTarget{fenced: true}
 	started := time.Now()
-	b.reconciler(t, "d1", target).Set([]Wanted{wanted(1, "a", "b", "c")})
-	eventually(t, "the state", holds(target, "", wanted(1, "a", "b", "c")))
-	is.True(time.Since(started) >= 2*interval) // the first of three is free
+	f.reconciler(t, "d1", target).SetTargets([]Desired{newDesired(1, "a", "b", "c")})
+	eventually(t, "the state", holds(target, "", newDesired(1, "a", "b", "c")))
+	is.True(time.Since(started) >= 2*interval) // the first of three fetches does not wait
 	for _, name := range []string{"a", "b", "c"} {
-		is.Equal(b.platform.Fetches(name), 1)
+		is.Equal(f.platform.Fetches(name), 1)
 	}
 }
--- a/internal/order/weights.go
+++ b/internal/order/weights.go
@@ -8,38 +8,39 @@
 	"github.com/savorystall/savorystall/internal/platform"
 )
 
-// weightGate asks the weight store for one name at a time and waits as told.
+// weightFetcher requests one name at a time from the weight store and waits for
+// as long as the store says.
 //
-// It answers a change of version for a whole pool: without it every target's
-// worker asks at once, and the store's rate limit answers each with a longer
-// wait, the urgent ones included.
-type weightGate struct {
+// It handles a version change of a whole pool. Without it the workers of all
+// targets would send requests at once, and the store's rate limit would make
+// each of them wait longer, including urgent ones.
+type weightFetcher struct {
 	store platform.Weights
 	clock clock.Clock
-	turn  chan struct{}
+	sem   chan struct{}
 }
 
-func newWeightGate(store platform.Weights, c clock.Clock) *weightGate {
-	return &weightGate{store: store, clock: c, turn: make(chan struct{}, 1)}
+func newWeightFetcher(store platform.Weights, c clock.Clock) *weightFetcher {
+	return &weightFetcher{store: store, clock: c, sem: make(chan struct{}, 1)}
 }
 
-// fetch returns when the named weights are ready for loading.
-func (g *weightGate) fetch(ctx context.Context, name string) error {
+// fetch returns once the named weights are ready to be loaded.
+func (f *weightFetcher) fetch(ctx context.Context, name string) error {
 	select {
-	case g.turn <- struct{}{}:
+	case f.sem <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { <-g.turn }()
-	wait, err := g.store.FetchWeights(ctx, name)
+	defer func() { <-f.sem }()
+	wait, err := f.store.FetchWeights(ctx, name)
 	if err != nil {
 		return err
 	}
-	return pause(ctx, g.clock, wait)
+	return sleep(ctx, f.clock, wait)
 }
 
-// pause waits; the error is ctx's.
-func pause(ctx context.Context, c clock.Clock, d time.Duration) error {
+// sleep waits for d or until ctx ends, in which case it returns the error of ctx.
+func sleep(ctx context.Context, c clock.Clock, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
 	}
--- a/internal/order/worker.go
+++ b/internal/order/worker.go
@@ -12,200 +12,201 @@
 )
 
 const (
-	// stuckAfter is how many tries in a row must have failed until the target is
-	// reported: one or two are lost with a connection.
-	stuckAfter = 3
-	// stuckAgain is how many further tries lie between two reports. With the
-	// longest backoff that is some five minutes.
-	stuckAgain = 20
+	// reportAfterFailures is the number of consecutive failures after which the
+	// target is reported: a lost connection causes one or two.
+	reportAfterFailures = 3
+	// reportEveryFailures is the number of further failures between two reports.
+	// At the maximum backoff that is about five minutes.
+	reportEveryFailures = 20
 )
 
-// worker keeps one target in its wanted state.
+// worker keeps one target in its desired state.
 type worker struct {
 	*Reconciler
-	lease *lease.Lease
-	stop  context.CancelFunc
-	// changed wakes the worker for a new wanted state.
+	lease  *lease.Lease
+	cancel context.CancelFunc
+	// changed wakes the worker when the desired state has changed.
 	changed chan struct{}
 
-	mu     sync.Mutex
-	latest Wanted
+	mu      sync.Mutex
+	desired Desired
 
-	// The following belong to the worker's goroutine.
+	// The following fields are used only by the worker's goroutine.
 
-	// fetched are the weights that the store has made ready since the target
-	// was last as wanted.
-	fetched map[string]bool
-	// fails counts failed passes in a row, orders the orders since the target
-	// was last as wanted.
-	fails, orders int
+	// fetchedWeights holds the weights that have been fetched since the target
+	// was last in its desired state.
+	fetchedWeights map[string]bool
+	// failures counts consecutive failed reconciliations, ordersSent the orders
+	// sent since the target was last in its desired state.
+	failures, ordersSent int
 }
 
-func (k *worker) want(w Wanted) {
-	k.mu.Lock()
-	same := reflect.DeepEqual(k.latest, w)
-	k.latest = w
-	k.mu.Unlock()
+func (w *worker) setDesired(d Desired) {
+	w.mu.Lock()
+	same := reflect.DeepEqual(w.desired, d)
+	w.desired = d
+	w.mu.Unlock()
 	if same {
 		return
 	}
 	select {
-	case k.changed <- struct{}{}:
+	case w.changed <- struct{}{}:
 	default:
 	}
 }
 
-func (k *worker) wanted() Wanted {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.latest
+func (w *worker) currentDesired() Desired {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.desired
 }
 
-func (k *worker) run(ctx context.Context) {
-	defer k.giveUp(ctx)
+func (w *worker) run(ctx context.Context) {
+	defer w.releaseLease(ctx)
 	for ctx.Err() == nil {
-		wait := k.pass(ctx, k.wanted())
+		wait := w.reconcile(ctx, w.currentDesired())
 		if wait <= 0 {
 			continue
 		}
 		select {
 		case <-ctx.Done():
-		case <-k.changed:
-		case <-k.cfg.Clock.After(wait):
+		case <-w.changed:
+		case <-w.cfg.Clock.After(wait):
 		}
 	}
 }
 
-// pass reads the target's state back, makes one step towards the wanted one,
-// and returns how long to wait before the next pass.
-func (k *worker) pass(ctx context.Context, w Wanted) time.Duration {
-	present, err := k.read(ctx, w)
+// reconcile reads the target's state, makes one step toward the desired state,
+// and returns how long to wait before the next reconciliation.
+func (w *worker) reconcile(ctx context.Context, d Desired) time.Duration {
+	current, err := w.read(ctx, d)
 	if err != nil {
-		return k.failed(w, "the target's state cannot be read", err)
+		return w.handleFailure(d, "failed to read the target's state", err)
 	}
-	if w.satisfiedBy(present.State) {
-		return k.satisfied(ctx)
+	if d.satisfiedBy(current.State) {
+		return w.handleInSync(ctx)
 	}
-	if err := k.fetch(ctx, w.weights(present.State)); err != nil {
-		return k.failed(w, "weights cannot be fetched", err)
+	if err := w.fetchWeights(ctx, d.missingWeights(current.State)); err != nil {
+		return w.handleFailure(d, "failed to fetch weights", err)
 	}
-	if k.wanted().Document != w.Document {
-		// Weights take minutes; the document may have changed meanwhile.
+	if w.currentDesired().DocumentRevision != d.DocumentRevision {
+		// Fetching weights takes minutes; the document may have changed since.
 		return 0
 	}
-	if wait, ok := k.acquire(ctx, w); !ok {
+	if wait, ok := w.acquireLease(ctx, d); !ok {
 		return wait
 	}
-	return k.give(ctx, w)
+	return w.sendOrder(ctx, d)
 }
 
-func (k *worker) read(ctx context.Context, w Wanted) (Order, error) {
-	ctx, cancel := context.WithTimeout(ctx, k.cfg.ReadTimeout)
+func (w *worker) read(ctx context.Context, d Desired) (Order, error) {
+	ctx, cancel := context.WithTimeout(ctx, w.cfg.ReadTimeout)
 	defer cancel()
-	return k.orderer.Read(ctx, w.Address)
+	return w.targetClient.Read(ctx, d.Address)
 }
 
-// satisfied gives the lease up: nothing is to be ordered.
-func (k *worker) satisfied(ctx context.Context) time.Duration {
-	k.fails, k.orders, k.fetched = 0, 0, nil
-	k.giveUp(ctx)
-	return k.jitter(2 * k.cfg.ReadBack)
+// handleInSync releases the lease, since there is nothing to order.
+func (w *worker) handleInSync(ctx context.Context) time.Duration {
+	w.failures, w.ordersSent, w.fetchedWeights = 0, 0, nil
+	w.releaseLease(ctx)
+	return w.jitter(2 * w.cfg.ReadInterval)
 }
 
-// giveUp releases the lease, also where ctx has ended.
-func (k *worker) giveUp(ctx context.Context) {
+// releaseLease releases the lease, even if ctx has ended.
+func (w *worker) releaseLease(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancel()
-	if err := k.lease.Release(ctx); err != nil {
-		event.LeaseNotReleased.Log(k.log, "target", k.wanted().Target, "error", err)
+	if err := w.lease.Release(ctx); err != nil {
+		event.LeaseNotReleased.Log(w.log, "target", w.currentDesired().Target, "error", err)
 	}
 }
 
-func (k *worker) fetch(ctx context.Context, names []string) error {
+func (w *worker) fetchWeights(ctx context.Context, names []string) error {
 	for _, name := range names {
-		if k.fetched[name] {
+		if w.fetchedWeights[name] {
 			continue
 		}
-		if err := k.weights.fetch(ctx, name); err != nil {
+		if err := w.weightFetcher.fetch(ctx, name); err != nil {
 			return err
 		}
-		if k.fetched == nil {
-			k.fetched = make(map[string]bool)
+		if w.fetchedWeights == nil {
+			w.fetchedWeights = make(map[string]bool)
 		}
-		k.fetched[name] = true
+		w.fetchedWeights[name] = true
 	}
 	return nil
 }
 
-// acquire takes or renews the lease, so that the next order has a number that
-// no earlier one had.
-func (k *worker) acquire(ctx context.Context, w Wanted) (wait time.Duration, ok bool) {
-	err := k.lease.Acquire(ctx, lease.Claim{
-		Holder: k.cfg.Daemon, Incarnation: k.cfg.Incarnation,
-		Fenced: w.Fenced, LongestOrder: w.LongestOrder, Document: w.Document,
+// acquireLease acquires or renews the lease, so that the next order has a fencing
+// number that has not been used before.
+func (w *worker) acquireLease(ctx context.Context, d Desired) (wait time.Duration, ok bool) {
+	err := w.lease.Acquire(ctx, lease.Claim{
+		Holder: w.cfg.Daemon, Incarnation: w.cfg.Incarnation,
+		Fenced: d.Fenced, LongestOrder: d.LongestOrder, Document: d.DocumentRevision,
 	})
 	var held *lease.HeldError
 	switch {
 	case err == nil:
 		return 0, true
 	case errors.As(err, &held):
-		event.LeaseHeld.Log(k.log, "target", w.Target, "holder", held.Holder, "wait", held.RetryAfter)
-		return max(held.RetryAfter, k.jitter(k.cfg.Backoff)), false
+		event.LeaseHeld.Log(w.log, "target", d.Target, "holder", held.Holder, "wait", held.RetryAfter)
+		return max(held.RetryAfter, w.jitter(w.cfg.Backoff)), false
 	case errors.Is(err, lease.ErrStaleDocument):
-		event.OrderBehind.Log(k.log, "target", w.Target, "document", w.Document)
-		return k.jitter(2 * k.cfg.ReadBack), false
+		event.OrderBehind.Log(w.log, "target", d.Target, "document", d.DocumentRevision)
+		return w.jitter(2 * w.cfg.ReadInterval), false
 	}
-	return k.failed(w, "the lease cannot be written", err), false
+	return w.handleFailure(d, "failed to acquire the lease", err), false
 }
 
-// give sends the order, if the lease is still valid at this moment.
+// sendOrder sends the order if the lease is still valid.
 //
-// The check stands right before the order, since this process may have been
-// stopped for any time since it acquired the lease: its successor has given
-// other orders meanwhile, and this one would undo them.
-func (k *worker) give(ctx context.Context, w Wanted) time.Duration {
-	o := Order{Fencing: k.lease.FencingToken(), State: w.State}
-	ctx, cancel := context.WithTimeout(ctx, w.LongestOrder)
+// The lease is checked immediately before sending, since this process may have
+// been paused for any length of time after acquiring it. Its successor may have
+// sent other orders in the meantime, which this one would undo.
+func (w *worker) sendOrder(ctx context.Context, d Desired) time.Duration {
+	o := Order{Fencing: w.lease.FencingToken(), State: d.State}
+	ctx, cancel := context.WithTimeout(ctx, d.LongestOrder)
 	defer cancel()
-	if !k.lease.Valid() {
-		return k.jitter(k.cfg.Backoff)
+	if !w.lease.Valid() {
+		return w.jitter(w.cfg.Backoff)
 	}
-	k.lease.OrderSent(w.LongestOrder)
-	k.orders++
-	err := k.orderer.Give(ctx, w.Address, o)
-	var refused *Refused
+	w.lease.OrderSent(d.LongestOrder)
+	w.ordersSent++
+	err := w.targetClient.Send(ctx, d.Address, o)
+	var stale *StaleFencingError
 	switch {
 	case err == nil:
-		k.lease.OrdersAnswered()
-		event.OrderGiven.Log(k.log, "target", w.Target, "fencing", o.Fencing, "document", w.Document)
-		return k.given(w)
-	case errors.As(err, &refused):
-		k.lease.OrdersAnswered()
-		event.OrderRefused.Log(k.log, "target", w.Target, "fencing", o.Fencing, "present", refused.Present.Fencing)
-		return k.failed(w, "the target refuses the fencing number", err)
+		w.lease.OrdersAnswered()
+		event.OrderGiven.Log(w.log, "target", d.Target, "fencing", o.Fencing, "document", d.DocumentRevision)
+		return w.handleSent(d)
+	case errors.As(err, &stale):
+		w.lease.OrdersAnswered()
+		event.OrderRefused.Log(w.log, "target", d.Target, "fencing", o.Fencing, "present", stale.Current.Fencing)
+		return w.handleFailure(d, "the target refused the fencing number", err)
 	}
-	return k.failed(w, "the order has no answer", err)
+	return w.handleFailure(d, "the order was not confirmed", err)
 }
 
-// given reads back at once after the first order. A target that keeps taking
-// orders without effect is asked ever more seldom.
-func (k *worker) given(w Wanted) time.Duration {
-	if k.orders < stuckAfter {
-		k.fails = 0
+// handleSent schedules the read after an accepted order. The first orders are
+// followed by a read at once; a target that keeps accepting orders without effect
+// is retried with increasing backoff.
+func (w *worker) handleSent(d Desired) time.Duration {
+	if w.ordersSent < reportAfterFailures {
+		w.failures = 0
 		return 0
 	}
-	return k.failed(w, "orders have no effect", nil)
+	return w.handleFailure(d, "the target accepts orders but they have no effect", nil)
 }
 
-func (k *worker) failed(w Wanted, what string, err error) time.Duration {
-	k.fails++
-	if k.fails%stuckAgain == stuckAfter {
-		event.TargetTakesNoOrders.Log(k.log, "service", w.Service, "target", w.Target, "cause", what, "error", err)
+func (w *worker) handleFailure(d Desired, cause string, err error) time.Duration {
+	w.failures++
+	if w.failures%reportEveryFailures == reportAfterFailures {
+		event.TargetTakesNoOrders.Log(w.log, "service", d.Service, "target", d.Target, "cause", cause, "error", err)
 	}
-	return k.jitter(min(2*k.cfg.Backoff<<min(k.fails-1, 16), k.cfg.BackoffMax))
+	return w.jitter(min(2*w.cfg.Backoff<<min(w.failures-1, 16), w.cfg.BackoffMax))
 }
 
-// jitter spreads waits evenly between nothing and limit.
-func (k *worker) jitter(limit time.Duration) time.Duration {
-	return time.Duration(k.cfg.Random()*float64(limit)) + 1
+// jitter returns a uniformly distributed delay between zero and limit.
+func (w *worker) jitter(limit time.Duration) time.Duration {
+	return time.Duration(w.cfg.Random()*float64(limit)) + 1
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -122,7 +122,7 @@
 	}
 	e := election{}
 	if len(members) >= minDaemonsForReader {
-		e.reader = membership.NewOwners(members).Of("", "store", f.cfg.Zone)
+		e.reader = membership.NewOwners(members).Lookup("", "store", f.cfg.Zone)
 		if e.reader == f.cfg.Self {
 			e = election{isReader: true}
 		}
--- a/internal/scheduler/owner.go
+++ b/internal/scheduler/owner.go
@@ -34,7 +34,7 @@
 // ownerOf returns the daemon that owns a target according to the known
 // membership.
 func (c *Core) ownerOf(t *target) ident.Daemon {
-	return c.members.Of(t.service.name, t.Name, t.Zone)
+	return c.members.Lookup(t.service.name, t.Name, t.Zone)
 }
 
 // knownMembers returns this daemon and its peers.
--- a/internal/scheduler/shard.go
+++ b/internal/scheduler/shard.go
@@ -94,7 +94,7 @@
 	z := &zoneShards{members: members}
 	owners := membership.NewOwners(members)
 	for i := range z.aggregators {
-		z.aggregators[i] = owners.Of("", shardKeys[i], zone)
+		z.aggregators[i] = owners.Lookup("", shardKeys[i], zone)
 	}
 	return z
 }
