--- a/internal/daemon/bridge.go
+++ b/internal/daemon/bridge.go
@@ -154,7 +154,7 @@
 	case claim.StateRunning:
 		reply.State = fleet.ClaimRunning
 	case claim.StateRevoked:
-		reply.State = fleet.ClaimNever
+		reply.State = fleet.ClaimNeverDispatched
 	case claim.StateFinished:
 		outcome, err := json.Marshal(answer.Outcome)
 		if err != nil {
@@ -177,7 +177,7 @@
 	switch reply.State {
 	case fleet.ClaimRunning:
 		return claim.Status{Kind: claim.StateRunning}, nil
-	case fleet.ClaimNever:
+	case fleet.ClaimNeverDispatched:
 		return claim.Status{Kind: claim.StateRevoked}, nil
 	case fleet.ClaimFinished:
 		answer := claim.Status{Kind: claim.StateFinished}
--- a/internal/daemon/routed.go
+++ b/internal/daemon/routed.go
@@ -174,7 +174,7 @@
 	wasReady := d.p.Life.State() == StateReady
 	d.p.Life.fire(triggerStop)
 	event.DaemonDraining.Log(d.p.Log, "daemon", d.p.Identity.Daemon)
-	d.p.Node.Leaving()
+	d.p.Node.AnnounceLeaving()
 	d.p.Loop.Leave()
 	if wasReady {
 		pause(ctx, d.p.Settings.Stop.BalancerLag)
--- a/internal/fleet/bookings.go
+++ b/internal/fleet/bookings.go
@@ -10,14 +10,15 @@
 	"github.com/savorystall/savorystall/internal/scheduler"
 )
 
-// shareUnit is the resolution of shares on a link: thousandths.
-const shareUnit = 1000
+// shareScale is the resolution of shares on a link: thousandths.
+const shareScale = 1000
 
-// mostUsed bounds a share that is told: more than that tells nothing more.
-const mostUsed = 1000
+// maxShareUsed bounds the reported share; a larger value would carry no more
+// information.
+const maxShareUsed = 1000
 
-// mergeBookings queues bookings: of sums and loads the newest stands for all, and
-// every other row is kept.
+// mergeBookings queues bookings. A newer usage or load row replaces the queued
+// one for the same workspace or target; all other rows are kept.
 func (o *outbox) mergeBookings(m *booking.Message) {
 	q := &o.queued.Bookings
 	q.Reservations = append(q.Reservations, m.Reservations...)
@@ -28,10 +29,10 @@
 		q.Scope = m.Scope
 	}
 	for _, u := range m.Usage {
-		q.Usage = newest(q.Usage, o.usage, pair{u.Service, string(u.Workspace)}, u)
+		q.Usage = upsert(q.Usage, o.usageIndex, pair{u.Service, string(u.Workspace)}, u)
 	}
 	for _, l := range m.Loads {
-		q.Loads = newest(q.Loads, o.loads, pair{l.Service, string(l.Target)}, l)
+		q.Loads = upsert(q.Loads, o.loadIndex, pair{l.Service, string(l.Target)}, l)
 	}
 }
 
@@ -41,41 +42,41 @@
 	}
 	out := &fleetv1.Bookings{Scope: uint32(m.Scope), Ready: m.Ready}
 	for _, a := range m.Reservations {
-		out.Asks = append(out.Asks, e.ask(f, a))
+		out.Asks = append(out.Asks, e.reservation(f, a))
 	}
 	for _, r := range m.Replies {
-		out.Replies = append(out.Replies, &fleetv1.BookingReply{Id: r.ID, Ok: r.OK, Wait: toTime(r.Wait), Back: r.CallerRetry, Kept: uint32(r.CachedTokens), Hold: toTime(r.Hold), Limit: uint32(r.Limit), Used: uint32(math.Round(shareUnit * min(r.ShareUsed, mostUsed))), Alone: toTime(r.UnloadedWait)})
+		out.Replies = append(out.Replies, &fleetv1.BookingReply{Id: r.ID, Ok: r.OK, Wait: encodeDuration(r.Wait), Back: r.CallerRetry, Kept: uint32(r.CachedTokens), Hold: encodeDuration(r.Hold), Limit: uint32(r.Limit), Used: uint32(math.Round(shareScale * min(r.ShareUsed, maxShareUsed))), Alone: encodeDuration(r.UnloadedWait)})
 	}
 	for _, k := range m.FirstBytes {
-		out.Marks = append(out.Marks, &fleetv1.BookingMark{Id: k.ID, First: toTime(k.Elapsed)})
+		out.Marks = append(out.Marks, &fleetv1.BookingMark{Id: k.ID, First: encodeDuration(k.Elapsed)})
 	}
 	for _, d := range m.Releases {
-		out.Ends = append(out.Ends, &fleetv1.BookingEnd{Id: d.ID, Elapsed: toTime(d.Elapsed), Failed: d.Failed, NotRun: d.NotRun, Pause: toTime(d.EventInterval)})
+		out.Ends = append(out.Ends, &fleetv1.BookingEnd{Id: d.ID, Elapsed: encodeDuration(d.Elapsed), Failed: d.Failed, NotRun: d.NotRun, Pause: encodeDuration(d.EventInterval)})
 	}
 	for _, u := range m.Usage {
 		out.Usage = append(out.Usage, &fleetv1.BookingUsage{
-			Workspace: e.pair(f, u.Service, string(u.Workspace)),
-			Asked:     toUnits(u.Asked), Shed: toUnits(u.Shed), Granted: toUnits(u.Granted),
+			Workspace: e.pairIndex(f, u.Service, string(u.Workspace)),
+			Asked:     encodeUnits(u.Asked), Shed: encodeUnits(u.Shed), Granted: encodeUnits(u.Granted),
 		})
 	}
 	for _, l := range m.Loads {
 		out.Loads = append(out.Loads, &fleetv1.BookingLoad{
-			Target: e.pair(f, l.Service, string(l.Target)), Wait: toTime(l.Wait),
-			Taken: uint32(math.Round(shareUnit * l.SlotUtilization)), Failures: uint32(math.Round(shareUnit * l.FailureRate)),
-			Use: uint32(math.Round(shareUnit * l.Utilization)),
+			Target: e.pairIndex(f, l.Service, string(l.Target)), Wait: encodeDuration(l.Wait),
+			Taken: uint32(math.Round(shareScale * l.SlotUtilization)), Failures: uint32(math.Round(shareScale * l.FailureRate)),
+			Use: uint32(math.Round(shareScale * l.Utilization)),
 		})
 	}
 	return out
 }
 
-// toUnits rounds a sum to whole units of the service.
-func toUnits(sum float64) uint64 { return uint64(math.Round(max(0, sum))) }
+// encodeUnits rounds a sum to whole units of the service.
+func encodeUnits(sum float64) uint64 { return uint64(math.Round(max(0, sum))) }
 
-func (e *encoder) ask(f *fleetv1.Frame, a booking.Reservation) *fleetv1.BookingAsk {
+func (e *encoder) reservation(f *fleetv1.Frame, a booking.Reservation) *fleetv1.BookingAsk {
 	out := &fleetv1.BookingAsk{
-		Id: a.ID, Target: e.pair(f, a.Service, string(a.Target)), Workspace: e.name(f, string(a.Workspace)),
+		Id: a.ID, Target: e.pairIndex(f, a.Service, string(a.Target)), Workspace: e.nameIndex(f, string(a.Workspace)),
 		Prompt: uint32(a.Prompt), Output: uint32(a.Output),
-		Left: int64(a.Remaining / timeUnit), Late: a.Late, Taken: a.Running, Begun: a.PreviouslyPlaced, Read: a.PrefillDone, First: a.FirstContact, Here: uint32(a.CachedHint), Elsewhere: uint32(a.CachedElsewhere),
+		Left: int64(a.Remaining / durationUnit), Late: a.Late, Taken: a.Running, Begun: a.PreviouslyPlaced, Read: a.PrefillDone, First: a.FirstContact, Here: uint32(a.CachedHint), Elsewhere: uint32(a.CachedElsewhere),
 	}
 	for _, p := range a.Parts {
 		out.Parts = append(out.Parts, p.ID)
@@ -93,29 +94,29 @@
 	out.Scope = booking.Scope(min(in.GetScope(), uint32(booking.ScopeFleet)))
 	out.Ready = in.GetReady()
 	for _, a := range in.GetAsks() {
-		ask, err := d.ask(a)
+		reservation, err := d.reservation(a)
 		if err != nil {
 			return err
 		}
-		out.Reservations = append(out.Reservations, ask)
+		out.Reservations = append(out.Reservations, reservation)
 	}
 	for _, r := range in.GetReplies() {
-		out.Replies = append(out.Replies, booking.Reply{ID: r.GetId(), OK: r.GetOk(), Wait: fromTime(r.GetWait()), CallerRetry: r.GetBack(), CachedTokens: int(r.GetKept()), Hold: fromTime(r.GetHold()), Limit: booking.Limit(min(r.GetLimit(), math.MaxUint8)), ShareUsed: float64(r.GetUsed()) / shareUnit, UnloadedWait: fromTime(r.GetAlone())})
+		out.Replies = append(out.Replies, booking.Reply{ID: r.GetId(), OK: r.GetOk(), Wait: decodeDuration(r.GetWait()), CallerRetry: r.GetBack(), CachedTokens: int(r.GetKept()), Hold: decodeDuration(r.GetHold()), Limit: booking.Limit(min(r.GetLimit(), math.MaxUint8)), ShareUsed: float64(r.GetUsed()) / shareScale, UnloadedWait: decodeDuration(r.GetAlone())})
 	}
 	for _, k := range in.GetMarks() {
-		out.FirstBytes = append(out.FirstBytes, booking.FirstByteNotice{ID: k.GetId(), Elapsed: fromTime(k.GetFirst())})
+		out.FirstBytes = append(out.FirstBytes, booking.FirstByteNotice{ID: k.GetId(), Elapsed: decodeDuration(k.GetFirst())})
 	}
 	for _, e := range in.GetEnds() {
 		out.Releases = append(out.Releases, booking.Release{
-			ID: e.GetId(), Elapsed: fromTime(e.GetElapsed()), Failed: e.GetFailed(), NotRun: e.GetNotRun(), EventInterval: fromTime(e.GetPause()),
+			ID: e.GetId(), Elapsed: decodeDuration(e.GetElapsed()), Failed: e.GetFailed(), NotRun: e.GetNotRun(), EventInterval: decodeDuration(e.GetPause()),
 		})
 	}
-	return d.sums(in, out)
+	return d.usageAndLoads(in, out)
 }
 
-func (d *decoder) sums(in *fleetv1.Bookings, out *booking.Message) error {
+func (d *decoder) usageAndLoads(in *fleetv1.Bookings, out *booking.Message) error {
 	for _, u := range in.GetUsage() {
-		p, err := d.pair(u.GetWorkspace())
+		p, err := d.pairAt(u.GetWorkspace())
 		if err != nil {
 			return err
 		}
@@ -125,35 +126,35 @@
 		})
 	}
 	for _, l := range in.GetLoads() {
-		p, err := d.pair(l.GetTarget())
+		p, err := d.pairAt(l.GetTarget())
 		if err != nil {
 			return err
 		}
 		out.Loads = append(out.Loads, booking.Load{
-			Service: p.service, Target: ident.Target(p.name), Wait: fromTime(l.GetWait()),
-			SlotUtilization: float64(l.GetTaken()) / shareUnit, FailureRate: float64(l.GetFailures()) / shareUnit,
-			Utilization: float64(l.GetUse()) / shareUnit,
+			Service: p.service, Target: ident.Target(p.name), Wait: decodeDuration(l.GetWait()),
+			SlotUtilization: float64(l.GetTaken()) / shareScale, FailureRate: float64(l.GetFailures()) / shareScale,
+			Utilization: float64(l.GetUse()) / shareScale,
 		})
 	}
 	return nil
 }
 
-func (d *decoder) ask(a *fleetv1.BookingAsk) (booking.Reservation, error) {
-	p, err := d.pair(a.GetTarget())
+func (d *decoder) reservation(a *fleetv1.BookingAsk) (booking.Reservation, error) {
+	p, err := d.pairAt(a.GetTarget())
 	if err != nil {
 		return booking.Reservation{}, err
 	}
 	if int(a.GetWorkspace()) >= len(d.names) {
-		return booking.Reservation{}, errIndex
+		return booking.Reservation{}, errUndefinedIndex
 	}
 	if len(a.GetParts()) != len(a.GetPartTokens()) {
-		return booking.Reservation{}, errColumns
+		return booking.Reservation{}, errColumnLength
 	}
 	out := booking.Reservation{
 		ID: a.GetId(), Service: p.service, Target: ident.Target(p.name),
 		Workspace: ident.Workspace(d.names[a.GetWorkspace()]),
 		Prompt:    int(a.GetPrompt()), Output: int(a.GetOutput()),
-		Remaining: time.Duration(a.GetLeft()) * timeUnit, Late: a.GetLate(), Running: a.GetTaken(), PreviouslyPlaced: a.GetBegun(), PrefillDone: a.GetRead(), FirstContact: a.GetFirst(),
+		Remaining: time.Duration(a.GetLeft()) * durationUnit, Late: a.GetLate(), Running: a.GetTaken(), PreviouslyPlaced: a.GetBegun(), PrefillDone: a.GetRead(), FirstContact: a.GetFirst(),
 		CachedHint: int(a.GetHere()), CachedElsewhere: int(a.GetElsewhere()),
 	}
 	for i, id := range a.GetParts() {
@@ -162,7 +163,8 @@
 	return out, nil
 }
 
-// fromTime reads a duration; a frame cannot hold one that overflows in earnest.
-func fromTime(units uint64) time.Duration {
-	return time.Duration(min(units, math.MaxInt64/uint64(timeUnit))) * timeUnit
+// decodeDuration converts a duration from the wire and clamps values that would
+// overflow.
+func decodeDuration(units uint64) time.Duration {
+	return time.Duration(min(units, math.MaxInt64/uint64(durationUnit))) * durationUnit
 }
--- a/internal/fleet/bookings_test.go
+++ b/internal/fleet/bookings_test.go
@@ -14,7 +14,7 @@
 	"github.com/savorystall/savorystall/internal/scheduler"
 )
 
-func bookings() booking.Message {
+func sampleBookings() booking.Message {
 	return booking.Message{
 		Reservations: []booking.Reservation{
 			{ID: 7, Service: "pool", Target: "e1", Workspace: "club", Prompt: 6000, Output: 300,
@@ -32,46 +32,48 @@
 	}
 }
 
-func TestBookingsTravelAsTheyAre(t *testing.T) {
+func TestBookingsRoundTrip(t *testing.T) {
 	is := is.New(t)
 	enc, dec := newEncoder(), &decoder{}
-	for range 2 { // names are sent once
+	for range 2 { // the second frame uses the names sent in the first
 		f := &fleetv1.Frame{}
-		enc.message(f, &scheduler.Message{Bookings: bookings()})
-		m, ok, err := dec.message(f)
+		enc.encode(f, &scheduler.Message{Bookings: sampleBookings()})
+		m, ok, err := dec.decode(f)
 		is.NoErr(err)
 		is.True(ok)
-		is.Equal(m.Bookings, bookings())
+		is.Equal(m.Bookings, sampleBookings())
 	}
 }
 
-// A frame of another version or of a broken sender names what was never defined. The
-// link has to be replaced; the daemon must not fall over it.
-func TestBrokenBookingsAreErrors(t *testing.T) {
+// A frame from another version or a faulty sender refers to undefined indexes.
+// Decoding must return an error, so that the link is replaced, and must not
+// panic.
+func TestInvalidBookingsAreRejected(t *testing.T) {
 	for _, b := range []*fleetv1.Bookings{
 		{Asks: []*fleetv1.BookingAsk{{Target: 9}}},
 		{Usage: []*fleetv1.BookingUsage{{Workspace: 9}}},
 		{Loads: []*fleetv1.BookingLoad{{Target: 9}}},
 	} {
-		if _, _, err := (&decoder{}).message(&fleetv1.Frame{Bookings: b}); err == nil {
+		if _, _, err := (&decoder{}).decode(&fleetv1.Frame{Bookings: b}); err == nil {
 			t.Errorf("%v: no error", b)
 		}
 	}
 	f := &fleetv1.Frame{Names: []string{"s", "t"}, Pairs: &fleetv1.Pairs{Service: []uint32{0}, Name: []uint32{1}}}
 	f.Bookings = &fleetv1.Bookings{Asks: []*fleetv1.BookingAsk{{Parts: []uint64{1}}}}
-	if _, _, err := (&decoder{}).message(f); err == nil {
-		t.Error("a part without its tokens: no error")
+	if _, _, err := (&decoder{}).decode(f); err == nil {
+		t.Error("prompt part without token count: no error")
 	}
 }
 
-// Of sums and loads the newest stands for all; every ask and end is kept.
-func TestBookingsWaitTogether(t *testing.T) {
+// The outbox keeps only the newest usage and load of a workspace or target, but
+// every reservation and release.
+func TestOutboxMergesBookings(t *testing.T) {
 	is := is.New(t)
 	o := newOutbox(100)
 	for i := range 3 {
-		m := bookings()
+		m := sampleBookings()
 		m.Usage[0].Asked = float64(i)
-		is.True(o.put(&scheduler.Message{Bookings: m}))
+		is.True(o.enqueue(&scheduler.Message{Bookings: m}))
 	}
 	b, ok := o.take()
 	is.True(ok)
@@ -82,25 +84,25 @@
 	is.Equal(len(b.message.Bookings.Loads), 1)
 }
 
-// BenchmarkBookingBytes reports the bytes of frames, without HTTP/2 and IP: of a
-// request (an ask, its answer, its first byte and its end), and of a telling with so
-// many workspaces and four targets.
+// BenchmarkBookingBytes reports the bytes of frames, without HTTP/2 and IP: for
+// a request (its reservation, reply, first byte and release), and for a usage
+// report with various numbers of workspaces and four targets.
 func BenchmarkBookingBytes(b *testing.B) {
 	size := func(m booking.Message) float64 {
 		enc := newEncoder()
 		f := &fleetv1.Frame{}
-		enc.message(f, &scheduler.Message{Bookings: m})
+		enc.encode(f, &scheduler.Message{Bookings: m})
 		f = &fleetv1.Frame{}
-		enc.message(f, &scheduler.Message{Bookings: m})
+		enc.encode(f, &scheduler.Message{Bookings: m})
 		return float64(proto.Size(f))
 	}
-	one := bookings()
+	sample := sampleBookings()
 	b.Run("request", func(b *testing.B) {
 		for b.Loop() {
-			size(one)
+			size(sample)
 		}
-		b.ReportMetric(size(booking.Message{Reservations: one.Reservations[:1]})+size(booking.Message{Replies: one.Replies[:1]})+
-			size(booking.Message{FirstBytes: one.FirstBytes})+size(booking.Message{Releases: one.Releases[:1]}), "B/request")
+		b.ReportMetric(size(booking.Message{Reservations: sample.Reservations[:1]})+size(booking.Message{Replies: sample.Replies[:1]})+
+			size(booking.Message{FirstBytes: sample.FirstBytes})+size(booking.Message{Releases: sample.Releases[:1]}), "B/request")
 	})
 	for _, n := range []int{10, 30, 100, 300} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -11,11 +11,11 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// ErrNoAddress is the error of a call to a daemon that the node doesn't know.
+// ErrNoAddress is returned for a call to a daemon whose address is unknown.
 var ErrNoAddress = merry.New("no address is known for the daemon")
 
-// callConns keeps the connections of calls, apart from those of links: calls
-// are rare, and their connections close when idle.
+// callConns holds the connections for unary calls, separate from those of
+// links: calls are rare, and their connections close when idle.
 type callConns struct {
 	mu    sync.Mutex
 	conns map[ident.Daemon]callConn
@@ -39,9 +39,9 @@
 		}
 		_ = c.conn.Close()
 	}
-	conn, err := n.connect(address, withPings())
+	conn, err := n.connect(address, withKeepalive())
 	if err != nil {
-		return nil, merry.Prepend(err, "fleet call")
+		return nil, merry.Prepend(err, "create fleet client connection")
 	}
 	n.calls.conns[to] = callConn{address, conn}
 	return fleetv1.NewFleetClient(conn), nil
@@ -56,7 +56,7 @@
 	clear(c.conns)
 }
 
-// Entries asks a peer for the configuration it has in force.
+// Entries fetches the configuration that a peer has in force.
 func (n *Node) Entries(ctx context.Context, from ident.Daemon, after uint64) ([]Entry, error) {
 	c, err := n.client(from)
 	if err != nil {
@@ -64,7 +64,7 @@
 	}
 	reply, err := c.Entries(ctx, &fleetv1.EntriesRequest{After: after})
 	if err != nil {
-		return nil, merry.Prependf(err, "entries of %s", from)
+		return nil, merry.Prependf(err, "get entries from %s", from)
 	}
 	entries := make([]Entry, 0, len(reply.GetEntries()))
 	for _, e := range reply.GetEntries() {
@@ -76,27 +76,27 @@
 	return entries, nil
 }
 
-var claimStates = map[fleetv1.ClaimState]ClaimState{
+var claimStateByCode = map[fleetv1.ClaimState]ClaimState{
 	fleetv1.ClaimState_CLAIM_STATE_FINISHED: ClaimFinished,
 	fleetv1.ClaimState_CLAIM_STATE_RUNNING:  ClaimRunning,
-	fleetv1.ClaimState_CLAIM_STATE_NEVER:    ClaimNever,
+	fleetv1.ClaimState_CLAIM_STATE_NEVER:    ClaimNeverDispatched,
 }
 
-// AskClaim asks the daemon that holds a claim. An error means that the state
-// is not known; so does ClaimUnknown.
-func (n *Node) AskClaim(ctx context.Context, holder ident.Daemon, q ClaimQuery) (ClaimAnswer, error) {
+// AskClaim queries the state of a claim from the daemon that holds it. Both an
+// error and ClaimUnknown mean that the state is not known.
+func (n *Node) AskClaim(ctx context.Context, holder ident.Daemon, query ClaimQuery) (ClaimAnswer, error) {
 	c, err := n.client(holder)
 	if err != nil {
 		return ClaimAnswer{State: ClaimUnknown}, err
 	}
 	reply, err := c.AskClaim(ctx, &fleetv1.AskClaimRequest{
-		Service: string(q.Service), Workspace: string(q.Workspace), Key: q.Key,
-		Attempt: string(q.Attempt), Incarnation: q.Incarnation,
+		Service: string(query.Service), Workspace: string(query.Workspace), Key: query.Key,
+		Attempt: string(query.Attempt), Incarnation: query.Incarnation,
 	})
 	if err != nil {
-		return ClaimAnswer{State: ClaimUnknown}, merry.Prependf(err, "claim held by %s", holder)
+		return ClaimAnswer{State: ClaimUnknown}, merry.Prependf(err, "query claim held by %s", holder)
 	}
-	state, ok := claimStates[reply.GetState()]
+	state, ok := claimStateByCode[reply.GetState()]
 	if !ok {
 		state = ClaimUnknown
 	}
--- a/internal/fleet/codec_bench_test.go
+++ b/internal/fleet/codec_bench_test.go
@@ -12,9 +12,9 @@
 	"github.com/savorystall/savorystall/internal/scheduler"
 )
 
-// exchangeOf is one exchange of demand and parts of so many workspaces, whose
-// names are as long as real ones.
-func exchangeOf(workspaces int) scheduler.Message {
+// newExchange returns a message with demand and served totals of the given
+// number of workspaces, with names of realistic length.
+func newExchange(workspaces int) scheduler.Message {
 	var m scheduler.Message
 	for i := range workspaces {
 		name := ident.Workspace(fmt.Sprintf("workspace-%04d", i))
@@ -26,7 +26,7 @@
 
 func frameSize(b *testing.B, enc *encoder, m *scheduler.Message) int {
 	f := &fleetv1.Frame{}
-	enc.message(f, m)
+	enc.encode(f, m)
 	wire, err := proto.Marshal(f)
 	if err != nil {
 		b.Fatal(err)
@@ -34,15 +34,16 @@
 	return len(wire)
 }
 
-// BenchmarkExchange gives the bytes of a row of an exchange, with the tables of
-// names kept for the link and with tables that are new in each frame.
+// BenchmarkExchange reports the bytes of an exchange, per frame and per
+// workspace, with name tables that persist for the link and with tables that
+// are new in each frame.
 func BenchmarkExchange(b *testing.B) {
 	for _, workspaces := range []int{1, 10, 24, 62, 620} {
 		for _, kept := range []bool{true, false} {
 			b.Run(fmt.Sprintf("workspaces=%d/tables kept=%v", workspaces, kept), func(b *testing.B) {
-				m := exchangeOf(workspaces)
+				m := newExchange(workspaces)
 				enc := newEncoder()
-				enc.message(&fleetv1.Frame{}, &m)
+				enc.encode(&fleetv1.Frame{}, &m)
 				size := 0
 				for b.Loop() {
 					if !kept {
@@ -57,8 +58,8 @@
 	}
 }
 
-// BenchmarkLimits gives the bytes of the news of workspaces' own limits, with the
-// tables of names kept for the link.
+// BenchmarkLimits reports the bytes of the usage of limits, with name tables
+// that persist for the link.
 func BenchmarkLimits(b *testing.B) {
 	for _, workspaces := range []int{1, 16, 62, 620} {
 		b.Run(fmt.Sprintf("workspaces=%d", workspaces), func(b *testing.B) {
@@ -70,7 +71,7 @@
 				})
 			}
 			enc := newEncoder()
-			enc.message(&fleetv1.Frame{}, &m)
+			enc.encode(&fleetv1.Frame{}, &m)
 			size := 0
 			for b.Loop() {
 				size = frameSize(b, enc, &m)
--- a/internal/fleet/codec_limits.go
+++ b/internal/fleet/codec_limits.go
@@ -15,19 +15,20 @@
 	}
 	out := &fleetv1.Limits{}
 	for _, l := range rows {
-		out.Pair = append(out.Pair, e.pair(f, l.Service, string(l.Workspace)))
+		out.Pair = append(out.Pair, e.pairIndex(f, l.Service, string(l.Workspace)))
 		out.Arrivals = append(out.Arrivals, l.Arrivals)
 		out.Accepted = append(out.Accepted, l.Accepted)
 		out.Wanted = append(out.Wanted, l.Wanted)
 		out.InFlight = append(out.InFlight, l.InFlight)
 	}
-	out.Arrivals, out.Accepted = orNone(out.Arrivals), orNone(out.Accepted)
-	out.Wanted, out.InFlight = orNone(out.Wanted), orNone(out.InFlight)
+	out.Arrivals, out.Accepted = omitZeros(out.Arrivals), omitZeros(out.Accepted)
+	out.Wanted, out.InFlight = omitZeros(out.Wanted), omitZeros(out.InFlight)
 	f.Limits = out
 }
 
-// orNone leaves out a column of zeros: a workspace seldom has both limits.
-func orNone[T uint32 | uint64](column []T) []T {
+// omitZeros drops a column that contains only zeros: a workspace seldom has
+// both kinds of limit.
+func omitZeros[T uint32 | uint64](column []T) []T {
 	if slices.ContainsFunc(column, func(v T) bool { return v != 0 }) {
 		return column
 	}
@@ -38,27 +39,27 @@
 	in := f.GetLimits()
 	for _, n := range []int{len(in.GetArrivals()), len(in.GetAccepted()), len(in.GetWanted()), len(in.GetInFlight())} {
 		if n != 0 && n != len(in.GetPair()) {
-			return errColumns
+			return errColumnLength
 		}
 	}
 	for i, index := range in.GetPair() {
-		p, err := d.pair(index)
+		p, err := d.pairAt(index)
 		if err != nil {
 			return err
 		}
 		m.Limits = append(m.Limits, scheduler.LimitUsage{
 			Service: p.service, Workspace: ident.Workspace(p.name),
 			Report: limit.Report{
-				Arrivals: at(in.Arrivals, i), Accepted: at(in.Accepted, i),
-				Wanted: at(in.Wanted, i), InFlight: at(in.InFlight, i),
+				Arrivals: valueAt(in.Arrivals, i), Accepted: valueAt(in.Accepted, i),
+				Wanted: valueAt(in.Wanted, i), InFlight: valueAt(in.InFlight, i),
 			},
 		})
 	}
 	return nil
 }
 
-// at reads a column that may be left out.
-func at[T any](column []T, i int) (v T) {
+// valueAt reads a column that may be omitted.
+func valueAt[T any](column []T, i int) (v T) {
 	if len(column) > 0 {
 		v = column[i]
 	}
--- a/internal/fleet/codec_test.go
+++ b/internal/fleet/codec_test.go
@@ -9,13 +9,13 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	_ "github.com/savorystall/savorystall/test/fixedseed" // the same verdict each run
+	_ "github.com/savorystall/savorystall/test/fixedseed" // reproducible property tests
 
 	fleetv1 "github.com/savorystall/savorystall/api/fleet/v1"
 	"github.com/savorystall/savorystall/internal/ident"
 	"github.com/savorystall/savorystall/internal/limit"
 	"github.com/savorystall/savorystall/internal/scheduler"
-	_ "github.com/savorystall/savorystall/test/fixedseed" // the same verdict each run
+	_ "github.com/savorystall/savorystall/test/fixedseed" // reproducible property tests
 )
 
 func drawMessage(t *rapid.T) scheduler.Message {
@@ -24,10 +24,10 @@
 	target := rapid.SampledFrom([]ident.Target{"e1", "e2", "w1"})
 	grant := rapid.Uint64Range(1, 1<<62)
 	units := rapid.Custom(func(t *rapid.T) float64 {
-		return float64(rapid.IntRange(-1<<40, 1<<40).Draw(t, "sixteenths")) / servedUnit
+		return float64(rapid.IntRange(-1<<40, 1<<40).Draw(t, "sixteenths")) / servedScale
 	})
 	wait := rapid.Custom(func(t *rapid.T) time.Duration {
-		return time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "wait")) * timeUnit
+		return time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "wait")) * durationUnit
 	})
 	health := rapid.SampledFrom([]scheduler.Health{
 		scheduler.HealthAnswered, scheduler.HealthFailed, scheduler.HealthLeaving, scheduler.HealthReturned,
@@ -71,69 +71,70 @@
 	return m
 }
 
-func TestEveryMessageSurvivesTheLink(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		enc, dec := newEncoder(), &decoder{}
 		for range rapid.IntRange(1, 4).Draw(t, "frames") {
 			sent := drawMessage(t)
 			f := &fleetv1.Frame{}
-			enc.message(f, &sent)
+			enc.encode(f, &sent)
 			wire, err := proto.Marshal(f)
 			is.NoErr(err)
-			var back fleetv1.Frame
-			is.NoErr(proto.Unmarshal(wire, &back))
-			got, _, err := dec.message(&back)
+			var decoded fleetv1.Frame
+			is.NoErr(proto.Unmarshal(wire, &decoded))
+			got, _, err := dec.decode(&decoded)
 			is.NoErr(err)
 			is.Equal(got, sent)
 		}
 	})
 }
 
-func TestFramesThatDoNotFitAreRefused(t *testing.T) {
+func TestInvalidFramesAreRejected(t *testing.T) {
 	long := string(make([]byte, maxNameLength+1))
 	cases := map[string]struct {
 		frame *fleetv1.Frame
 		want  error
 	}{
-		"unknown pair":  {&fleetv1.Frame{Parts: &fleetv1.Parts{Pair: []uint32{3}, Served: []int64{1}}}, errIndex},
-		"unknown name":  {&fleetv1.Frame{Pairs: &fleetv1.Pairs{Service: []uint32{0}, Name: []uint32{0}}}, errIndex},
-		"uneven demand": {&fleetv1.Frame{Demands: &fleetv1.Demands{Pair: []uint32{0}}}, errColumns},
-		"uneven grants": {&fleetv1.Frame{Grants: &fleetv1.Grants{IdStep: []int64{1}}}, errColumns},
-		"uneven marks": {&fleetv1.Frame{Grants: &fleetv1.Grants{
+		"unknown pair":  {&fleetv1.Frame{Parts: &fleetv1.Parts{Pair: []uint32{3}, Served: []int64{1}}}, errUndefinedIndex},
+		"unknown name":  {&fleetv1.Frame{Pairs: &fleetv1.Pairs{Service: []uint32{0}, Name: []uint32{0}}}, errUndefinedIndex},
+		"uneven demand": {&fleetv1.Frame{Demands: &fleetv1.Demands{Pair: []uint32{0}}}, errColumnLength},
+		"uneven grants": {&fleetv1.Frame{Grants: &fleetv1.Grants{IdStep: []int64{1}}}, errColumnLength},
+		"uneven cached prefixes": {&fleetv1.Frame{Grants: &fleetv1.Grants{
 			IdStep: []int64{1, 1}, Pair: []uint32{0, 0}, Target: []uint32{0, 0}, Spare: []bool{true, true}, Cached: [][]byte{{1, 2}},
-		}}, errColumns},
-		"uneven releases":   {&fleetv1.Frame{Releases: &fleetv1.Releases{GrantStep: []int64{1}}}, errColumns},
-		"uneven limits":     {&fleetv1.Frame{Limits: &fleetv1.Limits{Accepted: []uint64{1}}}, errColumns},
-		"uneven news":       {&fleetv1.Frame{News: &fleetv1.News{Pair: []uint32{0}}}, errColumns},
-		"name of 257 bytes": {&fleetv1.Frame{Names: []string{long}}, errTable},
+		}}, errColumnLength},
+		"uneven releases":       {&fleetv1.Frame{Releases: &fleetv1.Releases{GrantStep: []int64{1}}}, errColumnLength},
+		"uneven limits":         {&fleetv1.Frame{Limits: &fleetv1.Limits{Accepted: []uint64{1}}}, errColumnLength},
+		"uneven health updates": {&fleetv1.Frame{News: &fleetv1.News{Pair: []uint32{0}}}, errColumnLength},
+		"name of 257 bytes":     {&fleetv1.Frame{Names: []string{long}}, errTableTooLarge},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, _, err := (&decoder{}).message(c.frame)
+			_, _, err := (&decoder{}).decode(c.frame)
 			is.New(t).True(errors.Is(err, c.want))
 		})
 	}
 }
 
-// A target is said to be leaving and at once to have failed. Were only the
-// newest kept, the target would look usable again after its first answer.
-func TestOutboxKeepsWhatMustNotBeDropped(t *testing.T) {
+// A target is reported as leaving and immediately afterwards as failed. If only
+// the newer update were kept, the target would be considered usable again after
+// its next successful answer.
+func TestOutboxKeepsHealthUpdatesAndGrants(t *testing.T) {
 	is := is.New(t)
 	o := newOutbox(3)
-	news := func(h scheduler.Health) scheduler.Message {
+	update := func(h scheduler.Health) scheduler.Message {
 		return scheduler.Message{HealthUpdates: []scheduler.TargetHealthUpdate{{Service: "s", Target: "t", Health: h}}}
 	}
 	for _, h := range []scheduler.Health{scheduler.HealthLeaving, scheduler.HealthFailed, scheduler.HealthFailed} {
-		m := news(h)
-		is.True(o.put(&m))
+		m := update(h)
+		is.True(o.enqueue(&m))
 	}
 	b, ok := o.take()
 	is.True(ok)
 	is.Equal(len(b.message.HealthUpdates), 2)
 	_, ok = o.take()
 	is.True(!ok)
-	full := scheduler.Message{Grants: make([]scheduler.Grant, 3)}
-	is.True(o.put(&full))
-	is.True(!o.put(&scheduler.Message{Releases: make([]scheduler.Release, 1)})) // the link is to be reset
+	atLimit := scheduler.Message{Grants: make([]scheduler.Grant, 3)}
+	is.True(o.enqueue(&atLimit))
+	is.True(!o.enqueue(&scheduler.Message{Releases: make([]scheduler.Release, 1)})) // the caller then resets the link
 }
--- a/internal/fleet/columns.go
+++ b/internal/fleet/columns.go
@@ -7,64 +7,66 @@
 	"github.com/savorystall/savorystall/internal/scheduler"
 )
 
-// stepper turns a column into differences and back.
-type stepper struct{ last uint64 }
+// deltaCoder delta-encodes a column and decodes it.
+type deltaCoder struct{ previous uint64 }
 
-func (s *stepper) down(v uint64) int64 {
-	d := int64(v - s.last)
-	s.last = v
+func (c *deltaCoder) encode(v uint64) int64 {
+	d := int64(v - c.previous)
+	c.previous = v
 	return d
 }
 
-func (s *stepper) up(d int64) uint64 {
-	s.last += uint64(d)
-	return s.last
+func (c *deltaCoder) decode(d int64) uint64 {
+	c.previous += uint64(d)
+	return c.previous
 }
 
-func steps(values []uint64) []int64 {
-	out := make([]int64, 0, len(values))
-	var step stepper
-	for _, v := range values {
-		out = append(out, step.down(v))
+func encodeDeltas(column []uint64) []int64 {
+	out := make([]int64, 0, len(column))
+	var delta deltaCoder
+	for _, v := range column {
+		out = append(out, delta.encode(v))
 	}
 	return out
 }
 
-func values(steps []int64) []uint64 {
+func decodeDeltas(deltas []int64) []uint64 {
 	var out []uint64
-	var step stepper
-	for _, s := range steps {
-		out = append(out, step.up(s))
+	var delta deltaCoder
+	for _, d := range deltas {
+		out = append(out, delta.decode(d))
 	}
 	return out
 }
 
-// cached is the column of the marks; none where no grant has any.
-func cached(rows []scheduler.Grant) [][]byte {
+// cachedPrefixColumn returns the fingerprints of the cached prefixes of each
+// grant, or nil if no grant has any.
+func cachedPrefixColumn(rows []scheduler.Grant) [][]byte {
 	if !slices.ContainsFunc(rows, func(g scheduler.Grant) bool { return len(g.CachedPrefixes) > 0 }) {
 		return nil
 	}
 	column := make([][]byte, len(rows))
 	for i, g := range rows {
-		column[i] = marks(g.CachedPrefixes)
+		column[i] = encodeFingerprints(g.CachedPrefixes)
 	}
 	return column
 }
 
-// marks writes the marks of prompt prefixes, two bytes each.
-func marks(list []uint16) []byte {
+// encodeFingerprints encodes fingerprints of prompt prefixes as two bytes each.
+func encodeFingerprints(fingerprints []uint16) []byte {
 	var out []byte
-	for _, m := range list {
-		out = binary.BigEndian.AppendUint16(out, m)
+	for _, fingerprint := range fingerprints {
+		out = binary.BigEndian.AppendUint16(out, fingerprint)
 	}
 	return out
 }
 
-// readMarks leaves out a byte that is no whole mark: they are hints.
-func readMarks(in []byte) []uint16 {
-	var list []uint16
+// decodeFingerprints ignores an incomplete fingerprint at the end: fingerprints
+// are only hints.
+func decodeFingerprints(in []byte) []uint16 {
+	var fingerprints []uint16
 	for ; len(in) >= 2; in = in[2:] {
-		list = append(list, binary.BigEndian.Uint16(in))
+		fingerprints = append(fingerprints, binary.BigEndian.Uint16(in))
 	}
-	return list
+	return fingerprints
 }
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -1,16 +1,18 @@
-// Package fleet links the daemons of one fleet by gRPC: it finds its peers from
-// the platform's VM list and their heartbeats, keeps one link to each, and
-// carries the messages of the scheduler over it.
+// Package fleet connects the daemons of a fleet by gRPC. It discovers peers
+// from the platform's VM list and from incoming links, keeps one link to each
+// peer, and carries the scheduler's messages over it.
 //
-// Each pair of daemons has one link, a stream that goes both ways. The daemon
-// with the smaller name dials it. The other one dials too when no link has come
-// after a while, for the smaller one may not have heard of it yet: the VM list
-// lags. Where two links meet, both ends keep the same one (see newer). One
-// link a pair instead of one a direction halves connections, heartbeats and
-// memory, and lets any frame that arrives prove that the link works.
+// Each pair of daemons has one link, a bidirectional stream. The daemon with
+// the smaller name dials it. The other one also dials if no link has been
+// opened after a grace period, because the VM list may be delayed and the first
+// one may not know it yet. If both dial, both ends keep the same link (see
+// supersedes). Compared to one link per direction, one link per pair halves the
+// number of connections, the heartbeats and the memory, and every received
+// frame proves that the link works.
 //
-// In a large fleet most links rest while nothing is sent on them: an end sends
-// heartbeats only where the other one watches it (see membership and watch.go).
+// In a large fleet most links carry no messages most of the time. Each daemon
+// sends frequent heartbeats only to the peers that watch it (see package
+// membership and watch.go).
 package fleet
 
 import (
@@ -34,12 +36,12 @@
 	DefaultQueueLimit = 4096
 )
 
-// Config is the fixed part of a node.
+// Config is the static configuration of a node.
 type Config struct {
 	// Self is the daemon's name.
 	Self ident.Daemon
-	// Incarnation grows with each start of the daemon; peers drop what an older
-	// one sends. Zero is not valid.
+	// Incarnation increases with each start of the daemon; peers drop messages
+	// of an older one. It must not be zero.
 	Incarnation uint64
 	// Zone is the daemon's availability zone.
 	Zone ident.Zone
@@ -47,26 +49,27 @@
 	Listen string
 	// Advertise is the address that peers dial. Default: the listener's own.
 	Advertise string
-	// Identity holds the certificates of mutual TLS. Default: none, links are
-	// not encrypted and any process that reaches the listener is believed.
+	// Identity holds the certificates for mutual TLS. Default: none; links are
+	// then not encrypted, and any process that can reach the listener is
+	// trusted.
 	Identity *certs.Identity
-	// Heartbeat is how long a link that does not rest may be idle before an empty
-	// frame is sent. Default: 1 s.
+	// Heartbeat is how long a link that the peer watches may be idle before an
+	// empty frame is sent. Default: 1 s.
 	Heartbeat time.Duration
-	// FlushDelay is how long a message waits for others that share its frame.
-	// Grants don't wait. Default: 5 ms.
+	// FlushDelay is how long a message waits for others to share its frame.
+	// Grants are sent without delay. Default: 5 ms.
 	FlushDelay time.Duration
-	// QueueLimit bounds the grants and releases that wait for one peer; a link
-	// whose queue overflows is reset. Default: 4096.
+	// QueueLimit bounds the grants and releases queued for one peer; if the
+	// queue overflows, the link is reset. Default: 4096.
 	QueueLimit int
-	// WatchAll is the size of the fleet up to which the node watches all others.
-	// Default: membership.DefaultWatchAll.
+	// WatchAll is the fleet size up to which the node watches all other
+	// daemons. Default: membership.DefaultWatchAll.
 	WatchAll int
-	// Logger takes the events. Default: slog.Default.
+	// Logger receives log events. Default: slog.Default.
 	Logger *slog.Logger
 }
 
-func (c Config) complete() (Config, error) {
+func (c Config) withDefaults() (Config, error) {
 	if c.Self == "" || c.Zone == "" || c.Listen == "" || c.Incarnation == 0 {
 		return c, merry.New("fleet: Self, Zone, Listen and Incarnation are required")
 	}
@@ -79,34 +82,38 @@
 	return c, nil
 }
 
-// Handler takes what a node learns. Receive, Peers, LinkUp, LinkLost and Head
-// are called one at a time from the node's control goroutine, in the order in
-// which things happened, and must not block. Entries, Follow and Claim are called from
-// any goroutine.
+// Handler is notified of events on a node. Receive, Peers, LinkUp, LinkLost and
+// Head are called sequentially from the node's control goroutine, in the order
+// of the events, and must not block. Entries, Follow and Claim may be called
+// concurrently from any goroutine.
 type Handler interface {
-	// Peers tells the live daemons but for the node itself, on each change.
+	// Peers is called with the live daemons, excluding the node itself, on each
+	// change.
 	Peers(peers []scheduler.Peer)
-	// LinkUp tells that a link is up: the full state is to be sent once.
-	// Nothing that was sent before over another link is known to have arrived.
+	// LinkUp is called when a link has been established: the full state must be
+	// sent once, because messages sent over an earlier link may not have
+	// arrived.
 	LinkUp(peer ident.Daemon)
-	// LinkLost tells that what was queued or on its way may be lost. The peer
-	// itself may still be live.
+	// LinkLost is called when a link has ended: messages queued or in transit
+	// may be lost. The peer itself may still be live.
 	LinkLost(peer ident.Daemon)
-	// Receive takes a message of a peer, between its LinkUp and LinkLost.
+	// Receive handles a message from a peer, between LinkUp and LinkLost for
+	// that peer.
 	Receive(from ident.Daemon, m scheduler.Message)
-	// Head tells the highest configuration revision in force at a peer, when it
-	// changes and again about once a heartbeat.
+	// Head is called with the highest configuration revision in force at a
+	// peer, when it changes and again about once per heartbeat.
 	Head(from ident.Daemon, head uint64)
-	// Entries returns the configuration in force of a higher revision than
-	// after, deletions included.
+	// Entries returns the configuration entries in force with a revision higher
+	// than after, including deletions.
 	Entries(after uint64) []Entry
-	// Follow answers a peer that asks in the platform's store's stead.
+	// Follow answers a peer that reads the platform's store through this
+	// daemon.
 	Follow(ctx context.Context, q platform.FeedQuery) (platform.FeedAnswer, error)
-	// Claim answers a peer that met a claim of this daemon.
+	// Claim answers a peer that has encountered a claim held by this daemon.
 	Claim(q ClaimQuery) ClaimAnswer
 }
 
-// Entry is one revision of one service's document.
+// Entry is one revision of a service's document.
 type Entry struct {
 	Service  ident.Service
 	Revision uint64
@@ -114,7 +121,8 @@
 	Text     []byte
 }
 
-// ClaimQuery names a claim and the incarnation of the daemon that holds it.
+// ClaimQuery identifies a claim and the incarnation of the daemon that holds
+// it.
 type ClaimQuery struct {
 	Service     ident.Service
 	Workspace   ident.Workspace
@@ -123,22 +131,23 @@
 	Incarnation uint64
 }
 
-// ClaimState is what the holder of a claim says of its request.
+// ClaimState is the state of a claimed request as reported by the holder of the
+// claim.
 type ClaimState string
 
-// What the holder of a claim can say.
+// States of a claimed request.
 const (
 	ClaimUnknown  ClaimState = "unknown"
 	ClaimFinished ClaimState = "finished"
 	ClaimRunning  ClaimState = "running"
-	// ClaimNever tells that the request was not dispatched and promises that
-	// it never will be.
-	ClaimNever ClaimState = "never"
+	// ClaimNeverDispatched reports that the request was not dispatched and
+	// guarantees that it never will be.
+	ClaimNeverDispatched ClaimState = "never"
 )
 
 // ClaimAnswer is the answer to a ClaimQuery.
 type ClaimAnswer struct {
 	State ClaimState
-	// Outcome is set where the request is finished.
+	// Outcome is set if the request is finished.
 	Outcome []byte
 }
--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -9,11 +9,11 @@
 	"github.com/savorystall/savorystall/internal/scheduler"
 )
 
-// controlEvent is something that the control goroutine has to take in.
+// controlEvent is an event to be processed by the control goroutine.
 type controlEvent interface{ apply(n *Node, now time.Time) }
 
-// received is a frame of a link.
-type received struct {
+// frameReceived reports a frame received on a link.
+type frameReceived struct {
 	link       *link
 	message    scheduler.Message
 	hasMessage bool
@@ -22,22 +22,22 @@
 	reports    []membership.Report
 }
 
-// apply drops frames of a link that was replaced: what they say may be older
-// than what the new link has already brought.
-func (r received) apply(n *Node, now time.Time) {
+// apply drops frames of a link that has been replaced: they may be older than
+// what was already received over the new link.
+func (r frameReceived) apply(n *Node, now time.Time) {
 	l := r.link
 	if n.links.byPeer[l.peer] != l || !n.table.FrameReceived(now, l.peer, l.incarnation) {
 		return
 	}
 	if r.leaving {
 		n.table.LeaveAnnounced(l.peer, l.incarnation)
-		n.tellPeers()
+		n.notifyPeers()
 	}
 	for _, report := range r.reports {
 		n.table.ReportReceived(now, report)
 	}
 	if len(r.reports) > 0 {
-		n.tellWatched()
+		n.sendWatchChanges()
 	}
 	if r.hasMessage {
 		n.handler.Receive(l.peer, r.message)
@@ -48,27 +48,27 @@
 	}
 }
 
-// opened asks whether to keep a link; nil is yes.
-type opened struct {
+// linkOpened asks to register a link; a nil result means that the link is kept.
+type linkOpened struct {
 	link   *link
-	answer chan error
+	result chan error
 }
 
-func (o opened) apply(n *Node, now time.Time) { o.answer <- n.register(now, o.link) }
+func (o linkOpened) apply(n *Node, now time.Time) { o.result <- n.register(now, o.link) }
 
-// closed tells that a link has ended.
-type closed struct{ link *link }
+// linkClosed reports that a link has ended.
+type linkClosed struct{ link *link }
 
-func (c closed) apply(n *Node, now time.Time) { n.unregister(now, c.link) }
+func (c linkClosed) apply(n *Node, now time.Time) { n.unregister(now, c.link) }
 
-// dialed tells how a dial ended, once for each.
-type dialed struct {
+// dialFinished reports the result of a dial, exactly once per dial.
+type dialFinished struct {
 	peer ident.Daemon
-	// err is nil where the link was kept.
+	// err is nil if the link was kept.
 	err error
 }
 
-func (d dialed) apply(n *Node, now time.Time) {
+func (d dialFinished) apply(n *Node, now time.Time) {
 	n.dialing--
 	if d.err != nil {
 		n.table.DialFailed(now, d.peer)
@@ -76,16 +76,17 @@
 	n.startDials(now)
 }
 
-// vmList is a new list of VMs.
+// vmList is an update of the platform's VM list.
 type vmList []membership.ListedVM
 
 func (v vmList) apply(n *Node, now time.Time) {
 	n.table.SetVMList(now, v)
-	n.keepAddresses(v)
+	n.updateAddresses(v)
 	n.startDials(now)
 }
 
-// post hands an event to the control goroutine; false when ctx or the node ends.
+// post sends an event to the control goroutine. It returns false if ctx or the
+// node ends first.
 func (n *Node) post(ctx context.Context, e controlEvent) bool {
 	select {
 	case n.events <- e:
@@ -97,16 +98,16 @@
 	}
 }
 
-// open asks the control goroutine to register the link.
-func (n *Node) open(ctx context.Context, l *link) error {
-	o := opened{link: l, answer: make(chan error, 1)}
+// requestRegistration asks the control goroutine to register the link.
+func (n *Node) requestRegistration(ctx context.Context, l *link) error {
+	o := linkOpened{link: l, result: make(chan error, 1)}
 	if !n.post(ctx, o) {
-		return errNotKept
+		return errDuplicateLink
 	}
 	select {
-	case err := <-o.answer:
+	case err := <-o.result:
 		return err
 	case <-n.done:
-		return errNotKept
+		return errDuplicateLink
 	}
 }
--- a/internal/fleet/dial.go
+++ b/internal/fleet/dial.go
@@ -19,88 +19,95 @@
 
 const (
 	protocolVersion = 1
-	// handshakeTimeout bounds a dial up to the peer's first frame.
+	// handshakeTimeout bounds the time from the start of a dial to the peer's
+	// first frame.
 	handshakeTimeout = 3 * time.Second
-	// connBuffer bounds the read and write buffers of a connection: frames are
-	// small and a daemon of a large fleet has hundreds of connections, so that
-	// grpc's 32 KiB each way would take more memory than all other state.
-	connBuffer = 4 << 10
-	// streamWindow is a fixed flow-control window; a fixed one also spares the
-	// pings by which grpc measures the bandwidth.
-	streamWindow = 64 << 10
-	// pingAfter and pingTimeout find connections that went silent under calls.
-	// Connections of links have none: pings each 10 s on hundreds of resting links
-	// would take most of the budget that the rest saves.
-	pingAfter   = 10 * time.Second
-	pingTimeout = 3 * time.Second
-	// serverPingAfter lets the listening end drop connections of callers that are
-	// gone. It is above the heartbeat of a resting link.
-	serverPingAfter = 5 * time.Minute
-	// callIdle closes connections that were opened for calls.
-	callIdle = time.Minute
-	// maxMessage bounds a message in bytes; the documents of a whole fleet fit.
-	maxMessage = 32 << 20
+	// connBufferSize is the size of the read and write buffers of a connection.
+	// Frames are small, and a daemon of a large fleet has hundreds of
+	// connections, so gRPC's default of 32 KiB per direction would take more
+	// memory than all other state.
+	connBufferSize = 4 << 10
+	// streamWindowSize is a fixed flow-control window. A fixed window also
+	// avoids the pings that gRPC sends to estimate the bandwidth.
+	streamWindowSize = 64 << 10
+	// keepaliveInterval and keepaliveTimeout detect connections that fail
+	// silently during calls. Connections of links have no keepalive: a ping
+	// every 10 s on hundreds of unwatched links would use most of the traffic
+	// that is saved by not sending heartbeats on them.
+	keepaliveInterval = 10 * time.Second
+	keepaliveTimeout  = 3 * time.Second
+	// serverKeepaliveInterval lets the server close connections of callers that
+	// are gone. It is longer than the heartbeat interval of an unwatched link.
+	serverKeepaliveInterval = 5 * time.Minute
+	// callIdleTimeout closes idle connections that were opened for calls.
+	callIdleTimeout = time.Minute
+	// maxMessageSize bounds the size of a message in bytes; the documents of a
+	// whole fleet fit.
+	maxMessageSize = 32 << 20
 )
 
-// connect prepares a connection of its own. grpc-go's retries are off: a call is
-// repeated by whoever knows that it may be.
-func (n *Node) connect(address string, more ...grpc.DialOption) (*grpc.ClientConn, error) {
+// connect creates a separate client connection. The retries of grpc-go are
+// disabled: only the caller knows whether a call may be repeated.
+func (n *Node) connect(address string, extra ...grpc.DialOption) (*grpc.ClientConn, error) {
 	creds := insecure.NewCredentials()
 	if n.cfg.Identity != nil {
-		creds = n.logged(credentials.NewTLS(n.cfg.Identity.Client()))
+		creds = n.withHandshakeLogging(credentials.NewTLS(n.cfg.Identity.Client()))
 	}
 	options := []grpc.DialOption{
 		grpc.WithTransportCredentials(creds),
 		grpc.WithContextDialer(n.counters.dial),
 		grpc.WithDisableRetry(),
 		grpc.WithDisableServiceConfig(),
-		grpc.WithReadBufferSize(connBuffer),
-		grpc.WithWriteBufferSize(connBuffer),
-		grpc.WithStaticStreamWindowSize(streamWindow),
-		grpc.WithStaticConnWindowSize(streamWindow),
-		grpc.WithIdleTimeout(callIdle),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage)),
+		grpc.WithReadBufferSize(connBufferSize),
+		grpc.WithWriteBufferSize(connBufferSize),
+		grpc.WithStaticStreamWindowSize(streamWindowSize),
+		grpc.WithStaticConnWindowSize(streamWindowSize),
+		grpc.WithIdleTimeout(callIdleTimeout),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageSize)),
 	}
-	return grpc.NewClient("passthrough:///"+address, append(options, more...)...)
+	return grpc.NewClient("passthrough:///"+address, append(options, extra...)...)
 }
 
-// withPings is for connections of calls.
-func withPings() grpc.DialOption {
-	return grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingAfter, Timeout: pingTimeout})
+// withKeepalive enables keepalive pings, for connections used by calls.
+func withKeepalive() grpc.DialOption {
+	return grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout})
 }
 
-// dial opens a link on a new connection and serves it until it ends.
+// dial establishes a link over a new connection and serves it until it ends.
 func (n *Node) dial(peer ident.Daemon, address string, session uint64) {
 	ctx, cancel := context.WithCancel(n.ctx)
 	defer cancel()
 	conn, err := n.connect(address)
 	if err != nil {
-		n.post(n.ctx, dialed{peer, err})
+		n.post(n.ctx, dialFinished{peer, err})
 		return
 	}
 	defer func() { _ = conn.Close() }()
 	l, err := n.handshake(ctx, cancel, conn, peer, session)
 	if err == nil {
-		err = n.open(ctx, l)
+		err = n.requestRegistration(ctx, l)
 	}
-	n.noteOutdated(peer, err)
-	n.post(n.ctx, dialed{peer, err})
+	n.logOutdated(peer, err)
+	n.post(n.ctx, dialFinished{peer, err})
 	if err == nil {
-		n.run(ctx, l, nil)
+		n.serveLink(ctx, l, nil)
 	}
 }
 
 var (
-	// errNotKept ends a link to a peer to which a better one exists.
-	errNotKept = merry.New("another link is kept")
-	// errOutdated ends a link of an older incarnation than one already known.
-	errOutdated = merry.New("a later incarnation of the daemon is known")
+	// errDuplicateLink rejects a link to a peer for which a preferred link
+	// exists.
+	errDuplicateLink = merry.New("another link is kept")
+	// errOldIncarnation rejects a link of an incarnation older than the latest
+	// one known.
+	errOldIncarnation = merry.New("a later incarnation of the daemon is known")
 )
 
-// noteOutdated tells the operator, once, that peers refuse this daemon for good:
-// its incarnation comes from the VM's clock, and a daemon that was restarted
-// under its name while the clock was behind would else stay alone in silence.
-func (n *Node) noteOutdated(peer ident.Daemon, err error) {
+// logOutdated logs, once, that peers permanently refuse this daemon. The
+// incarnation is derived from the VM's clock, so a daemon that was restarted
+// under its name while the clock was behind would otherwise stay isolated
+// without any indication.
+func (n *Node) logOutdated(peer ident.Daemon, err error) {
 	if status.Code(err) != codes.AlreadyExists || n.outdated.Swap(true) {
 		return
 	}
@@ -118,19 +125,19 @@
 	}
 	f, err := stream.Recv()
 	if err != nil {
-		return nil, merry.Prepend(err, "await hello")
+		return nil, merry.Prepend(err, "receive hello")
 	}
 	if !timeout.Stop() {
-		return nil, merry.New("await hello: timeout")
+		return nil, merry.New("receive hello: timeout")
 	}
 	l, err := n.newLink(f.GetHello(), stream, cancel)
 	if err != nil {
 		return nil, err
 	}
 	if l.peer != peer {
-		return nil, merry.Errorf("address belongs to daemon %q now", l.peer)
+		return nil, merry.Errorf("address is now used by daemon %q", l.peer)
 	}
-	l.dialler, l.session = n.cfg.Self, session
+	l.dialer, l.session = n.cfg.Self, session
 	return l, nil
 }
 
@@ -142,7 +149,7 @@
 	}
 }
 
-// newLink checks the peer's hello.
+// newLink validates the peer's hello and returns a link for the stream.
 func (n *Node) newLink(h *fleetv1.Hello, stream frameStream, cancel context.CancelFunc) (*link, error) {
 	switch {
 	case h.GetVersion() != protocolVersion:
@@ -157,6 +164,6 @@
 	return &link{
 		peer: ident.Daemon(h.GetFrom()), incarnation: h.GetIncarnation(),
 		zone: ident.Zone(h.GetZone()), address: h.GetAddress(),
-		stream: stream, cancel: cancel, out: newOutbox(n.cfg.QueueLimit),
+		stream: stream, cancel: cancel, outbox: newOutbox(n.cfg.QueueLimit),
 	}, nil
 }
--- a/internal/fleet/faults_test.go
+++ b/internal/fleet/faults_test.go
@@ -17,20 +17,20 @@
 	"github.com/savorystall/savorystall/test/faultlink"
 )
 
-// One daemon hangs: it keeps its connections but reads nothing more. The others
-// must not wait for it, nor collect messages for it without bound, nor lose a
-// grant without being told.
-func TestDaemonThatHangsHoldsUpNobody(t *testing.T) {
+// A hung daemon keeps its connections open but reads nothing. The other daemons
+// must not block on it, queue messages for it without limit, or lose a grant
+// without being notified.
+func TestHungPeerDoesNotBlockOthers(t *testing.T) {
 	is := is.New(t)
-	a, ra := start(t, fleet.Config{Self: "a", QueueLimit: 100})
-	b, rb := start(t, fleet.Config{Self: "b"})
+	a, ra := startNode(t, fleet.Config{Self: "a", QueueLimit: 100})
+	b, rb := startNode(t, fleet.Config{Self: "b"})
 	hung := newHangingHandler()
 	c, err := fleet.New(fleet.Config{
-		Self: "c", Incarnation: 1, Zone: "hall-a", Listen: "127.0.0.1:0", Heartbeat: beat, Logger: quiet(),
+		Self: "c", Incarnation: 1, Zone: "hall-a", Listen: "127.0.0.1:0", Heartbeat: testHeartbeat, Logger: discardLogger(),
 	}, hung)
 	is.NoErr(err)
 	is.NoErr(c.Start(t.Context()))
-	t.Cleanup(func() { stop(t, c) })
+	t.Cleanup(func() { stopNode(t, c) })
 	t.Cleanup(hung.release)
 	a.SetVMs([]platform.VM{vm("b", b.Address()), vm("c", c.Address())})
 	ra.eventually(t, "link to b", linked("b"))
@@ -39,20 +39,21 @@
 
 	name := strings.Repeat("x", 200)
 	sent := uint64(0)
-	ra.eventually(t, "the link to c is reset", func(r *recorder) bool {
+	ra.eventually(t, "reset of the link to c", func(r *recorder) bool {
 		for range 1000 {
 			sent++
 			g := scheduler.Grant{ID: sent, Service: "s", Workspace: ident.Workspace(fmt.Sprint(name, sent)), Target: "t"}
 			a.Send("c", scheduler.Message{Grants: []scheduler.Grant{g}})
 		}
-		return r.losts["c"] > 0
+		return r.linkLosses["c"] > 0
 	})
 	a.Send("b", scheduler.Message{Grants: []scheduler.Grant{{ID: 1, Service: "s", Workspace: "w", Target: "t"}}})
-	rb.eventually(t, "the grant at b", func(r *recorder) bool { return len(r.messages) > 0 })
-	ra.locked(func() { is.Equal(ra.losts["b"], 0) })
+	rb.eventually(t, "grant at b", func(r *recorder) bool { return len(r.messages) > 0 })
+	ra.withLock(func() { is.Equal(ra.linkLosses["b"], 0) })
 }
 
-// hangingHandler blocks the node's control goroutine at the first message.
+// hangingHandler blocks the node's control goroutine at the first message until
+// release is called.
 type hangingHandler struct {
 	*recorder
 	wait chan struct{}
@@ -67,24 +68,24 @@
 
 func (h *hangingHandler) Receive(ident.Daemon, scheduler.Message) { <-h.wait }
 
-// A zone is cut off and comes back. During the cut each side must go on by
-// itself, with the members it can reach; afterwards all must be linked again,
-// each link asking for the full state.
-func TestZoneIsCutOffAndRejoins(t *testing.T) {
+// A zone is partitioned and rejoins. During the partition each side must
+// continue with the members it can reach; afterwards all links must be
+// established again, each with a request for the full state.
+func TestPartitionedZoneRejoins(t *testing.T) {
 	is := is.New(t)
 	ids := []ident.Daemon{"a1", "a2", "b1", "b2"}
 	nodes, recorders := map[ident.Daemon]*fleet.Node{}, map[ident.Daemon]*recorder{}
 	for _, id := range ids {
-		nodes[id], recorders[id] = start(t, fleet.Config{Self: id})
+		nodes[id], recorders[id] = startNode(t, fleet.Config{Self: id})
 	}
-	var between []*faultlink.Link
+	var crossZone []*faultlink.Link
 	for _, from := range ids {
 		var list []platform.VM
 		for _, to := range ids {
 			address := nodes[to].Address()
 			if from[0] != to[0] {
 				link := faultlink.New(t, address)
-				between = append(between, link)
+				crossZone = append(crossZone, link)
 				address = link.Address
 			}
 			list = append(list, vm(to, address))
@@ -94,51 +95,51 @@
 	awaitPeers := func(what string, want int) {
 		for _, id := range ids {
 			recorders[id].eventually(t, fmt.Sprint(what, " at ", id), func(r *recorder) bool {
-				return len(r.peers) == want && len(r.ups) >= want
+				return len(r.peers) == want && len(r.linkUps) >= want
 			})
 		}
 	}
 	awaitPeers("all members", 3)
-	for range 2 { // twice in a row
+	for range 2 { // repeated, to start from a recovered state as well
 		before := map[ident.Daemon]int{}
 		for _, id := range ids {
-			before[id] = recorders[id].totalUps()
+			before[id] = recorders[id].totalLinkUps()
 		}
-		for _, link := range between {
+		for _, link := range crossZone {
 			link.Cut()
 		}
-		awaitPeers("own side only", 1)
-		for _, link := range between {
+		awaitPeers("peers of the own side only", 1)
+		for _, link := range crossZone {
 			is.NoErr(link.Restore())
 		}
-		awaitPeers("all members again", 3)
+		awaitPeers("all members after the partition", 3)
 		for _, id := range ids {
-			is.True(recorders[id].totalUps() >= before[id]+2) // the full state is asked for
+			is.True(recorders[id].totalLinkUps() >= before[id]+2) // LinkUp requests the full state
 		}
 	}
 }
 
-func (r *recorder) totalUps() int {
+func (r *recorder) totalLinkUps() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	sum := 0
-	for _, n := range r.ups {
+	for _, n := range r.linkUps {
 		sum += n
 	}
 	return sum
 }
 
-// A daemon's address passes to another daemon. Who dials the old one must not
-// take the new one for it.
-func TestAddressThatPassedToAnotherDaemon(t *testing.T) {
-	a, ra := start(t, fleet.Config{Self: "a"})
-	c, rc := start(t, fleet.Config{Self: "c"})
+// The address of a daemon is reused by another one. A peer that dials the
+// address must not mistake the new daemon for the old one.
+func TestAddressReusedByAnotherDaemon(t *testing.T) {
+	a, ra := startNode(t, fleet.Config{Self: "a"})
+	c, rc := startNode(t, fleet.Config{Self: "c"})
 	a.SetVMs([]platform.VM{vm("b", c.Address())})
-	time.Sleep(5 * beat) // several dials; none may succeed
+	time.Sleep(5 * testHeartbeat) // time for several dials, none of which may succeed
 	for _, r := range []*recorder{ra, rc} {
-		r.locked(func() {
-			if len(r.ups) != 0 {
-				t.Errorf("linked: %v", r.ups)
+		r.withLock(func() {
+			if len(r.linkUps) != 0 {
+				t.Errorf("linked: %v", r.linkUps)
 			}
 		})
 	}
@@ -147,59 +148,61 @@
 }
 
 // A daemon is restarted under its name on a VM whose clock is behind, so that
-// its incarnation is lower than the one its peers know. They refuse it for
-// good; it must not stay alone in silence.
-func TestOutdatedDaemonTellsItsOperator(t *testing.T) {
+// its incarnation is lower than the one known to its peers. They refuse it
+// permanently; the daemon must log that instead of staying isolated without any
+// indication.
+func TestOutdatedIncarnationIsLogged(t *testing.T) {
 	is := is.New(t)
-	a, ra := start(t, fleet.Config{Self: "a"})
-	b, _ := start(t, fleet.Config{Self: "b", Incarnation: 5})
+	a, ra := startNode(t, fleet.Config{Self: "a"})
+	b, _ := startNode(t, fleet.Config{Self: "b", Incarnation: 5})
 	address := b.Address()
 	b.SetVMs([]platform.VM{vm("a", a.Address())})
 	ra.eventually(t, "link to b", linked("b"))
-	stop(t, b)
-	ra.eventually(t, "loss of b", func(r *recorder) bool { return r.losts["b"] == 1 })
+	stopNode(t, b)
+	ra.eventually(t, "loss of b", func(r *recorder) bool { return r.linkLosses["b"] == 1 })
 
 	log := &lockedBuffer{}
-	late := newRecorder()
+	outdated := newRecorder()
 	n, err := fleet.New(fleet.Config{
-		Self: "b", Incarnation: 4, Zone: "hall-a", Listen: address, Heartbeat: beat,
+		Self: "b", Incarnation: 4, Zone: "hall-a", Listen: address, Heartbeat: testHeartbeat,
 		Logger: slog.New(slog.NewTextHandler(log, nil)),
-	}, late)
+	}, outdated)
 	is.NoErr(err)
 	is.NoErr(n.Start(t.Context()))
-	t.Cleanup(func() { stop(t, n) })
+	t.Cleanup(func() { stopNode(t, n) })
 	n.SetVMs([]platform.VM{vm("a", a.Address())})
-	late.eventually(t, "event 607", func(*recorder) bool { return strings.Contains(log.String(), "event=607") })
-	ra.locked(func() { is.Equal(ra.ups["b"], 1) })
+	outdated.eventually(t, "event 607", func(*recorder) bool { return strings.Contains(log.String(), "event=607") })
+	ra.withLock(func() { is.Equal(ra.linkUps["b"], 1) })
 }
 
-// A second daemon is started under the name of one that runs. The elder loses its
-// links and grants the slots of all targets by itself: the fleet over-admits, and
-// the members look right at all others. These have to name the elder's address.
-func TestTwoDaemonsOfOneNameAreTold(t *testing.T) {
+// A second daemon is started under the name of a running one. The older one
+// loses its links and grants the slots of all targets on its own: the fleet
+// admits too many requests, although the members look right to all other
+// daemons. These must log the address of the older daemon.
+func TestDuplicateDaemonNameIsLogged(t *testing.T) {
 	log := &lockedBuffer{}
 	ra := newRecorder()
 	a, err := fleet.New(fleet.Config{
-		Self: "a", Incarnation: 1, Zone: "hall-a", Listen: "127.0.0.1:0", Heartbeat: beat,
+		Self: "a", Incarnation: 1, Zone: "hall-a", Listen: "127.0.0.1:0", Heartbeat: testHeartbeat,
 		Logger: slog.New(slog.NewTextHandler(log, nil)),
 	}, ra)
 	is := is.New(t)
 	is.NoErr(err)
 	is.NoErr(a.Start(t.Context()))
-	t.Cleanup(func() { stop(t, a) })
-	elder, _ := start(t, fleet.Config{Self: "b", Incarnation: 5})
-	elder.SetVMs([]platform.VM{vm("a", a.Address())})
-	ra.eventually(t, "link to the elder", linked("b"))
-	later, rl := start(t, fleet.Config{Self: "b", Incarnation: 6})
-	later.SetVMs([]platform.VM{vm("a", a.Address())})
-	rl.eventually(t, "link of the later one", linked("a"))
-	told := "event=609 peer=b refused=" + elder.Address() + " kept=" + later.Address()
-	ra.eventually(t, "event 609", func(*recorder) bool { return strings.Contains(log.String(), told) })
-	ra.eventually(t, "a further refusal", func(*recorder) bool { return strings.Contains(log.String(), "event=604") })
+	t.Cleanup(func() { stopNode(t, a) })
+	older, _ := startNode(t, fleet.Config{Self: "b", Incarnation: 5})
+	older.SetVMs([]platform.VM{vm("a", a.Address())})
+	ra.eventually(t, "link to the older daemon", linked("b"))
+	newer, rl := startNode(t, fleet.Config{Self: "b", Incarnation: 6})
+	newer.SetVMs([]platform.VM{vm("a", a.Address())})
+	rl.eventually(t, "link of the newer daemon", linked("a"))
+	wantLine := "event=609 peer=b refused=" + older.Address() + " kept=" + newer.Address()
+	ra.eventually(t, "event 609", func(*recorder) bool { return strings.Contains(log.String(), wantLine) })
+	ra.eventually(t, "another refusal", func(*recorder) bool { return strings.Contains(log.String(), "event=604") })
 	is.Equal(strings.Count(log.String(), "event=609"), 1)
 }
 
-// lockedBuffer takes log lines from many goroutines.
+// lockedBuffer collects log lines from concurrent goroutines.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -14,8 +14,8 @@
 	"github.com/savorystall/savorystall/internal/platform"
 )
 
-// Follow asks a peer for rows of the platform's store. The error is
-// platform.ErrHistoryLost where it cannot tell all changes.
+// Follow reads rows of the platform's store from a peer. The error is
+// platform.ErrHistoryLost if the peer does not know all changes since q.After.
 func (n *Node) Follow(ctx context.Context, reader ident.Daemon, q platform.FeedQuery) (platform.FeedAnswer, error) {
 	c, err := n.client(reader)
 	if err != nil {
@@ -29,7 +29,7 @@
 	case codes.OutOfRange:
 		return platform.FeedAnswer{}, platform.ErrHistoryLost
 	default:
-		return platform.FeedAnswer{}, merry.Prependf(err, "table %s of %s", q.Table, reader)
+		return platform.FeedAnswer{}, merry.Prependf(err, "follow table %s at %s", q.Table, reader)
 	}
 	answer := platform.FeedAnswer{
 		Revision: platform.NewRevision(reply.GetEra(), reply.GetRevision()),
@@ -43,7 +43,7 @@
 	return answer, nil
 }
 
-// Follow answers a peer.
+// Follow implements fleetv1.FleetServer.
 func (s *server) Follow(ctx context.Context, r *fleetv1.FollowRequest) (*fleetv1.FollowReply, error) {
 	answer, err := s.node.handler.Follow(ctx, platform.FeedQuery{
 		Table: r.GetTable(), After: platform.NewRevision(r.GetAfterEra(), r.GetAfter()), Whole: r.GetWhole(),
--- a/internal/fleet/handshake.go
+++ b/internal/fleet/handshake.go
@@ -10,46 +10,47 @@
 	"github.com/savorystall/savorystall/internal/event"
 )
 
-// handshakeLog is the least time between two lines about failed handshakes.
-const handshakeLog = 10 * time.Second
-
-// loggedCredentials logs the handshakes that fail. grpc-go keeps their errors to
-// itself, so that a daemon with a wrong certificate showed on neither side: it
-// only had no links, and its zone's targets had two owners.
-type loggedCredentials struct {
+// handshakeLogInterval is the minimum time between two log lines about failed
+// handshakes.
+const handshakeLogInterval = 10 * time.Second
+
+// loggingCredentials logs failed TLS handshakes. grpc-go does not report their
+// errors, so a wrong certificate was not visible on either side: the daemon
+// just had no links, and the targets of its zone had two owners.
+type loggingCredentials struct {
 	credentials.TransportCredentials
 	node *Node
 }
 
-func (n *Node) logged(c credentials.TransportCredentials) credentials.TransportCredentials {
-	return &loggedCredentials{TransportCredentials: c, node: n}
+func (n *Node) withHandshakeLogging(c credentials.TransportCredentials) credentials.TransportCredentials {
+	return &loggingCredentials{TransportCredentials: c, node: n}
 }
 
-func (c *loggedCredentials) log(conn net.Conn, err error) {
+func (c *loggingCredentials) logFailure(conn net.Conn, err error) {
 	if err == nil || c.node.ctx.Err() != nil {
 		return
 	}
-	c.node.handshakes.Do(func() {
+	c.node.handshakeLogLimit.Do(func() {
 		event.FleetHandshake.Log(c.node.cfg.Logger, "remote", conn.RemoteAddr().String(), "error", err)
 	})
 }
 
 // ClientHandshake implements credentials.TransportCredentials.
-func (c *loggedCredentials) ClientHandshake(ctx context.Context, authority string, conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
+func (c *loggingCredentials) ClientHandshake(ctx context.Context, authority string, conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
 	secured, info, err := c.TransportCredentials.ClientHandshake(ctx, authority, conn)
-	c.log(conn, err)
+	c.logFailure(conn, err)
 	return secured, info, err
 }
 
 // ServerHandshake implements credentials.TransportCredentials.
-func (c *loggedCredentials) ServerHandshake(conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
+func (c *loggingCredentials) ServerHandshake(conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
 	secured, info, err := c.TransportCredentials.ServerHandshake(conn)
-	c.log(conn, err)
+	c.logFailure(conn, err)
 	return secured, info, err
 }
 
 // Clone implements credentials.TransportCredentials.
-func (c *loggedCredentials) Clone() credentials.TransportCredentials {
+func (c *loggingCredentials) Clone() credentials.TransportCredentials {
 	clone := *c
 	clone.TransportCredentials = c.TransportCredentials.Clone()
 	return &clone
--- a/internal/fleet/link.go
+++ b/internal/fleet/link.go
@@ -12,54 +12,58 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// frameStream is the end of a stream, the same at the dialler and the listener.
+// frameStream is the part of a stream that is common to the dialer and the
+// listener.
 type frameStream interface {
 	Send(*fleetv1.Frame) error
 	Recv() (*fleetv1.Frame, error)
 }
 
-// link is one stream to one incarnation of a peer.
+// link is a stream to one incarnation of a peer.
 type link struct {
 	peer        ident.Daemon
 	incarnation uint64
 	zone        ident.Zone
 	address     string
-	// dialler is the name of the daemon that dialled, session its count.
-	dialler ident.Daemon
+	// dialer is the name of the daemon that dialed, session the number of that
+	// dial.
+	dialer  ident.Daemon
 	session uint64
 
 	stream frameStream
-	// cancel ends the stream and, at the dialler, its connection.
+	// cancel ends the stream and, at the dialer, its connection.
 	cancel context.CancelFunc
-	out    *outbox
-	// head is the peer's configuration head; the control goroutine owns it.
+	outbox *outbox
+	// head is the peer's latest configuration revision. It is owned by the
+	// control goroutine.
 	head uint64
-	// rests is set while the peer does not watch this daemon, used when a
-	// message was queued since the last tick.
-	rests, used atomic.Bool
-	// unwatched is set once the peer was told that it need not send heartbeats;
-	// the control goroutine owns it.
-	unwatched bool
+	// unwatchedByPeer is set while the peer does not watch this daemon.
+	// sentSinceTick is set if a message was queued since the last tick.
+	unwatchedByPeer, sentSinceTick atomic.Bool
+	// peerUnwatched is set once the peer was told that this daemon does not
+	// need its heartbeats. It is owned by the control goroutine.
+	peerUnwatched bool
 }
 
-// newer tells whether a replaces b where both link the same two daemons. Both
-// ends come to the same answer: a higher incarnation wins; then the link that
-// the smaller name dialled; then the later dial of the same dialler. Without an
-// order that both share, two daemons that dial each other at once could each
-// close the link that the other one kept, over and over.
-func newer(a, b *link, self ident.Daemon) bool {
+// supersedes reports whether a replaces b, where both connect the same two
+// daemons. Both ends reach the same decision: the higher incarnation wins, then
+// the link dialed by the daemon with the smaller name, then the later dial by
+// the same dialer. Without an order common to both, two daemons that dial each
+// other at the same time could each close the link that the other one kept,
+// repeatedly.
+func supersedes(a, b *link, self ident.Daemon) bool {
 	if a.incarnation != b.incarnation {
 		return a.incarnation > b.incarnation
 	}
-	if a.dialler != b.dialler {
-		return a.dialler == min(self, a.peer)
+	if a.dialer != b.dialer {
+		return a.dialer == min(self, a.peer)
 	}
 	return a.session > b.session
 }
 
-// write sends what is queued, batched, and heartbeats when idle. The first
-// frame, if any, is sent at once.
-func (n *Node) write(ctx context.Context, l *link, first *fleetv1.Frame) {
+// writeFrames sends queued messages in batches, and heartbeats when idle. The
+// first frame, if any, is sent immediately.
+func (n *Node) writeFrames(ctx context.Context, l *link, first *fleetv1.Frame) {
 	defer l.cancel()
 	if first != nil && !n.sendFrame(l, first) {
 		return
@@ -68,37 +72,37 @@
 	idle := time.NewTimer(n.cfg.Heartbeat)
 	defer idle.Stop()
 	for {
-		if !n.awaitWork(ctx, l, idle) {
+		if !n.awaitFrameDue(ctx, l, idle) {
 			return
 		}
 		f := &fleetv1.Frame{}
-		if b, ok := l.out.take(); ok {
+		if b, ok := l.outbox.take(); ok {
 			f.Head, f.Leaving = b.head, b.leaving
-			f.Watch, f.Silent = b.watch, silentFrame(b.reports)
-			enc.message(f, &b.message)
+			f.Watch, f.Silent = b.watch, encodeSilent(b.reports)
+			enc.encode(f, &b.message)
 		}
-		if !n.sendFrame(l, f) || enc.full() {
+		if !n.sendFrame(l, f) || enc.tablesFull() {
 			return
 		}
-		idle.Reset(n.beat(l))
+		idle.Reset(n.heartbeatInterval(l))
 	}
 }
 
-// awaitWork returns when a frame is due; false when the link ends.
-func (n *Node) awaitWork(ctx context.Context, l *link, idle *time.Timer) bool {
+// awaitFrameDue waits until a frame is due. It returns false if the link ends.
+func (n *Node) awaitFrameDue(ctx context.Context, l *link, idle *time.Timer) bool {
 	select {
 	case <-ctx.Done():
 		return false
 	case <-idle.C:
 		return true
-	case <-l.out.ready:
+	case <-l.outbox.ready:
 	}
 	flush := time.NewTimer(n.cfg.FlushDelay)
 	defer flush.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-l.out.urgent:
+	case <-l.outbox.urgent:
 	case <-flush.C:
 	}
 	return true
@@ -113,8 +117,9 @@
 	return true
 }
 
-// read passes the peer's frames to the control goroutine until the link ends.
-func (n *Node) read(ctx context.Context, l *link) {
+// readFrames passes the peer's frames to the control goroutine until the link
+// ends.
+func (n *Node) readFrames(ctx context.Context, l *link) {
 	defer l.cancel()
 	dec := &decoder{}
 	for {
@@ -124,22 +129,22 @@
 		}
 		n.counters.framesReceived.Add(1)
 		n.counters.payloadReceived.Add(uint64(proto.Size(f)))
-		m, hasMessage, err := dec.message(f)
+		m, hasMessage, err := dec.decode(f)
 		if err != nil {
 			event.FleetBadFrame.Log(n.cfg.Logger, "peer", l.peer, "error", err)
 			return
 		}
 		m.Incarnation = l.incarnation
-		l.takeWatch(f.GetWatch())
-		if !n.post(ctx, received{l, m, hasMessage, f.GetHead(), f.GetLeaving(), reportsOf(f.GetSilent())}) {
+		l.applyWatch(f.GetWatch())
+		if !n.post(ctx, frameReceived{l, m, hasMessage, f.GetHead(), f.GetLeaving(), decodeSilent(f.GetSilent())}) {
 			return
 		}
 	}
 }
 
-// run serves a registered link until it ends.
-func (n *Node) run(ctx context.Context, l *link, first *fleetv1.Frame) {
-	n.tasks.Go(func() { n.write(ctx, l, first) })
-	n.read(ctx, l)
-	n.post(context.Background(), closed{l})
+// serveLink serves a registered link until it ends.
+func (n *Node) serveLink(ctx context.Context, l *link, first *fleetv1.Frame) {
+	n.tasks.Go(func() { n.writeFrames(ctx, l, first) })
+	n.readFrames(ctx, l)
+	n.post(context.Background(), linkClosed{l})
 }
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -20,23 +20,27 @@
 )
 
 const (
-	// roleDaemon marks the daemons in the VM list.
+	// roleDaemon is the role of daemons in the VM list.
 	roleDaemon = "daemon"
-	// eventQueue bounds the frames that wait for the control goroutine; beyond
-	// it the links' readers wait, and flow control slows the senders.
-	eventQueue = 1024
-	// dialsAtOnce bounds the handshakes under way: a daemon that starts among
-	// 360 others must not spend its first second on TLS alone.
-	dialsAtOnce = 16
-	// suspectBeats and deadBeats are silences in heartbeats; see membership.
-	suspectBeats = 3
-	deadBeats    = 6
-	// ticksPerBeat is how often silences and due dials are looked at.
-	ticksPerBeat = 5
+	// eventQueueSize bounds the events queued for the control goroutine. When
+	// the queue is full, the readers of the links block, and flow control slows
+	// the senders down.
+	eventQueueSize = 1024
+	// maxConcurrentDials bounds the handshakes in progress: a daemon that
+	// starts in a fleet of 360 others must not spend its first second on TLS
+	// handshakes only.
+	maxConcurrentDials = 16
+	// suspectHeartbeats and deadHeartbeats are the numbers of missed heartbeats
+	// after which a member is suspect or dead; see package membership.
+	suspectHeartbeats = 3
+	deadHeartbeats    = 6
+	// ticksPerHeartbeat is how many times per heartbeat interval silent links
+	// and due dials are checked.
+	ticksPerHeartbeat = 5
 )
 
-// Node is a daemon's end of all its links. One goroutine owns the table of
-// members and decides which links are kept; the others move frames.
+// Node manages all links of a daemon. One goroutine owns the membership table
+// and decides which links are kept; the others transfer frames.
 type Node struct {
 	cfg      Config
 	handler  Handler
@@ -49,11 +53,12 @@
 	cancel   context.CancelFunc
 	tasks    sync.WaitGroup
 	events   chan controlEvent
-	// done is closed when the control goroutine takes no more events.
+	// done is closed when the control goroutine no longer accepts events.
 	done     chan struct{}
 	stopOnce sync.Once
 
-	// links is read by Send from any goroutine and written by the control one.
+	// links is read by Send from any goroutine and written by the control
+	// goroutine.
 	links struct {
 		sync.RWMutex
 		byPeer    map[ident.Daemon]*link
@@ -61,48 +66,49 @@
 	}
 	head    atomic.Uint64
 	leaving atomic.Bool
-	// outdated is set once peers refused the node's incarnation.
+	// outdated is set once a peer has refused the incarnation of the node.
 	outdated atomic.Bool
 
-	// The rest belongs to the control goroutine.
-	table   *membership.Table
-	told    uint64
-	session uint64
-	dialing int
-	ticks   int
+	// The following fields are owned by the control goroutine.
+	table           *membership.Table
+	notifiedVersion uint64
+	session         uint64
+	dialing         int
+	ticks           int
 
-	// refused is the last incarnation of each name that was refused while a later
-	// one had a link; the control goroutine owns it.
-	refused map[ident.Daemon]uint64
+	// refusedIncarnations holds, for each name, the last incarnation that was
+	// refused while a later one had a link. It is owned by the control
+	// goroutine.
+	refusedIncarnations map[ident.Daemon]uint64
 
-	// handshakes spaces the lines about failed handshakes.
-	handshakes rate.Sometimes
+	// handshakeLogLimit limits the rate of log lines about failed handshakes.
+	handshakeLogLimit rate.Sometimes
 }
 
-// New opens the listener and returns a node that is not yet started. Address
-// tells where it listens.
+// New opens the listener and returns a node that is not started yet. Address
+// returns the address of the listener.
 func New(cfg Config, handler Handler) (*Node, error) {
-	cfg, err := cfg.complete()
+	cfg, err := cfg.withDefaults()
 	if err != nil {
 		return nil, err
 	}
 	table := membership.New(membership.Config{
 		Self:          cfg.Self,
 		Zone:          cfg.Zone,
-		SuspectAfter:  suspectBeats * cfg.Heartbeat,
-		DeadAfter:     deadBeats * cfg.Heartbeat,
+		SuspectAfter:  suspectHeartbeats * cfg.Heartbeat,
+		DeadAfter:     deadHeartbeats * cfg.Heartbeat,
 		DialGrace:     2 * cfg.Heartbeat,
 		WatchAllLimit: cfg.WatchAll,
-		WatchAfterUse: useBeats * cfg.Heartbeat,
-		ProbeAfter:    suspectBeats * restBeats * cfg.Heartbeat,
+		WatchAfterUse: watchAfterSendHeartbeats * cfg.Heartbeat,
+		ProbeAfter:    suspectHeartbeats * unwatchedHeartbeats * cfg.Heartbeat,
 	}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	n := &Node{
 		cfg: cfg, handler: handler, table: table,
-		handshakes: rate.Sometimes{Interval: handshakeLog},
-		events:     make(chan controlEvent, eventQueue), done: make(chan struct{}),
+		handshakeLogLimit: rate.Sometimes{Interval: handshakeLogInterval},
+		events:            make(chan controlEvent, eventQueueSize), done: make(chan struct{}),
 	}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	n.refused = map[ident.Daemon]uint64{}
+	n.refusedIncarnations = map[ident.Daemon]uint64{}
 	n.calls.conns = map[ident.Daemon]callConn{}
 	n.links.byPeer = map[ident.Daemon]*link{}
 	n.links.addresses = map[ident.Daemon]string{}
@@ -115,23 +121,23 @@
 	return n, nil
 }
 
-// Address is the listener's own, host:port.
+// Address returns the host:port of the listener.
 func (n *Node) Address() string { return n.listener.Addr().String() }
 
-// Start serves links and looks for peers until Stop. Ctx bounds nothing but
-// the call itself.
+// Start serves links and dials peers until Stop is called. The context is not
+// used.
 func (n *Node) Start(context.Context) error {
 	if n.cfg.Identity == nil {
 		event.FleetInsecure.Log(n.cfg.Logger, "address", n.Address())
 	}
 	n.server = n.newServer()
 	n.tasks.Go(func() { _ = n.server.Serve(n.listener) })
-	n.tasks.Go(n.control)
+	n.tasks.Go(n.controlLoop)
 	return nil
 }
 
-// Stop ends all links and calls. It returns when everything that the node
-// started has ended, or with ctx's error.
+// Stop closes all links and calls. It returns when all goroutines of the node
+// have ended, or with the error of ctx.
 func (n *Node) Stop(ctx context.Context) error {
 	n.stopOnce.Do(func() {
 		n.cancel()
@@ -154,9 +160,10 @@
 	}
 }
 
-// Send queues a message for a peer and never blocks. Without a link to the
-// peer the message is dropped; LinkUp will ask for the full state. The node's
-// own incarnation stands for the message's.
+// Send queues a message for a peer without blocking. Without a link to the peer
+// the message is dropped; LinkUp will later request the full state. The
+// message's incarnation is ignored: the receiver uses the incarnation of the
+// link.
 func (n *Node) Send(to ident.Daemon, m scheduler.Message) {
 	n.links.RLock()
 	l := n.links.byPeer[to]
@@ -164,15 +171,15 @@
 	if l == nil {
 		return
 	}
-	l.used.Store(true)
-	if l.out.put(&m) {
+	l.sentSinceTick.Store(true)
+	if l.outbox.enqueue(&m) {
 		return
 	}
 	event.FleetSlowPeer.Log(n.cfg.Logger, "peer", to)
 	l.cancel()
 }
 
-// SetVMs takes the platform's list in, at the start and on each change.
+// SetVMs processes the platform's VM list, at startup and on each change.
 func (n *Node) SetVMs(vms []platform.VM) {
 	list := make(vmList, 0, len(vms))
 	for _, vm := range vms {
@@ -187,24 +194,25 @@
 	n.post(n.ctx, list)
 }
 
-// SetHead tells the peers which configuration revision is in force here.
+// SetHead announces the configuration revision in force at this daemon to the
+// peers.
 func (n *Node) SetHead(head uint64) {
 	n.head.Store(head)
 	for _, l := range n.allLinks() {
-		l.out.setHead(head)
+		l.outbox.setHead(head)
 	}
 }
 
-// Leaving announces a planned stop: peers take the node's targets over and go
-// on serving what its own callers wait for.
-func (n *Node) Leaving() {
+// AnnounceLeaving announces a planned shutdown: the peers take over the node's
+// targets and continue to grant slots to the requests that wait at this daemon.
+func (n *Node) AnnounceLeaving() {
 	n.leaving.Store(true)
 	for _, l := range n.allLinks() {
-		l.out.setLeaving()
+		l.outbox.setLeaving()
 	}
 }
 
-// Traffic returns the control traffic since the start.
+// Traffic returns the control traffic since startup.
 func (n *Node) Traffic() Traffic { return n.counters.traffic() }
 
 func (n *Node) allLinks() []*link {
@@ -224,27 +232,29 @@
 	return a, ok
 }
 
-// control is the goroutine that owns the members and their links.
-func (n *Node) control() {
+// controlLoop runs in the goroutine that owns the membership table and the
+// links.
+func (n *Node) controlLoop() {
 	defer close(n.done)
-	tick := time.NewTicker(n.cfg.Heartbeat / ticksPerBeat)
+	tick := time.NewTicker(n.cfg.Heartbeat / ticksPerHeartbeat)
 	defer tick.Stop()
 	for {
 		select {
 		case <-n.ctx.Done():
 			return
 		case <-tick.C:
-			n.tick(time.Now()) // the tick itself may have waited
+			n.tick(time.Now()) // the current time: the tick may have been delayed in the channel
 		case e := <-n.events:
 			e.apply(n, time.Now())
 		}
-		n.tellPeers()
+		n.notifyPeers()
 	}
 }
 
-// tick replaces silent links, lets silences pass judgement and dials.
+// tick updates the states of members, closes silent links so that they are
+// replaced, and starts due dials.
 func (n *Node) tick(now time.Time) {
-	n.noteUse(now)
+	n.recordSends(now)
 	n.table.Tick(now)
 	for _, peer := range n.table.SilentLinks(now) {
 		l := n.links.byPeer[peer]
@@ -255,16 +265,17 @@
 		n.unregister(now, l)
 		l.cancel()
 	}
-	n.tellWatched()
-	n.tellReports()
+	n.sendWatchChanges()
+	n.sendSilenceReports()
 	n.startDials(now)
-	if n.ticks++; n.ticks%ticksPerBeat == 0 {
+	if n.ticks++; n.ticks%ticksPerHeartbeat == 0 {
 		n.repeatHeads()
 	}
 }
 
-// repeatHeads tells the peers' heads again: a peer sends its head just when it
-// changes, and a handler that could not catch up then has to get another try.
+// repeatHeads reports the peers' configuration revisions to the handler again:
+// a peer sends its revision only when it changes, and a handler that failed to
+// fetch it then must be able to retry.
 func (n *Node) repeatHeads() {
 	for peer, l := range n.links.byPeer {
 		if l.head != 0 {
@@ -274,7 +285,7 @@
 }
 
 func (n *Node) startDials(now time.Time) {
-	for _, d := range n.table.StartDials(now, dialsAtOnce-n.dialing) {
+	for _, d := range n.table.StartDials(now, maxConcurrentDials-n.dialing) {
 		n.dialing++
 		n.session++
 		session := n.session
@@ -282,19 +293,19 @@
 	}
 }
 
-// register decides whether to keep a new link. The error is errNotKept or
-// errOutdated.
+// register decides whether to keep a new link. The error is errDuplicateLink or
+// errOldIncarnation.
 func (n *Node) register(now time.Time, l *link) error {
 	old := n.links.byPeer[l.peer]
-	if old != nil && l.incarnation >= old.incarnation && !newer(l, old, n.cfg.Self) {
-		return errNotKept
+	if old != nil && l.incarnation >= old.incarnation && !supersedes(l, old, n.cfg.Self) {
+		return errDuplicateLink
 	}
 	sighting := membership.PeerInfo{
 		ID: l.peer, Incarnation: l.incarnation, Zone: l.zone, Address: l.address,
 	}
 	if !n.table.LinkUp(now, sighting) {
 		n.logRefused(l, old)
-		return errOutdated
+		return errOldIncarnation
 	}
 	if old != nil {
 		n.handler.LinkLost(l.peer)
@@ -306,27 +317,28 @@
 		n.links.addresses[l.peer] = l.address
 	}
 	n.links.Unlock()
-	l.out.greet(n.head.Load(), n.leaving.Load())
+	l.outbox.queueInitialState(n.head.Load(), n.leaving.Load())
 	event.FleetLinkUp.Log(n.cfg.Logger, "peer", l.peer, "incarnation", l.incarnation, "zone", l.zone)
-	n.tellPeers()
+	n.notifyPeers()
 	n.handler.LinkUp(l.peer)
 	return nil
 }
 
-// logRefused tells the operator of a link of an older incarnation. Where a later
-// one has a link, two daemons run under one name, and the elder, which loses all
-// links, grants the slots of all targets a second time; that is said once for
-// each elder, which dials again and again.
+// logRefused logs a refused link of an older incarnation. If a later
+// incarnation has a link, two daemons run under the same name, and the older
+// one, which loses all its links, grants the slots of all targets a second
+// time. This is logged once per older incarnation, because that daemon keeps
+// dialing.
 func (n *Node) logRefused(l, old *link) {
-	if old == nil || n.refused[l.peer] == l.incarnation {
-		event.FleetLinkRefused.Log(n.cfg.Logger, "peer", l.peer, "error", errOutdated)
+	if old == nil || n.refusedIncarnations[l.peer] == l.incarnation {
+		event.FleetLinkRefused.Log(n.cfg.Logger, "peer", l.peer, "error", errOldIncarnation)
 		return
 	}
-	n.refused[l.peer] = l.incarnation
+	n.refusedIncarnations[l.peer] = l.incarnation
 	event.FleetTwoOfOne.Log(n.cfg.Logger, "peer", l.peer, "refused", l.address, "kept", old.address)
 }
 
-// unregister forgets a link unless another one has taken its place.
+// unregister removes a link unless it has been replaced already.
 func (n *Node) unregister(now time.Time, l *link) {
 	if n.links.byPeer[l.peer] != l {
 		return
@@ -339,12 +351,12 @@
 	n.handler.LinkLost(l.peer)
 }
 
-// tellPeers passes the members on when they have changed.
-func (n *Node) tellPeers() {
-	if n.table.Version() == n.told {
+// notifyPeers passes the live members to the handler if they have changed.
+func (n *Node) notifyPeers() {
+	if n.table.Version() == n.notifiedVersion {
 		return
 	}
-	n.told = n.table.Version()
+	n.notifiedVersion = n.table.Version()
 	members := n.table.Members()
 	peers := make([]scheduler.Peer, 0, len(members))
 	for _, m := range members {
@@ -355,16 +367,17 @@
 	n.handler.Peers(peers)
 }
 
-// keepAddresses remembers where to call daemons: the list's word goes first.
-func (n *Node) keepAddresses(list vmList) {
+// updateAddresses updates the addresses for calls. An address in the VM list
+// takes precedence over the one that a peer announced.
+func (n *Node) updateAddresses(list vmList) {
 	n.links.Lock()
 	defer n.links.Unlock()
-	fresh := make(map[ident.Daemon]string, len(list))
+	addresses := make(map[ident.Daemon]string, len(list))
 	for id, l := range n.links.byPeer {
-		fresh[id] = l.address
+		addresses[id] = l.address
 	}
 	for _, vm := range list {
-		fresh[vm.ID] = vm.Address
+		addresses[vm.ID] = vm.Address
 	}
-	n.links.addresses = fresh
+	n.links.addresses = addresses
 }
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -23,66 +23,67 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const (
-	beat = 50 * time.Millisecond
-	// bound is far above what a step needs; only a fault reaches it.
-	bound = 30 * time.Second
+	testHeartbeat = 50 * time.Millisecond
+	// waitTimeout is far longer than any step takes; it expires only if a test
+	// fails.
+	waitTimeout = 30 * time.Second
 )
 
-// recorder keeps what a node tells its handler.
+// recorder is a fleet.Handler that records its calls.
 type recorder struct {
-	mu       sync.Mutex
-	peers    map[ident.Daemon]scheduler.Peer
-	ups      map[ident.Daemon]int
-	losts    map[ident.Daemon]int
-	messages []scheduler.Message
-	heads    map[ident.Daemon]uint64
-	entries  []fleet.Entry
-	queries  []fleet.ClaimQuery
-	answer   fleet.ClaimAnswer
-	// followed answers what is asked in the store's stead.
-	followed func(q platform.FeedQuery) (platform.FeedAnswer, error)
+	mu         sync.Mutex
+	peers      map[ident.Daemon]scheduler.Peer
+	linkUps    map[ident.Daemon]int
+	linkLosses map[ident.Daemon]int
+	messages   []scheduler.Message
+	heads      map[ident.Daemon]uint64
+	entries    []fleet.Entry
+	queries    []fleet.ClaimQuery
+	answer     fleet.ClaimAnswer
+	// onFollow handles calls of Follow; nil means that all of them fail.
+	onFollow func(q platform.FeedQuery) (platform.FeedAnswer, error)
 }
 
 func newRecorder() *recorder {
-	return &recorder{ups: map[ident.Daemon]int{}, losts: map[ident.Daemon]int{}, heads: map[ident.Daemon]uint64{}}
+	return &recorder{linkUps: map[ident.Daemon]int{}, linkLosses: map[ident.Daemon]int{}, heads: map[ident.Daemon]uint64{}}
 }
 
-func (r *recorder) locked(f func()) {
+func (r *recorder) withLock(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
 }
 
 func (r *recorder) Follow(_ context.Context, q platform.FeedQuery) (platform.FeedAnswer, error) {
-	if r.followed == nil {
+	if r.onFollow == nil {
 		return platform.FeedAnswer{}, platform.ErrFeedUnfit
 	}
-	return r.followed(q)
+	return r.onFollow(q)
 }
 
 func (r *recorder) Peers(peers []scheduler.Peer) {
-	r.locked(func() {
+	r.withLock(func() {
 		r.peers = map[ident.Daemon]scheduler.Peer{}
 		for _, p := range peers {
 			r.peers[p.ID] = p
 		}
 	})
 }
-func (r *recorder) LinkUp(id ident.Daemon)   { r.locked(func() { r.ups[id]++ }) }
-func (r *recorder) LinkLost(id ident.Daemon) { r.locked(func() { r.losts[id]++ }) }
+func (r *recorder) LinkUp(id ident.Daemon)   { r.withLock(func() { r.linkUps[id]++ }) }
+func (r *recorder) LinkLost(id ident.Daemon) { r.withLock(func() { r.linkLosses[id]++ }) }
 func (r *recorder) Receive(_ ident.Daemon, m scheduler.Message) {
-	r.locked(func() { r.messages = append(r.messages, m) })
+	r.withLock(func() { r.messages = append(r.messages, m) })
 }
-func (r *recorder) Head(id ident.Daemon, head uint64) { r.locked(func() { r.heads[id] = head }) }
+func (r *recorder) Head(id ident.Daemon, head uint64) { r.withLock(func() { r.heads[id] = head }) }
 func (r *recorder) Entries(uint64) []fleet.Entry      { return r.entries }
 func (r *recorder) Claim(q fleet.ClaimQuery) fleet.ClaimAnswer {
-	r.locked(func() { r.queries = append(r.queries, q) })
+	r.withLock(func() { r.queries = append(r.queries, q) })
 	return r.answer
 }
 
 func (r *recorder) eventually(t *testing.T, what string, cond func(*recorder) bool) {
 	t.Helper()
-	deadline := time.Now().Add(bound)
+	deadline := time.Now().Add(waitTimeout)
 	for time.Now().Before(deadline) {
 		r.mu.Lock()
 		ok := cond(r)
@@ -92,22 +93,22 @@
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("timed out waiting for: %s", what)
 }
 
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-func start(t *testing.T, cfg fleet.Config) (*fleet.Node, *recorder) {
+func startNode(t *testing.T, cfg fleet.Config) (*fleet.Node, *recorder) {
 	t.Helper()
 	if cfg.Heartbeat == 0 {
-		cfg.Heartbeat = beat
+		cfg.Heartbeat = testHeartbeat
 	}
 	if cfg.Incarnation == 0 {
 		cfg.Incarnation = 1
 	}
-	cfg.Zone, cfg.Logger = "hall-a", quiet()
+	cfg.Zone, cfg.Logger = "hall-a", discardLogger()
 	if cfg.Listen == "" {
-		cfg.Listen = faultlink.FreeAddress(t) // some tests start a successor there
+		cfg.Listen = faultlink.FreeAddress(t) // some tests later start another node at this address
 	}
 	r := newRecorder()
 	n, err := fleet.New(cfg, r)
@@ -117,12 +118,12 @@
 	if err := n.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { stop(t, n) })
+	t.Cleanup(func() { stopNode(t, n) })
 	return n, r
 }
 
-func stop(t *testing.T, n *fleet.Node) {
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+func stopNode(t *testing.T, n *fleet.Node) {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	if err := n.Stop(ctx); err != nil {
 		t.Error("stop:", err)
@@ -134,13 +135,13 @@
 }
 
 func linked(id ident.Daemon) func(*recorder) bool {
-	return func(r *recorder) bool { return r.ups[id] > r.losts[id] && r.peers[id].ID == id }
+	return func(r *recorder) bool { return r.linkUps[id] > r.linkLosses[id] && r.peers[id].ID == id }
 }
 
 func TestMessagesArriveWholeAndInOrder(t *testing.T) {
 	is := is.New(t)
-	a, ra := start(t, fleet.Config{Self: "a"})
-	b, rb := start(t, fleet.Config{Self: "b", Incarnation: 7})
+	a, ra := startNode(t, fleet.Config{Self: "a"})
+	b, rb := startNode(t, fleet.Config{Self: "b", Incarnation: 7})
 	a.SetVMs([]platform.VM{vm("a", a.Address()), vm("b", b.Address())})
 	ra.eventually(t, "link to b", linked("b"))
 	rb.eventually(t, "link to a", linked("a"))
@@ -177,16 +178,17 @@
 		is.Equal(preempts[i], i)
 	}
 	is.Equal(releases[0].Result, scheduler.Result{Served: 12.5, Elapsed: time.Second, FirstByte: time.Millisecond})
-	is.Equal(demand.Waiting, uint32(count-1)) // the newest demand stands
+	is.Equal(demand.Waiting, uint32(count-1)) // the newest demand replaces older ones
 	is.True(a.Traffic().StreamReceived > a.Traffic().PayloadReceived)
 }
 
-// A new daemon appears in the list of nobody yet, for the list lags. Its name
-// is greater than its peer's, who would be the one to dial. Without a dial of
-// its own it would stay alone until the list caught up.
-func TestDaemonThatPeersDoNotKnowYetFindsThem(t *testing.T) {
-	a, ra := start(t, fleet.Config{Self: "a"})
-	b, rb := start(t, fleet.Config{Self: "b"})
+// A new daemon is missing from the VM lists of its peers, because the list is
+// delayed. Its name is greater than that of its peer, which would normally
+// dial. Without dialing itself it would stay isolated until the list is
+// updated.
+func TestUnlistedDaemonDialsItsPeers(t *testing.T) {
+	a, ra := startNode(t, fleet.Config{Self: "a"})
+	b, rb := startNode(t, fleet.Config{Self: "b"})
 	b.SetVMs([]platform.VM{vm("a", a.Address())})
 	ra.eventually(t, "link to b", linked("b"))
 	rb.eventually(t, "link to a", linked("a"))
@@ -194,14 +196,14 @@
 
 func TestLeavingHeadEntriesAndClaims(t *testing.T) {
 	is := is.New(t)
-	a, ra := start(t, fleet.Config{Self: "a"})
-	b, rb := start(t, fleet.Config{Self: "b"})
+	a, ra := startNode(t, fleet.Config{Self: "a"})
+	b, rb := startNode(t, fleet.Config{Self: "b"})
 	b.SetHead(41)
 	a.SetVMs([]platform.VM{vm("b", b.Address())})
 	ra.eventually(t, "head", func(r *recorder) bool { return r.heads["b"] == 41 })
 	b.SetHead(42)
 	ra.eventually(t, "new head", func(r *recorder) bool { return r.heads["b"] == 42 })
-	b.Leaving()
+	b.AnnounceLeaving()
 	ra.eventually(t, "leaving", func(r *recorder) bool { return r.peers["b"].Leaving })
 
 	rb.entries = []fleet.Entry{{Service: "lm-pool", Revision: 42, Text: []byte("x")}, {Service: "old", Revision: 40, Deleted: true}}
@@ -220,31 +222,31 @@
 }
 
 // A daemon restarts without state under its old name and address. Its peer must
-// take the new incarnation for a new daemon; what belonged to the old one is
-// gone.
-func TestRestartedDaemonIsTakenForANewOne(t *testing.T) {
-	a, ra := start(t, fleet.Config{Self: "a"})
-	b, _ := start(t, fleet.Config{Self: "b"})
+// treat the new incarnation as a new daemon and discard the state of the old
+// one.
+func TestRestartedDaemonIsTreatedAsNew(t *testing.T) {
+	a, ra := startNode(t, fleet.Config{Self: "a"})
+	b, _ := startNode(t, fleet.Config{Self: "b"})
 	address := b.Address()
 	a.SetVMs([]platform.VM{vm("b", address)})
 	ra.eventually(t, "link to b", linked("b"))
-	stop(t, b)
-	_, rb := start(t, fleet.Config{Self: "b", Incarnation: 2, Listen: address})
+	stopNode(t, b)
+	_, rb := startNode(t, fleet.Config{Self: "b", Incarnation: 2, Listen: address})
 	ra.eventually(t, "new incarnation", func(r *recorder) bool { return r.peers["b"].Incarnation == 2 })
 	rb.eventually(t, "link to a", linked("a"))
 }
 
-// A daemon asks another one in the store's stead. Rows arrive as they are; history that
-// is lost is told from a peer that cannot help, since only the former means that the
-// whole table has to be read.
-func TestRowsOfTheStoreComeFromAPeer(t *testing.T) {
+// A daemon reads the platform's store through a peer. Rows must arrive
+// unchanged, and lost history must be distinguishable from a peer that cannot
+// serve the request: only lost history requires reading the whole table.
+func TestFollowReadsRowsFromAPeer(t *testing.T) {
 	is := is.New(t)
-	a, ra := start(t, fleet.Config{Self: "a"})
-	b, rb := start(t, fleet.Config{Self: "b"})
+	a, ra := startNode(t, fleet.Config{Self: "a"})
+	b, rb := startNode(t, fleet.Config{Self: "b"})
 	want := platform.FeedAnswer{Revision: platform.NewRevision(2, 9), Rows: []platform.FeedRow{
 		{Key: "k", Value: []byte("v"), Revision: platform.NewRevision(2, 7)}, {Key: "gone", Revision: platform.NewRevision(2, 9), Deleted: true},
 	}}
-	rb.followed = func(q platform.FeedQuery) (platform.FeedAnswer, error) {
+	rb.onFollow = func(q platform.FeedQuery) (platform.FeedAnswer, error) {
 		if q != (platform.FeedQuery{Table: "t", After: platform.NewRevision(1, 5), Wait: time.Second}) {
 			return platform.FeedAnswer{}, platform.ErrHistoryLost
 		}
--- a/internal/fleet/outbox.go
+++ b/internal/fleet/outbox.go
@@ -8,50 +8,51 @@
 	"github.com/savorystall/savorystall/internal/scheduler"
 )
 
-// outbox holds what waits to be sent on one link. Of demand, parts, sums, limits and
-// the held list the newest stands for all; news are kept but for repeats; grants,
-// releases and slots asked back are all kept, in order, up to a bound.
+// outbox holds the messages to be sent on a link. For demand, served totals,
+// aggregates, limits and held grants, a newer value replaces the queued one. Of
+// health updates only repetitions are dropped. Grants, releases and preemptions
+// are all kept, in order; grants and releases are limited in number.
 type outbox struct {
-	mu      sync.Mutex
-	limit   int
-	queued  scheduler.Message
-	demands map[pair]int
-	parts   map[pair]int
-	sums    map[pair]int
-	limits  map[pair]int
-	news    map[pair]int
-	usage   map[pair]int
-	loads   map[pair]int
-	head    uint64
-	leaving bool
-	watch   fleetv1.Watch
-	reports []membership.Report
-	dirty   bool
-	closed  bool
-
-	// ready is signalled when the first thing is queued, urgent when something
-	// must not wait for the batch.
+	mu             sync.Mutex
+	limit          int
+	queued         scheduler.Message
+	demandIndex    map[pair]int
+	servedIndex    map[pair]int
+	aggregateIndex map[pair]int
+	limitIndex     map[pair]int
+	healthIndex    map[pair]int
+	usageIndex     map[pair]int
+	loadIndex      map[pair]int
+	head           uint64
+	leaving        bool
+	watch          fleetv1.Watch
+	reports        []membership.Report
+	dirty          bool
+	closed         bool
+
+	// ready is signaled when something is queued, urgent when it must not wait
+	// for further messages.
 	ready, urgent chan struct{}
 }
 
 func newOutbox(limit int) *outbox {
 	return &outbox{
-		limit:   limit,
-		demands: map[pair]int{}, parts: map[pair]int{}, sums: map[pair]int{},
-		limits: map[pair]int{}, news: map[pair]int{}, usage: map[pair]int{}, loads: map[pair]int{},
+		limit:       limit,
+		demandIndex: map[pair]int{}, servedIndex: map[pair]int{}, aggregateIndex: map[pair]int{},
+		limitIndex: map[pair]int{}, healthIndex: map[pair]int{}, usageIndex: map[pair]int{}, loadIndex: map[pair]int{},
 		ready: make(chan struct{}, 1), urgent: make(chan struct{}, 1),
 	}
 }
 
-// put queues a message without blocking. It returns false where the queue is
-// full: the link must then be reset, for a grant or release would be lost.
-func (o *outbox) put(m *scheduler.Message) bool {
+// enqueue queues a message without blocking. It returns false if the queue is
+// full: the link must then be reset, because a grant or release would be lost.
+func (o *outbox) enqueue(m *scheduler.Message) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.closed {
 		return true
 	}
-	if queued(&o.queued)+queued(m) > o.limit {
+	if reliableRows(&o.queued)+reliableRows(m) > o.limit {
 		o.closed = true
 		return false
 	}
@@ -60,8 +61,9 @@
 	return true
 }
 
-// queued counts the rows of a message of which each one must arrive.
-func queued(m *scheduler.Message) int {
+// reliableRows counts the rows of a message that must not be lost and count
+// against the limit.
+func reliableRows(m *scheduler.Message) int {
 	b := &m.Bookings
 	return len(m.Grants) + len(m.Releases) + len(b.Reservations) + len(b.Replies) + len(b.FirstBytes) + len(b.Releases)
 }
@@ -69,19 +71,19 @@
 func (o *outbox) merge(m *scheduler.Message) {
 	q := &o.queued
 	for _, d := range m.Demand {
-		q.Demand = newest(q.Demand, o.demands, pair{d.Service, string(d.Workspace)}, d)
+		q.Demand = upsert(q.Demand, o.demandIndex, pair{d.Service, string(d.Workspace)}, d)
 	}
 	for _, p := range m.ServedTotals {
-		q.ServedTotals = newest(q.ServedTotals, o.parts, pair{p.Service, string(p.Workspace)}, p)
+		q.ServedTotals = upsert(q.ServedTotals, o.servedIndex, pair{p.Service, string(p.Workspace)}, p)
 	}
 	for _, p := range m.Aggregates {
-		q.Aggregates = newest(q.Aggregates, o.sums, pair{p.Service, string(p.Workspace)}, p)
+		q.Aggregates = upsert(q.Aggregates, o.aggregateIndex, pair{p.Service, string(p.Workspace)}, p)
 	}
 	for _, l := range m.Limits {
-		q.Limits = newest(q.Limits, o.limits, pair{l.Service, string(l.Workspace)}, l)
+		q.Limits = upsert(q.Limits, o.limitIndex, pair{l.Service, string(l.Workspace)}, l)
 	}
 	for _, n := range m.HealthUpdates {
-		o.addNews(n)
+		o.addHealthUpdate(n)
 	}
 	q.Grants = append(q.Grants, m.Grants...)
 	q.Releases = append(q.Releases, m.Releases...)
@@ -92,30 +94,32 @@
 	}
 }
 
-// addNews keeps the order of different news of a target: of "leaving" followed
-// by "failed" both have to arrive, or the target would get new work again.
-func (o *outbox) addNews(n scheduler.TargetHealthUpdate) {
+// addHealthUpdate queues a health update and preserves the order of different
+// updates of a target: if "leaving" is followed by "failed", both must arrive,
+// or the target would receive new requests again.
+func (o *outbox) addHealthUpdate(n scheduler.TargetHealthUpdate) {
 	key := pair{n.Service, string(n.Target)}
-	if i, ok := o.news[key]; ok && o.queued.HealthUpdates[i] == n {
+	if i, ok := o.healthIndex[key]; ok && o.queued.HealthUpdates[i] == n {
 		return
 	}
-	o.news[key] = len(o.queued.HealthUpdates)
+	o.healthIndex[key] = len(o.queued.HealthUpdates)
 	o.queued.HealthUpdates = append(o.queued.HealthUpdates, n)
 }
 
-func newest[T any](rows []T, at map[pair]int, key pair, row T) []T {
-	if i, ok := at[key]; ok {
+func upsert[T any](rows []T, index map[pair]int, key pair, row T) []T {
+	if i, ok := index[key]; ok {
 		rows[i] = row
 		return rows
 	}
-	at[key] = len(rows)
+	index[key] = len(rows)
 	return append(rows, row)
 }
 
-// setHead queues a change of the configuration head. It rides on the next
-// frame, at the latest the next heartbeat: every daemon announces each change to
-// all others, while each reads the table for itself every second. A frame of its
-// own for each would take more than the whole budget of a large fleet.
+// setHead queues a change of the configuration revision. It is sent with the
+// next frame, at the latest with the next heartbeat: every daemon announces
+// each change to all others, and each of them also reads the table itself every
+// second. A separate frame for each announcement would exceed the entire
+// traffic budget of a large fleet.
 func (o *outbox) setHead(head uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -123,15 +127,15 @@
 	o.dirty = true
 }
 
-// greet queues what a peer has to know first on a new link.
-func (o *outbox) greet(head uint64, leaving bool) {
+// queueInitialState queues the state that a peer needs first on a new link.
+func (o *outbox) queueInitialState(head uint64, leaving bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.head, o.leaving = head, leaving
 	o.signal(true)
 }
 
-// setLeaving queues the announcement of a planned stop.
+// setLeaving queues the announcement of a planned shutdown.
 func (o *outbox) setLeaving() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -139,7 +143,8 @@
 	o.signal(true)
 }
 
-// setWatch queues whether the peer is watched. A look waits for the answer.
+// setWatch queues whether this daemon watches the peer. It is sent promptly
+// because a probe of the peer waits for the response.
 func (o *outbox) setWatch(w fleetv1.Watch) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -147,8 +152,9 @@
 	o.signal(false)
 }
 
-// addReports queues daemons that are not heard. Beyond the bound they are lost,
-// which costs time only: others report the same.
+// addReports queues reports of daemons that are not heard from. Reports beyond
+// the limit are dropped, which only delays detection: other daemons report the
+// same.
 func (o *outbox) addReports(reports []membership.Report) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -158,8 +164,9 @@
 	}
 }
 
-// beat asks for a frame now.
-func (o *outbox) beat() {
+// requestFrame requests that a frame is sent promptly, even if nothing is
+// queued.
+func (o *outbox) requestFrame() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.signal(false)
@@ -167,20 +174,20 @@
 
 func (o *outbox) signal(urgent bool) {
 	o.dirty = true
-	poke(o.ready)
+	trySignal(o.ready)
 	if urgent {
-		poke(o.urgent)
+		trySignal(o.urgent)
 	}
 }
 
-func poke(c chan struct{}) {
+func trySignal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// batch is what one frame takes out of an outbox.
+// batch is the content of an outbox that one frame carries.
 type batch struct {
 	message scheduler.Message
 	head    uint64
@@ -189,7 +196,7 @@
 	reports []membership.Report
 }
 
-// take empties the outbox; ok is false where nothing waits.
+// take empties the outbox; ok is false if nothing is queued.
 func (o *outbox) take() (b batch, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -199,12 +206,12 @@
 	b = batch{message: o.queued, head: o.head, leaving: o.leaving, watch: o.watch, reports: o.reports}
 	o.queued, o.head, o.dirty = scheduler.Message{}, 0, false
 	o.watch, o.reports = fleetv1.Watch_WATCH_UNCHANGED, nil
-	clear(o.demands)
-	clear(o.parts)
-	clear(o.sums)
-	clear(o.limits)
-	clear(o.news)
-	clear(o.usage)
-	clear(o.loads)
+	clear(o.demandIndex)
+	clear(o.servedIndex)
+	clear(o.aggregateIndex)
+	clear(o.limitIndex)
+	clear(o.healthIndex)
+	clear(o.usageIndex)
+	clear(o.loadIndex)
 	return b, true
 }
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -17,7 +17,7 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// server is the listening end of a node.
+// server implements the gRPC service of a node.
 type server struct {
 	fleetv1.UnimplementedFleetServer
 	node *Node
@@ -25,18 +25,18 @@
 
 func (n *Node) newServer() *grpc.Server {
 	options := []grpc.ServerOption{
-		grpc.ReadBufferSize(connBuffer),
-		grpc.WriteBufferSize(connBuffer),
-		grpc.StaticStreamWindowSize(streamWindow),
-		grpc.StaticConnWindowSize(streamWindow),
-		grpc.MaxRecvMsgSize(maxMessage),
+		grpc.ReadBufferSize(connBufferSize),
+		grpc.WriteBufferSize(connBufferSize),
+		grpc.StaticStreamWindowSize(streamWindowSize),
+		grpc.StaticConnWindowSize(streamWindowSize),
+		grpc.MaxRecvMsgSize(maxMessageSize),
 		grpc.WaitForHandlers(true),
 		grpc.ConnectionTimeout(handshakeTimeout),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: serverPingAfter, Timeout: pingTimeout}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: pingAfter / 2}),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: serverKeepaliveInterval, Timeout: keepaliveTimeout}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveInterval / 2}),
 	}
 	if n.cfg.Identity != nil {
-		options = append(options, grpc.Creds(n.logged(credentials.NewTLS(n.cfg.Identity.Server()))))
+		options = append(options, grpc.Creds(n.withHandshakeLogging(credentials.NewTLS(n.cfg.Identity.Server()))))
 	}
 	s := grpc.NewServer(options...)
 	fleetv1.RegisterFleetServer(s, &server{node: n})
@@ -48,15 +48,15 @@
 	if err != nil {
 		return nil, err
 	}
-	return &countedListener{Listener: l, counters: &n.counters}, nil
+	return &countingListener{Listener: l, counters: &n.counters}, nil
 }
 
-// Link serves a link that a peer dialled.
+// Link serves a link dialed by a peer.
 func (s *server) Link(stream grpc.BidiStreamingServer[fleetv1.Frame, fleetv1.Frame]) error {
 	n := s.node
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
-	h, err := firstHello(ctx, stream)
+	h, err := receiveHello(ctx, stream)
 	if err != nil {
 		return err
 	}
@@ -65,15 +65,15 @@
 		event.FleetLinkRefused.Log(n.cfg.Logger, "peer", h.GetFrom(), "error", err)
 		return status.Error(codes.FailedPrecondition, err.Error())
 	}
-	l.dialler, l.session = l.peer, h.GetSession()
-	if err := n.open(ctx, l); err != nil {
+	l.dialer, l.session = l.peer, h.GetSession()
+	if err := n.requestRegistration(ctx, l); err != nil {
 		return status.Error(refusalCode(err), err.Error())
 	}
-	// The handler must return for the stream to end, also while Recv waits.
+	// The handler must return to end the stream, even while Recv blocks.
 	served := make(chan struct{})
 	n.tasks.Go(func() {
 		defer close(served)
-		n.run(ctx, l, &fleetv1.Frame{Hello: n.hello(l.peer, l.session)})
+		n.serveLink(ctx, l, &fleetv1.Frame{Hello: n.hello(l.peer, l.session)})
 	})
 	select {
 	case <-ctx.Done():
@@ -82,30 +82,31 @@
 	return status.Error(codes.Aborted, "link ended")
 }
 
-// refusalCode lets the dialler tell the refusals apart.
+// refusalCode returns a status code by which the dialer can distinguish the
+// reasons for a refusal.
 func refusalCode(err error) codes.Code {
-	if errors.Is(err, errOutdated) {
+	if errors.Is(err, errOldIncarnation) {
 		return codes.AlreadyExists
 	}
 	return codes.Aborted
 }
 
-// firstHello bounds the wait for the first frame: a dialler that never speaks
-// would else hold a stream for good.
-func firstHello(ctx context.Context, stream frameStream) (*fleetv1.Hello, error) {
+// receiveHello waits for the first frame for a limited time: a dialer that
+// never sends one would otherwise hold the stream indefinitely.
+func receiveHello(ctx context.Context, stream frameStream) (*fleetv1.Hello, error) {
 	type result struct {
 		frame *fleetv1.Frame
 		err   error
 	}
-	got := make(chan result, 1)
+	received := make(chan result, 1)
 	go func() {
 		f, err := stream.Recv()
-		got <- result{f, err}
+		received <- result{f, err}
 	}()
 	timeout := time.NewTimer(handshakeTimeout)
 	defer timeout.Stop()
 	select {
-	case r := <-got:
+	case r := <-received:
 		if r.err != nil {
 			return nil, r.err
 		}
@@ -117,7 +118,7 @@
 	}
 }
 
-// Entries returns the configuration in force.
+// Entries returns the configuration entries in force.
 func (s *server) Entries(_ context.Context, r *fleetv1.EntriesRequest) (*fleetv1.EntriesReply, error) {
 	reply := &fleetv1.EntriesReply{}
 	for _, e := range s.node.handler.Entries(r.GetAfter()) {
@@ -129,13 +130,13 @@
 }
 
 var claimCodes = map[ClaimState]fleetv1.ClaimState{
-	ClaimUnknown:  fleetv1.ClaimState_CLAIM_STATE_UNKNOWN,
-	ClaimFinished: fleetv1.ClaimState_CLAIM_STATE_FINISHED,
-	ClaimRunning:  fleetv1.ClaimState_CLAIM_STATE_RUNNING,
-	ClaimNever:    fleetv1.ClaimState_CLAIM_STATE_NEVER,
+	ClaimUnknown:         fleetv1.ClaimState_CLAIM_STATE_UNKNOWN,
+	ClaimFinished:        fleetv1.ClaimState_CLAIM_STATE_FINISHED,
+	ClaimRunning:         fleetv1.ClaimState_CLAIM_STATE_RUNNING,
+	ClaimNeverDispatched: fleetv1.ClaimState_CLAIM_STATE_NEVER,
 }
 
-// AskClaim answers a daemon that met a claim of this one.
+// AskClaim answers a daemon that has encountered a claim held by this one.
 func (s *server) AskClaim(_ context.Context, r *fleetv1.AskClaimRequest) (*fleetv1.AskClaimReply, error) {
 	a := s.node.handler.Claim(ClaimQuery{
 		Service: ident.Service(r.GetService()), Workspace: ident.Workspace(r.GetWorkspace()),
--- a/internal/fleet/traffic.go
+++ b/internal/fleet/traffic.go
@@ -6,34 +6,36 @@
 	"sync/atomic"
 )
 
-// packetOverhead is the assumed cost of one write or read in bytes of IPv4 and
-// TCP headers, timestamps included. Acknowledgements without data are not
-// counted.
+// packetOverhead is the assumed size of the IPv4 and TCP headers, including
+// timestamps, per write or read, in bytes. Acknowledgements without data are
+// not counted.
 const packetOverhead = 52
 
-// Traffic counts the control traffic of a node since its start.
+// Traffic holds counters of the control traffic of a node since startup.
 type Traffic struct {
-	// FramesSent and FramesReceived count frames, heartbeats included.
+	// FramesSent and FramesReceived count frames, including heartbeats.
 	FramesSent, FramesReceived uint64
-	// PayloadSent and PayloadReceived are the bytes of the encoded frames.
+	// PayloadSent and PayloadReceived count the bytes of encoded frames.
 	PayloadSent, PayloadReceived uint64
-	// StreamSent and StreamReceived are the bytes on the TCP connections, with
-	// HTTP/2 framing and TLS, of links and calls alike. They are measured.
+	// StreamSent and StreamReceived count the bytes measured on the TCP
+	// connections of both links and calls, including HTTP/2 framing and TLS.
 	StreamSent, StreamReceived uint64
 	// PacketsSent and PacketsReceived count writes to and reads from the
-	// connections, about one packet each at this size.
+	// connections; at these sizes each is about one packet.
 	PacketsSent, PacketsReceived uint64
 }
 
-// EstimatedSent is StreamSent plus an estimate of IP and TCP headers, in bytes.
+// EstimatedSent is StreamSent plus the estimated size of IP and TCP headers, in
+// bytes.
 func (t Traffic) EstimatedSent() uint64 { return t.StreamSent + packetOverhead*t.PacketsSent }
 
-// EstimatedReceived is StreamReceived plus an estimate of IP and TCP headers.
+// EstimatedReceived is StreamReceived plus the estimated size of IP and TCP
+// headers, in bytes.
 func (t Traffic) EstimatedReceived() uint64 {
 	return t.StreamReceived + packetOverhead*t.PacketsReceived
 }
 
-// counters are the live figures behind Traffic.
+// counters holds the live counters behind Traffic.
 type counters struct {
 	framesSent, framesReceived   atomic.Uint64
 	payloadSent, payloadReceived atomic.Uint64
@@ -50,13 +52,13 @@
 	}
 }
 
-// countedConn counts what passes through a connection.
-type countedConn struct {
+// countingConn counts the traffic of a connection.
+type countingConn struct {
 	net.Conn
 	counters *counters
 }
 
-func (c *countedConn) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
 		c.counters.streamReceived.Add(uint64(n))
@@ -65,7 +67,7 @@
 	return n, err
 }
 
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	if n > 0 {
 		c.counters.streamSent.Add(uint64(n))
@@ -74,18 +76,18 @@
 	return n, err
 }
 
-// countedListener counts what passes through the connections it accepts.
-type countedListener struct {
+// countingListener counts the traffic of the connections that it accepts.
+type countingListener struct {
 	net.Listener
 	counters *counters
 }
 
-func (l *countedListener) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{Conn: c, counters: l.counters}, nil
+	return &countingConn{Conn: c, counters: l.counters}, nil
 }
 
 func (c *counters) dial(ctx context.Context, address string) (net.Conn, error) {
@@ -94,5 +96,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{Conn: conn, counters: c}, nil
+	return &countingConn{Conn: conn, counters: c}, nil
 }
--- a/internal/fleet/watch.go
+++ b/internal/fleet/watch.go
@@ -9,74 +9,78 @@
 )
 
 const (
-	// useBeats is how many heartbeats a link is watched after the last message.
-	useBeats = 10
-	// restBeats is the interval, in heartbeats, at which a resting link sends an
-	// empty frame, so that a middlebox does not take it for gone.
-	restBeats = 120
+	// watchAfterSendHeartbeats is for how many heartbeats a peer is watched
+	// after the last message was sent to it.
+	watchAfterSendHeartbeats = 10
+	// unwatchedHeartbeats is the interval, in heartbeats, at which an empty
+	// frame is sent on an unwatched link, so that middleboxes do not drop the
+	// connection as idle.
+	unwatchedHeartbeats = 120
 )
 
-// beat is how long the link may be idle before an empty frame is sent. A peer
-// that never said that it watches few, such as one of an earlier version, gets
-// each heartbeat.
-func (n *Node) beat(l *link) time.Duration {
-	if l.rests.Load() {
-		return restBeats * n.cfg.Heartbeat
+// heartbeatInterval returns how long the link may be idle before an empty frame
+// is sent. A peer that has never sent a watch state, such as one of an earlier
+// version, gets every heartbeat.
+func (n *Node) heartbeatInterval(l *link) time.Duration {
+	if l.unwatchedByPeer.Load() {
+		return unwatchedHeartbeats * n.cfg.Heartbeat
 	}
 	return n.cfg.Heartbeat
 }
 
-// takeWatch takes in whether the peer watches this daemon. It is answered by the
-// link's reader, not by the control goroutine, so that a busy one is not taken
-// for dead.
-func (l *link) takeWatch(w fleetv1.Watch) {
+// applyWatch updates whether the peer watches this daemon. The link's reader
+// responds to it, not the control goroutine, so that a busy control goroutine
+// is not mistaken for a dead daemon.
+func (l *link) applyWatch(w fleetv1.Watch) {
 	switch w {
 	case fleetv1.Watch_WATCH_BEGINS:
-		l.rests.Store(false)
-		l.out.beat()
+		l.unwatchedByPeer.Store(false)
+		l.outbox.requestFrame()
 	case fleetv1.Watch_WATCH_ENDS:
-		l.rests.Store(true)
+		l.unwatchedByPeer.Store(true)
 	}
 }
 
-// noteUse tells the table which links were sent messages. Without it a link that
-// went silent while it rested would swallow demand and grants unnoticed.
-func (n *Node) noteUse(now time.Time) {
+// recordSends reports to the membership table to which peers messages were
+// sent, so that they are watched. Otherwise demand and grants sent over an
+// unwatched link that has failed silently would be lost unnoticed.
+func (n *Node) recordSends(now time.Time) {
 	for peer, l := range n.links.byPeer {
-		if l.used.Swap(false) {
+		if l.sentSinceTick.Swap(false) {
 			n.table.MessageSent(now, peer)
 		}
 	}
 }
 
-// tellWatched tells the peers whether they are watched, where that changed.
-func (n *Node) tellWatched() {
+// sendWatchChanges tells peers whether they are watched if that has changed.
+func (n *Node) sendWatchChanges() {
 	for peer, l := range n.links.byPeer {
 		unwatched := !n.table.Watched(peer)
-		if unwatched == l.unwatched {
+		if unwatched == l.peerUnwatched {
 			continue
 		}
-		l.unwatched = unwatched
+		l.peerUnwatched = unwatched
 		if unwatched {
-			l.out.setWatch(fleetv1.Watch_WATCH_ENDS)
+			l.outbox.setWatch(fleetv1.Watch_WATCH_ENDS)
 		} else {
-			l.out.setWatch(fleetv1.Watch_WATCH_BEGINS)
+			l.outbox.setWatch(fleetv1.Watch_WATCH_BEGINS)
 		}
 	}
 }
 
-// tellReports tells all peers whom this daemon watches and does not hear.
-func (n *Node) tellReports() {
+// sendSilenceReports reports the daemons that this daemon watches but does not
+// hear from to all peers.
+func (n *Node) sendSilenceReports() {
 	reports := n.table.TakeReports()
 	if len(reports) == 0 {
 		return
 	}
 	for _, l := range n.links.byPeer {
-		l.out.addReports(reports)
+		l.outbox.addReports(reports)
 	}
 }
 
-func silentFrame(reports []membership.Report) *fleetv1.Silent {
+func encodeSilent(reports []membership.Report) *fleetv1.Silent {
 	if len(reports) == 0 {
 		return nil
 	}
@@ -88,9 +92,9 @@
 	return s
 }
 
-// reportsOf reads a frame's reports; of columns that differ in length the rest
-// is left out.
-func reportsOf(s *fleetv1.Silent) []membership.Report {
+// decodeSilent decodes the reports of a frame. If the columns differ in length,
+// the excess rows are ignored.
+func decodeSilent(s *fleetv1.Silent) []membership.Report {
 	var reports []membership.Report
 	for i, id := range s.GetDaemon() {
 		if i < len(s.GetIncarnation()) {
