--- a/internal/attempt/answer.go
+++ b/internal/attempt/answer.go
@@ -8,54 +8,57 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Errors that end an attempt or a connection of it.
+// Errors that end an attempt or one of its connections.
 var (
-	errBadHeader = merry.New("a header is malformed")
-	errNoStream  = merry.New("the engine does not know the stream")
-	errNoToken   = merry.New("the engine shows life and generates nothing")
-	// errGap ends the connection; the stream is resumed at the offset.
-	errGap = merry.New("the stream left out tokens")
+	errBadHeader      = merry.New("a request header has an invalid name or value")
+	errStreamNotFound = merry.New("the engine has no stream with this attempt ID")
+	errTokenTimeout   = merry.New("the engine sends heartbeats but no token within the timeout")
+	// errOffsetGap ends the connection; the stream is then resumed at the last
+	// offset.
+	errOffsetGap = merry.New("tokens are missing from the stream")
 )
 
-// protocolError is an answer that breaks the engine protocol.
+// protocolError reports a response that violates the engine protocol.
 type protocolError string
 
 // Error implements error.
 func (e protocolError) Error() string { return string(e) }
 
-// engineError is an error that the engine reported within a stream.
+// engineError is an error event that the engine sent within a stream.
 type engineError struct{ text string }
 
 // Error implements error.
-func (e *engineError) Error() string { return "the engine reported: " + e.text }
+func (e *engineError) Error() string { return "the engine reported an error: " + e.text }
 
-// sinkError is the sink's refusal to take more.
+// sinkError wraps an error returned by the sink.
 type sinkError struct{ cause error }
 
 // Error implements error.
-func (e *sinkError) Error() string { return "the receiver left: " + e.cause.Error() }
+func (e *sinkError) Error() string { return "writing to the receiver failed: " + e.cause.Error() }
 
-var endMark = []byte("[DONE]")
+var doneMarker = []byte("[DONE]")
 
-// answer puts the events of one stream, which may come over several
-// connections, together.
+// streamAssembler combines the events of one stream, which may arrive over
+// several connections, into one answer.
 //
-// It guards against a late or repeated chunk, a gap and an early end: each event
-// carries the offset after it, a chunk at or below the offset reached is
-// dropped, one that does not follow on ends the connection, and the end mark
-// counts only after the chunk with the finish reason.
-type answer struct {
+// It protects against late or repeated chunks, gaps and a premature end: each
+// event carries the offset after it. A chunk at or below the current offset is
+// dropped, a chunk that leaves a gap ends the connection, and the end mark is
+// accepted only after the chunk with the finish reason.
+type streamAssembler struct {
 	sink         Sink
 	offset       uint64
 	promptTokens int
 	finished     bool
 }
 
-func newAnswer(sink Sink, after uint64) *answer { return &answer{sink: sink, offset: after} }
+func newStreamAssembler(sink Sink, startOffset uint64) *streamAssembler {
+	return &streamAssembler{sink: sink, offset: startOffset}
+}
 
-// eventFields are the parts of an event's data that matter here.
+// eventFields holds the fields of an event's data that the attempt evaluates.
 type eventFields struct {
-	// Tokens is the number of tokens in the chunk; absent means one.
+	// Tokens is the number of tokens in the chunk; nil means one.
 	Tokens  *int `json:"tokens"`
 	Choices []struct {
 		FinishReason *string `json:"finish_reason"`
@@ -69,16 +72,17 @@
 	} `json:"error"`
 }
 
-// telling are the words without which an event is a plain chunk of one token,
-// so that most chunks need no parsing.
-var telling = [][]byte{
+// fieldMarkers are the substrings that require an event to be parsed. An event
+// with none of them is an ordinary chunk of one token, so most chunks are not
+// parsed.
+var fieldMarkers = [][]byte{
 	[]byte(`"tokens"`), []byte(`"usage"`), []byte(`"error"`), []byte(`"finish_reason":"`), []byte(`"finish_reason": "`),
 }
 
 func parseFields(data []byte) (eventFields, error) {
 	var f eventFields
-	for _, word := range telling {
-		if bytes.Contains(data, word) {
+	for _, marker := range fieldMarkers {
+		if bytes.Contains(data, marker) {
 			err := json.Unmarshal(data, &f)
 			return f, err
 		}
@@ -89,10 +93,10 @@
 	return f, nil
 }
 
-// take hands an event to the sink. It returns true at the end mark of a whole
-// answer.
-func (a *answer) take(e event) (done bool, err error) {
-	if bytes.Equal(e.data, endMark) {
+// processEvent passes the chunk of an event to the sink. It returns true at the
+// end mark of a complete answer.
+func (a *streamAssembler) processEvent(e event) (done bool, err error) {
+	if bytes.Equal(e.data, doneMarker) {
 		if !a.finished {
 			return false, protocolError("the end mark comes before the last chunk")
 		}
@@ -105,10 +109,10 @@
 	if fields.Error != nil {
 		return false, &engineError{text: fields.Error.Message}
 	}
-	return false, a.takeChunk(e, fields)
+	return false, a.processChunk(e, fields)
 }
 
-func (a *answer) takeChunk(e event, fields eventFields) error {
+func (a *streamAssembler) processChunk(e event, fields eventFields) error {
 	offset, err := strconv.ParseUint(e.id, 10, 64)
 	if err != nil {
 		return protocolError("an event's id is not an offset")
@@ -124,16 +128,16 @@
 		return nil
 	}
 	if offset-uint64(tokens) != a.offset {
-		return errGap
+		return errOffsetGap
 	}
 	if err := a.sink.Chunk(Chunk{Offset: offset, Tokens: tokens, Data: e.data}); err != nil {
 		return &sinkError{cause: err}
 	}
 	a.offset = offset
-	return a.noteEnd(fields)
+	return a.recordCompletion(fields)
 }
 
-func (a *answer) noteEnd(fields eventFields) error {
+func (a *streamAssembler) recordCompletion(fields eventFields) error {
 	for _, c := range fields.Choices {
 		if c.FinishReason != nil {
 			a.finished = true
--- a/internal/attempt/cache.go
+++ b/internal/attempt/cache.go
@@ -16,19 +16,19 @@
 
 const (
 	cacheEventsPath = "/cache/events"
-	// CachePageEvents bounds the events of one answer, and with some 60 bytes
-	// each the bytes.
-	CachePageEvents = 64
-	// maxCachePageBytes is eight times what such an answer takes.
+	// MaxCachePageEvents bounds the number of events in one response and thereby
+	// its size, at about 60 bytes per event.
+	MaxCachePageEvents = 64
+	// maxCachePageBytes is eight times the size of such a response.
 	maxCachePageBytes = 32 << 10
 )
 
-// ErrNoCacheEvents tells that a target does not publish cache events.
-var ErrNoCacheEvents = merry.Sentinel("the target publishes no cache events")
+// ErrCacheEventsUnsupported reports that a target does not publish cache events.
+var ErrCacheEventsUnsupported = merry.Sentinel("the target does not support cache events")
 
-// cachePage is the answer to GET /cache/events.
+// cachePage is the response to GET /cache/events.
 type cachePage struct {
-	Run    string `json:"run"`
+	RunID  string `json:"run"`
 	Events []struct {
 		Sequence uint64 `json:"seq"`
 		Kind     string `json:"kind"`
@@ -37,15 +37,16 @@
 	Next uint64 `json:"next"`
 }
 
-// CacheEvents asks a target for the cache events after a number. It takes at most
-// ConnectTimeout and FirstByte. ErrNoCacheEvents tells that there are none to be
-// had; other errors are those of a target that gave no answer of use.
+// CacheEvents requests the cache events after a sequence number from a target.
+// It takes at most ConnectTimeout plus FirstByteTimeout. It returns
+// ErrCacheEventsUnsupported if the target does not publish events, and another
+// error if the target is unreachable or its response is invalid.
 func (r *Runner) CacheEvents(ctx context.Context, address string, after uint64) (placement.CachePage, error) {
-	ctx, cancel := context.WithTimeout(ctx, r.cfg.ConnectTimeout+r.cfg.FirstByte)
+	ctx, cancel := context.WithTimeout(ctx, r.cfg.ConnectTimeout+r.cfg.FirstByteTimeout)
 	defer cancel()
-	query := url.Values{"after": {strconv.FormatUint(after, 10)}, "limit": {strconv.Itoa(CachePageEvents)}}
+	query := url.Values{"after": {strconv.FormatUint(after, 10)}, "limit": {strconv.Itoa(MaxCachePageEvents)}}
 	u := &url.URL{Scheme: "http", Host: address, Path: cacheEventsPath, RawQuery: query.Encode()}
-	resp, err := r.fresh.RoundTrip(newRequest(ctx, http.MethodGet, u, requestHeader(ctx, nil), nil))
+	resp, err := r.unpooled.RoundTrip(newRequest(ctx, http.MethodGet, u, requestHeader(ctx, nil), nil))
 	if err != nil {
 		return placement.CachePage{}, err
 	}
@@ -53,7 +54,7 @@
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusNotFound, http.StatusNotImplemented:
-		return placement.CachePage{}, ErrNoCacheEvents
+		return placement.CachePage{}, ErrCacheEventsUnsupported
 	default:
 		return placement.CachePage{}, fmt.Errorf("cache events: status %d", resp.StatusCode)
 	}
@@ -61,15 +62,15 @@
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxCachePageBytes)).Decode(&page); err != nil {
 		return placement.CachePage{}, merry.Prepend(err, "cache events")
 	}
-	return page.events()
+	return page.toPlacement()
 }
 
-func (p *cachePage) events() (placement.CachePage, error) {
-	out := placement.CachePage{Run: p.Run, Next: p.Next, More: len(p.Events) >= CachePageEvents}
+func (p *cachePage) toPlacement() (placement.CachePage, error) {
+	out := placement.CachePage{Run: p.RunID, Next: p.Next, More: len(p.Events) >= MaxCachePageEvents}
 	for _, e := range p.Events {
 		prefix, err := strconv.ParseUint(e.Prefix, 16, 64)
 		if err != nil {
-			return placement.CachePage{}, merry.Prepend(err, "prefix of a cache event")
+			return placement.CachePage{}, merry.Prepend(err, "cache events: invalid prefix")
 		}
 		out.Events = append(out.Events, placement.CacheEvent{Sequence: e.Sequence, Prefix: prefix, Stored: e.Kind == "stored"})
 	}
--- a/internal/attempt/cache_test.go
+++ b/internal/attempt/cache_test.go
@@ -15,12 +15,12 @@
 	"github.com/savorystall/savorystall/test/faultlink"
 )
 
-// The cache of an engine changes more often than an answer holds. The events must
-// come in order over several polls, none twice; and once the engine has been
-// started again, a number of its former run must not hide the events of the new.
+// An engine has more cache events than fit into one response. Several polls must
+// return all of them in order and none twice. After the engine restarts, a
+// sequence number of its previous run must not hide the events of the new one.
 func TestCacheEventsAreReadInPages(t *testing.T) {
 	is := is.New(t)
-	r := newRunner(t, quick())
+	r := newRunner(t, shortTimeouts())
 	cfg := enginestandin.Config{CacheEntries: 200, CacheLag: time.Nanosecond, CacheGap: -1}
 	e, engine := newEngine(t, cfg)
 	const prompts = 100
@@ -31,7 +31,7 @@
 	for after < prompts {
 		page, err := r.CacheEvents(t.Context(), engine, after)
 		is.NoErr(err)
-		is.True(len(page.Events) > 0 && len(page.Events) <= attempt.CachePageEvents)
+		is.True(len(page.Events) > 0 && len(page.Events) <= attempt.MaxCachePageEvents)
 		for _, event := range page.Events {
 			after++
 			is.Equal(event.Sequence, after)
@@ -39,42 +39,43 @@
 			is.True(event.Stored)
 		}
 		is.Equal(page.Next, after)
-		is.Equal(page.More, len(page.Events) == attempt.CachePageEvents)
+		is.Equal(page.More, len(page.Events) == attempt.MaxCachePageEvents)
 	}
-	first, err := r.CacheEvents(t.Context(), engine, after)
+	empty, err := r.CacheEvents(t.Context(), engine, after)
 	is.NoErr(err)
-	is.Equal(len(first.Events), 0)
+	is.Equal(len(empty.Events), 0)
 
-	again, engine := newEngine(t, cfg)
-	again.Store("case 7")
+	restarted, engine := newEngine(t, cfg)
+	restarted.Store("case 7")
 	page, err := r.CacheEvents(t.Context(), engine, after)
 	is.NoErr(err)
-	is.True(page.Run != first.Run)
+	is.True(page.Run != empty.Run)
 	is.Equal(page.Next, uint64(1))
 }
 
-func TestCacheEventsThatAreNoneOfUse(t *testing.T) {
+func TestCacheEventsErrors(t *testing.T) {
 	is := is.New(t)
-	r := newRunner(t, quick())
+	r := newRunner(t, shortTimeouts())
 	_, err := r.CacheEvents(t.Context(), serve(t, http.NotFoundHandler(), func() {}), 0)
-	is.True(errors.Is(err, attempt.ErrNoCacheEvents))
+	is.True(errors.Is(err, attempt.ErrCacheEventsUnsupported))
 	for _, body := range []string{"", "no JSON", `{"events":[{"seq":1,"kind":"stored","prefix":"xyz"}]}`} {
-		answer := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(body)) })
-		_, err := r.CacheEvents(t.Context(), serve(t, answer, func() {}), 0)
+		handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(body)) })
+		_, err := r.CacheEvents(t.Context(), serve(t, handler, func() {}), 0)
 		is.True(err != nil)
-		is.True(!errors.Is(err, attempt.ErrNoCacheEvents))
+		is.True(!errors.Is(err, attempt.ErrCacheEventsUnsupported))
 	}
 	_, err = r.CacheEvents(t.Context(), faultlink.FreeAddress(t), 0)
 	is.True(err != nil)
 }
 
-// BenchmarkCacheEvents is a poll with a full page, the stand-in's part included.
+// BenchmarkCacheEvents measures a poll that returns a full page, including the
+// work of the stand-in engine.
 func BenchmarkCacheEvents(b *testing.B) {
 	e := enginestandin.New(enginestandin.Config{CacheEntries: 200, CacheLag: time.Nanosecond, CacheGap: -1})
 	defer e.Close()
 	s := httptest.NewServer(e)
 	defer s.Close()
-	for i := range attempt.CachePageEvents {
+	for i := range attempt.MaxCachePageEvents {
 		e.Store(fmt.Sprint("case ", i))
 	}
 	r := attempt.NewRunner(attempt.Config{})
--- a/internal/attempt/conn.go
+++ b/internal/attempt/conn.go
@@ -17,67 +17,70 @@
 	keepAliveIdle     = 3 * time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 3
-	// poolUnused is how long the pool of an address is kept without use;
-	// addresses change as VMs are replaced.
-	poolUnused = 10 * time.Minute
-	// writeBuffer and readBuffer are small, since a daemon holds thousands of
-	// open streams with events of some hundred bytes; larger bodies are read and
-	// written past them.
-	writeBuffer = 1 << 10
-	readBuffer  = 2 << 10
+	// poolIdleTimeout is how long the pool of an address is kept while unused.
+	// Pools have to expire because addresses change as VMs are replaced.
+	poolIdleTimeout = 10 * time.Minute
+	// writeBufferSize and readBufferSize are small because a daemon holds
+	// thousands of open streams whose events are a few hundred bytes long. Larger
+	// bodies bypass the buffers.
+	writeBufferSize = 1 << 10
+	readBufferSize  = 2 << 10
 )
 
-// errSealed is the error of a write after the attempt has given its verdict.
-var errSealed = merry.New("the connection is sealed")
+// errConnSealed is returned by writes after the attempt has determined whether
+// the request may have been sent.
+var errConnSealed = merry.New("the connection no longer accepts writes")
 
-// trackedConn counts the writes that were begun on a connection.
+// trackedConn counts the writes started on a connection.
 //
-// It guards against a false "not run": the transport's write loop may still be
+// It prevents a false "not run" outcome: the transport's write loop may still be
 // about to write when a canceled RoundTrip returns. Sealing makes the count
-// final, since a write that has not begun by then fails without a byte sent.
+// final, because a write that has not started by then fails without sending any
+// byte.
 type trackedConn struct {
 	net.Conn
-	mu     sync.Mutex
-	begun  uint64
-	sealed bool
+	mu            sync.Mutex
+	startedWrites uint64
+	sealed        bool
 }
 
 // Write implements net.Conn.
 func (c *trackedConn) Write(p []byte) (int, error) {
-	if err := c.begin(); err != nil {
+	if err := c.startWrite(); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(p)
 }
 
-func (c *trackedConn) begin() error {
+func (c *trackedConn) startWrite() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.sealed {
-		return errSealed
+		return errConnSealed
 	}
-	c.begun++
+	c.startedWrites++
 	return nil
 }
 
-func (c *trackedConn) writes() uint64 {
+func (c *trackedConn) writeCount() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.begun
+	return c.startedWrites
 }
 
-// seal stops all writing and returns the final count of writes begun.
+// seal rejects further writes, closes the connection and returns the final
+// number of started writes.
 func (c *trackedConn) seal() uint64 {
 	c.mu.Lock()
 	c.sealed = true
-	begun := c.begun
+	started := c.startedWrites
 	c.mu.Unlock()
-	// Nothing can be done about a failing close; the count is what matters.
+	// A failed close cannot be handled here; only the count matters.
 	_ = c.Conn.Close()
-	return begun
+	return started
 }
 
-// dialer opens tracked connections that notice a peer that is gone.
+// dialer opens tracked connections that detect an unreachable peer.
 type dialer struct {
 	*dialing.Dialer
 }
@@ -97,50 +100,51 @@
 	return &trackedConn{Conn: c}, nil
 }
 
-// pool holds the connections to one address.
+// pool holds the reusable connections to one address.
 type pool struct {
 	transport *http.Transport
-	used      time.Time
+	lastUsed  time.Time
 }
 
 func (r *Runner) newTransport() *http.Transport {
 	return &http.Transport{
-		DialContext:         r.dial.dialTracked,
+		DialContext:         r.dialer.dialTracked,
 		DisableCompression:  true,
-		MaxIdleConnsPerHost: r.cfg.IdlePerTarget,
+		MaxIdleConnsPerHost: r.cfg.MaxIdlePerTarget,
 		IdleConnTimeout:     r.cfg.IdleTimeout,
-		WriteBufferSize:     writeBuffer,
-		ReadBufferSize:      readBuffer,
+		WriteBufferSize:     writeBufferSize,
+		ReadBufferSize:      readBufferSize,
 	}
 }
 
-// pooled returns the transport that reuses connections to the address.
-func (r *Runner) pooled(address string) *http.Transport {
+// pooledTransport returns the transport that reuses connections to the address.
+func (r *Runner) pooledTransport(address string) *http.Transport {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p, ok := r.pools[address]
 	if !ok {
-		r.dropUnused(now)
+		r.evictIdlePools(now)
 		p = &pool{transport: r.newTransport()}
 		r.pools[address] = p
 	}
-	p.used = now
+	p.lastUsed = now
 	return p.transport
 }
 
-func (r *Runner) dropUnused(now time.Time) {
+func (r *Runner) evictIdlePools(now time.Time) {
 	for address, p := range r.pools {
-		if now.Sub(p.used) > poolUnused {
+		if now.Sub(p.lastUsed) > poolIdleTimeout {
 			p.transport.CloseIdleConnections()
 			delete(r.pools, address)
 		}
 	}
 }
 
-// distrust closes the unused connections to an address of which one went
-// silent: what lost track of the one may have lost track of all.
-func (r *Runner) distrust(address string) {
+// handleSilentConn closes the idle connections to an address after one of its
+// connections went silent: a device on the path, such as a firewall, that lost the
+// state of one connection may have lost that of all.
+func (r *Runner) handleSilentConn(address string) {
 	r.metrics.stalled.Inc(1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -149,45 +153,46 @@
 	}
 }
 
-// footprint tells whether any byte of one request may have reached the
-// transport of the target.
-type footprint struct {
-	mu   sync.Mutex
-	conn *trackedConn
-	base uint64
-	sent bool
+// writeTracker records whether any byte of one request may have reached the
+// target's transport.
+type writeTracker struct {
+	mu            sync.Mutex
+	conn          *trackedConn
+	initialWrites uint64
+	sent          bool
 }
 
-// observe returns a context under which the footprint follows the request.
-func (f *footprint) observe(ctx context.Context) context.Context {
+// withTrace returns a context that makes the writeTracker observe the request's
+// connections.
+func (f *writeTracker) withTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: f.gotConn})
 }
 
-func (f *footprint) gotConn(info httptrace.GotConnInfo) {
+func (f *writeTracker) gotConn(info httptrace.GotConnInfo) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.settle()
+	f.updateSent()
 	conn, ok := info.Conn.(*trackedConn)
 	if !ok {
-		// An unknown connection cannot be vouched for.
+		// The writes of an untracked connection are unknown.
 		f.sent = true
 		return
 	}
-	f.conn, f.base = conn, conn.writes()
+	f.conn, f.initialWrites = conn, conn.writeCount()
 }
 
-// settle takes the present connection into account. The caller holds f.mu.
-func (f *footprint) settle() {
-	if f.conn != nil && f.conn.writes() > f.base {
+// updateSent takes the current connection into account. The caller holds f.mu.
+func (f *writeTracker) updateSent() {
+	if f.conn != nil && f.conn.writeCount() > f.initialWrites {
 		f.sent = true
 	}
 }
 
-// final seals the connection and returns true where a byte may have left.
-func (f *footprint) final() bool {
+// seal seals the connection and reports whether any byte may have been sent.
+func (f *writeTracker) seal() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.conn != nil && f.conn.seal() > f.base {
+	if f.conn != nil && f.conn.seal() > f.initialWrites {
 		f.sent = true
 	}
 	return f.sent
--- a/internal/attempt/exchange.go
+++ b/internal/attempt/exchange.go
@@ -11,58 +11,60 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// errSilent is the cause with which a deadline ends an exchange.
-var errSilent = merry.New("the connection is silent")
+// errInactivityTimeout is the cancellation cause of an exchange whose deadline
+// has passed.
+var errInactivityTimeout = merry.New("no data arrived on the connection before the timeout")
 
-// exchange is one request on one connection, with a deadline that each sign of
-// life puts off.
+// exchange is one request on one connection, with a deadline that is extended
+// whenever data arrives.
 //
-// The deadline guards against a connection that went silent for good while new
-// ones work: reads on it block for ever and no error comes. When it passes, the
-// connection is closed, so that nothing late can arrive from it.
+// The deadline protects against a connection that has gone silent permanently
+// while new ones work: reads on it block forever without an error. When the
+// deadline passes, the connection is closed so that no late data can arrive
+// from it.
 type exchange struct {
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	timer  *time.Timer
-	trace  footprint
-	resp   *http.Response
+	ctx     context.Context
+	cancel  context.CancelCauseFunc
+	timer   *time.Timer
+	tracker writeTracker
+	resp    *http.Response
 }
 
-func (r *Runner) newExchange(ctx context.Context, first time.Duration) *exchange {
+func (r *Runner) newExchange(ctx context.Context, headerTimeout time.Duration) *exchange {
 	x := &exchange{}
 	x.ctx, x.cancel = context.WithCancelCause(ctx)
-	x.timer = time.AfterFunc(first, func() { x.cancel(errSilent) })
+	x.timer = time.AfterFunc(headerTimeout, func() { x.cancel(errInactivityTimeout) })
 	return x
 }
 
-// send writes the request and waits for the response's header. The verdict on
-// a failed one is x.sent().
+// send writes the request and waits for the response header. After an error,
+// sealAndCheckSent reports whether the request may have been sent.
 func (x *exchange) send(t *http.Transport, req *http.Request) error {
-	resp, err := t.RoundTrip(req.WithContext(x.trace.observe(x.ctx)))
+	resp, err := t.RoundTrip(req.WithContext(x.tracker.withTrace(x.ctx)))
 	if err != nil {
-		return x.explain(err)
+		return x.causeOr(err)
 	}
 	x.resp = resp
 	return nil
 }
 
-// sent returns true where a byte of the request may have left. It ends the
-// exchange.
-func (x *exchange) sent() bool { return x.trace.final() }
+// sealAndCheckSent closes the connection to further writes, which ends the
+// exchange, and reports whether any byte of the request may have been sent.
+func (x *exchange) sealAndCheckSent() bool { return x.tracker.seal() }
 
-// alive puts the deadline off.
-func (x *exchange) alive(limit time.Duration) { x.timer.Reset(limit) }
+// extendDeadline sets the deadline to timeout from now.
+func (x *exchange) extendDeadline(timeout time.Duration) { x.timer.Reset(timeout) }
 
-// explain puts the cause of the cancelling in the place of the error that it
-// led to.
-func (x *exchange) explain(err error) error {
+// causeOr returns the cancellation cause if the exchange was canceled, and err
+// otherwise.
+func (x *exchange) causeOr(err error) error {
 	if cause := context.Cause(x.ctx); cause != nil {
 		return cause
 	}
 	return err
 }
 
-// abort ends the exchange and its connection.
+// abort ends the exchange and closes its connection.
 func (x *exchange) abort() {
 	x.timer.Stop()
 	x.cancel(context.Canceled)
@@ -71,21 +73,22 @@
 	}
 }
 
-// maxDrain bounds what is read of a response to keep its connection.
-const maxDrain = 4096
+// maxDrainBytes bounds how much of a response is discarded to make its connection
+// reusable.
+const maxDrainBytes = 4096
 
-// finish ends an exchange whose response was read; its connection is kept where
-// nothing else follows in the response.
+// finish ends an exchange whose response was read. Its connection is reused if
+// the response ends within maxDrainBytes.
 func (x *exchange) finish() {
-	_, _ = io.CopyN(io.Discard, x.resp.Body, maxDrain)
+	_, _ = io.CopyN(io.Discard, x.resp.Body, maxDrainBytes)
 	_ = x.resp.Body.Close()
 	x.timer.Stop()
 	x.cancel(context.Canceled)
 }
 
-// localCause tells whether an error of dialling comes from this machine, so
-// that it says nothing about the target.
-func localCause(err error) bool {
+// isLocalError reports whether a dial error was caused by a shortage of resources
+// on this machine, so that it says nothing about the target.
+func isLocalError(err error) bool {
 	for _, cause := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS} {
 		if errors.Is(err, cause) {
 			return true
--- a/internal/attempt/header.go
+++ b/internal/attempt/header.go
@@ -12,7 +12,7 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// Headers of the protocol towards targets.
+// Headers of the protocol between daemon and targets.
 const (
 	headerAttempt      = "X-Savorystall-Attempt"
 	headerNotProcessed = "X-Savorystall-Not-Processed"
@@ -21,22 +21,24 @@
 	headerContinued    = "X-Savorystall-Continued"
 )
 
-// hopByHop are the headers that concern one connection only (RFC 9110, 7.6.1).
-var hopByHop = []string{
+// hopByHopHeaders apply to a single connection and are not forwarded (RFC 9110,
+// 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// withheld are request headers that are not passed on: Authorization is the
-// bearer key, which ends at the daemon; the body is whole, so that Expect has
-// no use; the protocol's own headers are set here alone.
-var withheld = []string{
+// strippedHeaders are request headers that are not forwarded. Authorization holds
+// the bearer key, which is meant for the daemon only. Expect is useless because
+// the body is already complete. The protocol's own headers are set only by this
+// package.
+var strippedHeaders = []string{
 	"Authorization", "Expect", "Content-Length", "Host",
 	headerAttempt, headerNotProcessed, headerLeaving, headerLastEventID, headerContinued,
 }
 
-// endToEnd returns a copy of h without the headers of one connection.
-func endToEnd(h http.Header) http.Header {
+// endToEndHeaders returns a copy of h without the hop-by-hop headers.
+func endToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	if out == nil {
 		out = http.Header{}
@@ -46,7 +48,7 @@
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
@@ -54,30 +56,30 @@
 
 // requestHeader returns the headers to send to a target.
 func requestHeader(ctx context.Context, h http.Header) http.Header {
-	out := endToEnd(h)
-	for _, name := range withheld {
+	out := endToEndHeaders(h)
+	for _, name := range strippedHeaders {
 		out.Del(name)
 	}
 	if _, set := out["User-Agent"]; !set {
 		out["User-Agent"] = nil
 	}
 	propagation.TraceContext{}.Inject(ctx, propagation.HeaderCarrier(out))
-	hideIdempotencyKeys(out)
+	lowercaseIdempotencyKeys(out)
 	return out
 }
 
-// replayHeaders make net/http's transport repeat a request by itself.
-var replayHeaders = []string{"Idempotency-Key", "X-Idempotency-Key"}
+// idempotencyHeaders cause net/http's transport to retry a request on its own.
+var idempotencyHeaders = []string{"Idempotency-Key", "X-Idempotency-Key"}
 
-// hideIdempotencyKeys moves idempotency keys to a spelling that the transport
-// does not know.
+// lowercaseIdempotencyKeys renames idempotency headers to lower case so that the
+// transport does not recognize them.
 //
-// It guards against doubles: on a reused connection that breaks, the transport
-// sends a request with such a key again by itself, although the target may have
-// run the first one. It looks the header up by its canonical spelling; targets
-// read header names in any case.
-func hideIdempotencyKeys(h http.Header) {
-	for _, name := range replayHeaders {
+// It prevents duplicate runs: if a reused connection breaks, the transport resends
+// a request with such a header on its own, although the target may have run the
+// first one. The transport looks the header up by its canonical name, while
+// targets treat header names as case-insensitive.
+func lowercaseIdempotencyKeys(h http.Header) {
+	for _, name := range idempotencyHeaders {
 		if values, ok := h[name]; ok {
 			delete(h, name)
 			h[strings.ToLower(name)] = values
@@ -85,17 +87,17 @@
 	}
 }
 
-// onceBody is a request body that cannot be rewound. The transport takes a
-// request as replayable where it has no body, or where GetBody is set; with a
-// onceBody it is neither, whatever the method.
-type onceBody struct {
+// nonRewindableBody is a request body that cannot be read again. The transport
+// considers a request replayable if it has no body or if GetBody is set; with a
+// nonRewindableBody neither is the case, whatever the method.
+type nonRewindableBody struct {
 	io.Reader
 }
 
 // Close implements io.Closer.
-func (onceBody) Close() error { return nil }
+func (nonRewindableBody) Close() error { return nil }
 
-// newRequest builds a request that the transport never repeats by itself.
+// newRequest builds a request that the transport never retries on its own.
 func newRequest(ctx context.Context, method string, u *url.URL, h http.Header, body []byte) *http.Request {
 	req := (&http.Request{
 		Method:     method,
@@ -107,15 +109,15 @@
 		Header:     h,
 	}).WithContext(ctx)
 	if len(body) > 0 {
-		req.Body = onceBody{bytes.NewReader(body)}
+		req.Body = nonRewindableBody{bytes.NewReader(body)}
 		req.ContentLength = int64(len(body))
 		return req
 	}
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
-		// The transport repeats these by their method alone. It finds this body
-		// empty and sends none.
-		req.Body = onceBody{strings.NewReader("")}
+		// The transport retries these methods if they have no body. It detects that
+		// this body is empty and sends none.
+		req.Body = nonRewindableBody{strings.NewReader("")}
 	default:
 		req.Body = http.NoBody
 	}
@@ -130,7 +132,7 @@
 	return &url.URL{Scheme: "http", Host: address, Path: path, RawPath: escapedPath, RawQuery: rawQuery}, nil
 }
 
-// validHeader tells whether all names and values may be written.
+// validHeader reports whether all header names and values are valid.
 func validHeader(h http.Header) bool {
 	for name, values := range h {
 		if !httpguts.ValidHeaderFieldName(name) {
--- a/internal/attempt/helpers_test.go
+++ b/internal/attempt/helpers_test.go
@@ -21,14 +21,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// quick are deadlines that let a test see each of them pass.
-func quick() attempt.Config {
+// shortTimeouts returns timeouts short enough for a test to wait for each of them.
+func shortTimeouts() attempt.Config {
 	return attempt.Config{
-		FirstByte:      300 * time.Millisecond,
-		Progress:       300 * time.Millisecond,
-		ResumeWindow:   2 * time.Second,
-		PlainFirstByte: 300 * time.Millisecond,
-		PlainProgress:  300 * time.Millisecond,
+		FirstByteTimeout:      300 * time.Millisecond,
+		ProgressTimeout:       300 * time.Millisecond,
+		ResumeWindow:          2 * time.Second,
+		PlainFirstByteTimeout: 300 * time.Millisecond,
+		PlainProgressTimeout:  300 * time.Millisecond,
 	}
 }
 
@@ -54,22 +54,23 @@
 	return e, serve(t, e, e.Close)
 }
 
-func newPlain(t *testing.T) (*plainstandin.Service, string) {
+func newPlainService(t *testing.T) (*plainstandin.Service, string) {
 	s := plainstandin.New(plainstandin.Config{})
 	return s, serve(t, s, s.Close)
 }
 
-// text collects an answer and fails where a chunk does not follow on.
-type text struct {
+// collectingSink collects the text of an answer and records an error if the offset
+// of a chunk does not follow from the previous one.
+type collectingSink struct {
 	mu     sync.Mutex
-	b      strings.Builder
+	text   strings.Builder
 	offset uint64
 	err    error
-	// onChunk is called after each chunk.
+	// onChunk, if set, is called after each chunk with the current offset.
 	onChunk func(n uint64) error
 }
 
-func (s *text) Chunk(c attempt.Chunk) error {
+func (s *collectingSink) Chunk(c attempt.Chunk) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c.Offset != s.offset+uint64(c.Tokens) {
@@ -80,8 +81,8 @@
 	if err := json.Unmarshal(c.Data, &data); err != nil {
 		s.err = err
 	}
-	for _, one := range data.Choices {
-		s.b.WriteString(one.Text)
+	for _, choice := range data.Choices {
+		s.text.WriteString(choice.Text)
 	}
 	if s.onChunk != nil {
 		return s.onChunk(c.Offset)
@@ -96,14 +97,14 @@
 	}
 }
 
-func eventually(t *testing.T, what string, condition func() bool) {
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	for !condition() {
 		select {
 		case <-ctx.Done():
-			t.Fatalf("not within 10 s: %s", what)
+			t.Fatalf("condition not met within 10 s: %s", description)
 		case <-time.After(2 * time.Millisecond):
 		}
 	}
--- a/internal/attempt/life.go
+++ b/internal/attempt/life.go
@@ -6,47 +6,48 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-// Triggers of charts/attempt.yaml.
+// Triggers of the state machine in charts/attempt.yaml.
 const (
-	onConnected    chart.Trigger = "connected"
-	onRefused      chart.Trigger = "refused"
-	onCanceled     chart.Trigger = "canceled"
-	onAnswered     chart.Trigger = "answered"
-	onNotProcessed chart.Trigger = "not-processed"
-	onLost         chart.Trigger = "lost"
-	onBroken       chart.Trigger = "broken"
-	onEnded        chart.Trigger = "ended"
-	onCut          chart.Trigger = "cut"
+	triggerConnected    chart.Trigger = "connected"
+	triggerRefused      chart.Trigger = "refused"
+	triggerCanceled     chart.Trigger = "canceled"
+	triggerAnswered     chart.Trigger = "answered"
+	triggerNotProcessed chart.Trigger = "not-processed"
+	triggerLost         chart.Trigger = "lost"
+	triggerBroken       chart.Trigger = "broken"
+	triggerEnded        chart.Trigger = "ended"
+	triggerCut          chart.Trigger = "cut"
 )
 
-// Final states of charts/attempt.yaml.
+// Final states of the state machine in charts/attempt.yaml.
 const (
 	stateNotRun   chart.State = "not-run"
 	stateComplete chart.State = "complete"
 	stateUnknown  chart.State = "unknown"
 )
 
-var lifeChart = chart.MustParse(charts.Attempt,
+var lifecycleChart = chart.MustParse(charts.Attempt,
 	[]chart.State{stateNotRun, stateComplete, stateUnknown},
-	[]chart.Trigger{onConnected, onRefused, onCanceled, onAnswered, onNotProcessed, onLost, onBroken, onEnded, onCut},
+	[]chart.Trigger{triggerConnected, triggerRefused, triggerCanceled, triggerAnswered, triggerNotProcessed, triggerLost, triggerBroken, triggerEnded, triggerCut},
 )
 
-// life follows one attempt through its state chart.
-type life struct {
-	machine *chart.Machine
+// lifecycle is the state machine of one attempt.
+type lifecycle struct {
+	stateMachine *chart.Machine
 }
 
-func newLife() life { return life{machine: lifeChart.New()} }
+func newLifecycle() lifecycle { return lifecycle{stateMachine: lifecycleChart.New()} }
 
-// fire follows a trigger. A trigger that the state does not accept is a defect
-// of this package; the outcome then stays open, which claims nothing false.
-func (l life) fire(t chart.Trigger) {
-	_, _ = l.machine.Fire(t)
+// fire performs the transition for a trigger. A trigger that the current state
+// does not accept is a bug in this package and is ignored: an attempt that does not
+// reach a final state has the outcome MayHaveRun, which claims nothing false.
+func (l lifecycle) fire(t chart.Trigger) {
+	_, _ = l.stateMachine.Fire(t)
 }
 
-// outcome says what the state claims about the run.
-func (l life) outcome() resultcode.Outcome {
-	switch l.machine.State() {
+// outcome returns what the current state implies about whether the request ran.
+func (l lifecycle) outcome() resultcode.Outcome {
+	switch l.stateMachine.State() {
 	case stateNotRun:
 		return resultcode.NotRun
 	case stateComplete:
--- a/internal/attempt/link_test.go
+++ b/internal/attempt/link_test.go
@@ -14,84 +14,85 @@
 	"github.com/savorystall/savorystall/test/faultlink"
 )
 
-// A firewall between daemon and engine forgets the open connections: nothing
-// passes on them and no error comes, while new ones work. Forty users wait in
-// the middle of their answers. Each stream must be found silent, and go on
-// on a new connection without a lost or doubled word.
-func TestSilentLinkIsReplaced(t *testing.T) {
+// A firewall between daemon and engine loses the state of the open connections:
+// no data passes on them and no error occurs, while new ones work. This happens
+// in the middle of forty answers. Each silent stream must be detected and
+// resumed on a new connection without lost or repeated tokens.
+func TestStreamsResumeAfterConnectionsGoSilent(t *testing.T) {
 	const users = 40
 	e, upstream := newEngine(t, enginestandin.Config{Step: 5 * time.Millisecond})
 	link := faultlink.New(t, upstream)
-	r := newRunner(t, quick())
-	var streaming, ended sync.WaitGroup
+	r := newRunner(t, shortTimeouts())
+	var streamsStarted, streamsEnded sync.WaitGroup
 	for i := range users {
-		streaming.Add(1)
-		ended.Go(func() {
+		streamsStarted.Add(1)
+		streamsEnded.Go(func() {
 			prompt := fmt.Sprint("user ", i)
-			sink := &text{}
+			sink := &collectingSink{}
 			sink.onChunk = func(n uint64) error {
 				if n == 3 {
-					streaming.Done()
+					streamsStarted.Done()
 				}
 				return nil
 			}
 			got := r.Model(t.Context(), modelRequest(link.Address, prompt, answerTokens), sink)
-			checkWhole(t, e, prompt, sink, got)
-			is.NewRelaxed(t).True(got.Resumed > 0)
+			checkCompleteAnswer(t, e, prompt, sink, got)
+			is.NewRelaxed(t).True(got.ResumeCount > 0)
 		})
 	}
-	streaming.Wait()
+	streamsStarted.Wait()
 	link.SilenceOpen()
-	ended.Wait()
+	streamsEnded.Wait()
 }
 
-// Connections that were used before lie idle when the link forgets them. The
-// next request is written into the void. It may not be called "not run", and
-// its stream is found or given up; those after it must use new connections.
-func TestIdleConnectionsThatWentSilentAreDropped(t *testing.T) {
+// Pooled connections go silent while they are idle, and the next request is
+// written to one of them and lost. Its outcome must not be "not run", its stream is
+// resumed or given up, and later requests must use new connections.
+func TestSilentIdleConnectionsAreDropped(t *testing.T) {
 	is := is.New(t)
 	e, upstream := newEngine(t, enginestandin.Config{})
 	link := faultlink.New(t, upstream)
-	r := newRunner(t, quick())
-	run := func(prompt string) (*text, attempt.Result) {
-		sink := &text{}
+	r := newRunner(t, shortTimeouts())
+	run := func(prompt string) (*collectingSink, attempt.Result) {
+		sink := &collectingSink{}
 		return sink, r.Model(t.Context(), modelRequest(link.Address, prompt, answerTokens), sink)
 	}
 	sink, got := run("before")
-	checkWhole(t, e, "before", sink, got)
+	checkCompleteAnswer(t, e, "before", sink, got)
 	link.SilenceOpen()
 	_, got = run("lost")
 	is.Equal(got.Outcome, resultcode.MayHaveRun)
 	is.True(got.TargetFailed)
 	sink, got = run("after")
-	checkWhole(t, e, "after", sink, got)
+	checkCompleteAnswer(t, e, "after", sink, got)
 }
 
-// The same with a claim, which cannot be tried again. It must not go out on a
-// connection that may be silent, or its caller would be told "may have run".
+// As above, with a request that cannot be retried. It must not be sent on an idle
+// connection, which may have gone silent, because its outcome would then be "may
+// have run".
 func TestUnrepeatableRequestsUseNoIdleConnection(t *testing.T) {
 	e, upstream := newEngine(t, enginestandin.Config{})
 	link := faultlink.New(t, upstream)
-	r := newRunner(t, quick())
+	r := newRunner(t, shortTimeouts())
 	run := func(prompt string, unrepeatable bool) {
 		req := modelRequest(link.Address, prompt, answerTokens)
 		req.Unrepeatable = unrepeatable
-		sink := &text{}
+		sink := &collectingSink{}
 		got := r.Model(t.Context(), req, sink)
-		checkWhole(t, e, prompt, sink, got)
+		checkCompleteAnswer(t, e, prompt, sink, got)
 	}
-	run("question", false) // leaves an idle connection
+	run("question", false) // leaves an idle connection in the pool
 	link.SilenceOpen()
 	run("claim", true)
 }
 
-// The link to an engine is cut in the middle of answers, refuses connections
-// for a while and then works again, slowly. Each answer must still be whole.
-func TestCutLinkIsResumedWhenItIsBack(t *testing.T) {
+// The link to an engine is cut in the middle of an answer and then restored with
+// a higher latency. The answer must still be complete.
+func TestStreamResumesAfterLinkIsRestored(t *testing.T) {
 	e, upstream := newEngine(t, enginestandin.Config{Step: 5 * time.Millisecond})
 	link := faultlink.New(t, upstream)
-	r := newRunner(t, quick())
-	sink := &text{}
+	r := newRunner(t, shortTimeouts())
+	sink := &collectingSink{}
 	sink.onChunk = func(n uint64) error {
 		if n == 3 {
 			link.Cut()
@@ -101,5 +102,5 @@
 		return nil
 	}
 	got := r.Model(t.Context(), modelRequest(link.Address, "cut", answerTokens), sink)
-	checkWhole(t, e, "cut", sink, got)
+	checkCompleteAnswer(t, e, "cut", sink, got)
 }
--- a/internal/attempt/model.go
+++ b/internal/attempt/model.go
@@ -21,41 +21,41 @@
 
 const (
 	streamsPath = "/v1/streams/"
-	// cancelTimeout bounds the cancelling of a stream.
+	// cancelTimeout bounds the request that cancels a stream.
 	cancelTimeout = 2 * time.Second
-	// resumePause is the wait before the second try to resume; it doubles up
-	// to maxResumePause.
-	resumePause    = 25 * time.Millisecond
-	maxResumePause = time.Second
-	maxErrorText   = 512
+	// resumeBackoff is the delay before the second attempt to resume a stream. It
+	// doubles with each further one, up to maxResumeBackoff.
+	resumeBackoff     = 25 * time.Millisecond
+	maxResumeBackoff  = time.Second
+	maxErrorTextBytes = 512
 )
 
 // modelAttempt is the state of one Model call.
 type modelAttempt struct {
 	*Runner
-	req    ModelRequest
-	stream *answer
-	life   life
-	result Result
-	start  time.Time
-	// moved is when the last new chunk arrived.
-	moved time.Time
+	req       ModelRequest
+	assembler *streamAssembler
+	lifecycle lifecycle
+	result    Result
+	start     time.Time
+	// lastProgress is when the last new chunk arrived, initially the start.
+	lastProgress time.Time
 }
 
-// Model runs a request on an engine and hands its answer to the sink. It
-// returns when the answer is complete or the attempt has failed; the sink is
-// not used afterwards.
+// Model runs a request on an engine and passes its answer to the sink. It returns
+// when the answer is complete or the attempt has failed. The sink is not used
+// after that.
 func (r *Runner) Model(ctx context.Context, req ModelRequest, sink Sink) Result {
 	ctx, span := r.startSpan(ctx, req.Address, string(req.Attempt))
 	defer span.End()
 	now := time.Now()
-	m := &modelAttempt{Runner: r, req: req, stream: newAnswer(sink, req.After), life: newLife(), start: now, moved: now}
+	m := &modelAttempt{Runner: r, req: req, assembler: newStreamAssembler(sink, req.StartOffset), lifecycle: newLifecycle(), start: now, lastProgress: now}
 	m.result.Failure = m.run(ctx)
 	m.result.Elapsed = time.Since(m.start)
-	m.result.Outcome = m.life.outcome()
-	m.result.Tokens = int(m.stream.offset - req.After)
-	m.result.PromptTokens = m.stream.promptTokens
-	r.record(span, m.result)
+	m.result.Outcome = m.lifecycle.outcome()
+	m.result.Tokens = int(m.assembler.offset - req.StartOffset)
+	m.result.PromptTokens = m.assembler.promptTokens
+	r.recordResult(span, m.result)
 	return m.result
 }
 
@@ -66,11 +66,11 @@
 	))
 }
 
-func (r *Runner) record(span trace.Span, result Result) {
+func (r *Runner) recordResult(span trace.Span, result Result) {
 	span.SetAttributes(
 		attribute.String("savorystall.outcome", string(result.Outcome)),
 		attribute.Int("savorystall.tokens", result.Tokens),
-		attribute.Int("savorystall.resumed", result.Resumed),
+		attribute.Int("savorystall.resumed", result.ResumeCount),
 	)
 	if result.Failure != nil {
 		span.SetStatus(codes.Error, result.Failure.Code.Name)
@@ -83,7 +83,7 @@
 	}
 }
 
-// run is the attempt up to its final state. It returns nil where the answer is
+// run executes the attempt up to its final state. It returns nil if the answer is
 // complete.
 func (m *modelAttempt) run(ctx context.Context) *resultcode.Failure {
 	x, failure := m.open(ctx)
@@ -92,12 +92,12 @@
 	}
 	for {
 		if x != nil {
-			err := m.follow(x)
+			err := m.consumeStream(x)
 			if err == nil {
-				m.life.fire(onEnded)
+				m.lifecycle.fire(triggerEnded)
 				return nil
 			}
-			if failure := m.broken(ctx, err); failure != nil {
+			if failure := m.handleStreamError(ctx, err); failure != nil {
 				return failure
 			}
 		}
@@ -108,44 +108,45 @@
 	}
 }
 
-// open sends the request. It returns a nil exchange where the request left and
-// its connection was lost before the answer, so that the stream may exist.
+// open sends the request. It returns a nil exchange without a failure if the
+// connection was lost after the request may have been sent but before the
+// response, so that the stream may exist.
 func (m *modelAttempt) open(ctx context.Context) (*exchange, *resultcode.Failure) {
-	req, err := m.postRequest(ctx)
+	req, err := m.buildRequest(ctx)
 	if err != nil {
-		m.life.fire(onRefused)
-		return nil, fail(resultcode.BadRequest, err)
+		m.lifecycle.fire(triggerRefused)
+		return nil, newFailure(resultcode.BadRequest, err)
 	}
-	transport := m.fresh
+	transport := m.unpooled
 	if !m.req.Unrepeatable {
-		transport = m.pooled(m.req.Address)
+		transport = m.pooledTransport(m.req.Address)
 	}
-	x := m.newExchange(ctx, m.cfg.FirstByte)
+	x := m.newExchange(ctx, m.cfg.FirstByteTimeout)
 	if err := x.send(transport, req); err != nil {
 		defer x.abort()
-		return nil, m.openFailed(ctx, x, err)
+		return nil, m.handleOpenError(ctx, x, err)
 	}
-	m.life.fire(onConnected)
+	m.lifecycle.fire(triggerConnected)
 	if x.resp.StatusCode != http.StatusOK {
 		defer x.finish()
-		return nil, m.refused(x.resp)
+		return nil, m.statusFailure(x.resp)
 	}
 	m.result.Status = x.resp.StatusCode
-	m.life.fire(onAnswered)
-	if err := m.checkContinued(x.resp); err != nil {
+	m.lifecycle.fire(triggerAnswered)
+	if err := m.checkContinuation(x.resp); err != nil {
 		x.abort()
-		return nil, m.cut(resultcode.TargetProtocol, err)
+		return nil, m.failIncomplete(resultcode.TargetProtocol, err)
 	}
 	return x, nil
 }
 
-func (m *modelAttempt) postRequest(ctx context.Context) (*http.Request, error) {
+func (m *modelAttempt) buildRequest(ctx context.Context) (*http.Request, error) {
 	h := requestHeader(ctx, m.req.Header)
 	h.Set("Content-Type", "application/json")
 	h.Set("Accept", "text/event-stream")
 	h.Set(headerAttempt, string(m.req.Attempt))
-	if m.req.After > 0 {
-		h.Set(headerLastEventID, strconv.FormatUint(m.req.After, 10))
+	if m.req.StartOffset > 0 {
+		h.Set(headerLastEventID, strconv.FormatUint(m.req.StartOffset, 10))
 	}
 	if !validHeader(h) {
 		return nil, errBadHeader
@@ -157,59 +158,59 @@
 	return newRequest(ctx, http.MethodPost, u, h, m.req.Body), nil
 }
 
-// openFailed gives the verdict on a request without an answer, or nil where
-// its stream may exist and is to be asked for.
-func (m *modelAttempt) openFailed(ctx context.Context, x *exchange, err error) *resultcode.Failure {
-	if !x.sent() {
-		return m.notSent(ctx, err)
+// handleOpenError returns the failure of a request without a response, or nil if
+// its stream may exist and has to be resumed.
+func (m *modelAttempt) handleOpenError(ctx context.Context, x *exchange, err error) *resultcode.Failure {
+	if !x.sealAndCheckSent() {
+		return m.notSentFailure(ctx, err)
 	}
-	m.life.fire(onConnected)
+	m.lifecycle.fire(triggerConnected)
 	if ctx.Err() != nil {
-		return m.stopped(resultcode.ConnectionLost, context.Cause(ctx))
+		return m.canceledWithCode(resultcode.ConnectionLost, context.Cause(ctx))
 	}
-	m.noteSilence(err)
-	m.life.fire(onLost)
+	m.checkInactivity(err)
+	m.lifecycle.fire(triggerLost)
 	return nil
 }
 
-// notSent gives the verdict on a request of which no byte left.
-func (m *modelAttempt) notSent(ctx context.Context, err error) *resultcode.Failure {
+// notSentFailure returns the failure of a request of which no byte was sent.
+func (m *modelAttempt) notSentFailure(ctx context.Context, err error) *resultcode.Failure {
 	if ctx.Err() != nil {
-		m.life.fire(onCanceled)
+		m.lifecycle.fire(triggerCanceled)
 		m.result.Preempted = errors.Is(context.Cause(ctx), ErrPreempted)
-		return fail(resultcode.CallerGone, context.Cause(ctx))
+		return newFailure(resultcode.CallerGone, context.Cause(ctx))
 	}
-	m.life.fire(onRefused)
-	m.result.TargetFailed = !localCause(err)
-	return fail(resultcode.TargetRefused, err)
+	m.lifecycle.fire(triggerRefused)
+	m.result.TargetFailed = !isLocalError(err)
+	return newFailure(resultcode.TargetRefused, err)
 }
 
-// refused gives the verdict on a status other than 200.
-func (m *modelAttempt) refused(resp *http.Response) *resultcode.Failure {
+// statusFailure returns the failure for a response with a status other than 200.
+func (m *modelAttempt) statusFailure(resp *http.Response) *resultcode.Failure {
 	m.result.Status = resp.StatusCode
 	if notProcessed(resp) {
-		m.life.fire(onNotProcessed)
+		m.lifecycle.fire(triggerNotProcessed)
 		m.result.Leaving = resp.Header.Get(headerLeaving) == "true"
 		return resultcode.Fail(resultcode.TargetRefused, "%s", m.req.Address)
 	}
-	m.life.fire(onBroken)
+	m.lifecycle.fire(triggerBroken)
 	m.result.TargetFailed = resp.StatusCode >= http.StatusInternalServerError
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorText))
-	return resultcode.Fail(resultcode.TargetError, "status %d: %s", resp.StatusCode, strings.TrimSpace(string(text)))
+	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorTextBytes))
+	return resultcode.Fail(resultcode.TargetError, "status %d: %s", resp.StatusCode, strings.TrimSpace(string(body)))
 }
 
-// notProcessed tells whether the target says that it did not process the
+// notProcessed reports whether the target declares that it did not process the
 // request.
 func notProcessed(resp *http.Response) bool {
 	return resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(headerNotProcessed) == "true"
 }
 
-// follow hands the chunks of one connection over. It returns nil at the end
-// mark of a whole answer.
-func (m *modelAttempt) follow(x *exchange) error {
+// consumeStream passes the chunks of one connection to the sink. It returns nil at
+// the end mark of a complete answer.
+func (m *modelAttempt) consumeStream(x *exchange) error {
 	if !strings.HasPrefix(x.resp.Header.Get("Content-Type"), "text/event-stream") {
 		x.abort()
-		return protocolError("the answer is not an event stream")
+		return protocolError("the response is not an event stream")
 	}
 	err := m.readEvents(x)
 	if err != nil {
@@ -221,133 +222,135 @@
 }
 
 func (m *modelAttempt) readEvents(x *exchange) error {
-	in := newEventReader(x.resp.Body, m.cfg.MaxEvent)
+	in := newEventReader(x.resp.Body, m.cfg.MaxLineBytes)
 	for {
-		x.alive(m.cfg.Progress)
+		x.extendDeadline(m.cfg.ProgressTimeout)
 		e, err := in.next()
 		if err != nil {
-			return x.explain(err)
+			return x.causeOr(err)
 		}
 		if e.comment {
-			if time.Since(m.moved) > m.tokenDeadline() {
-				return errNoToken
+			if time.Since(m.lastProgress) > m.tokenTimeout() {
+				return errTokenTimeout
 			}
 			continue
 		}
-		before := m.stream.offset
-		done, err := m.stream.take(e)
+		previousOffset := m.assembler.offset
+		done, err := m.assembler.processEvent(e)
 		if err != nil {
 			return err
 		}
 		if done {
 			return nil
 		}
-		m.noteProgress(before)
+		m.recordProgress(previousOffset)
 	}
 }
 
-// tokenDeadline bounds the wait for the token that comes next.
-func (m *modelAttempt) tokenDeadline() time.Duration {
-	if m.stream.offset == m.req.After {
-		return cmp.Or(m.req.FirstToken, m.cfg.TokenDeadline)
+// tokenTimeout returns the maximum wait for the next token.
+func (m *modelAttempt) tokenTimeout() time.Duration {
+	if m.assembler.offset == m.req.StartOffset {
+		return cmp.Or(m.req.FirstTokenTimeout, m.cfg.TokenTimeout)
 	}
-	return cmp.Or(m.req.NextToken, m.cfg.TokenDeadline)
+	return cmp.Or(m.req.NextTokenTimeout, m.cfg.TokenTimeout)
 }
 
-// noteProgress takes the time of a chunk that was handed over.
-func (m *modelAttempt) noteProgress(before uint64) {
-	if m.stream.offset == before {
+// recordProgress records the time of a chunk that was passed to the sink, or
+// counts it as late if it was dropped.
+func (m *modelAttempt) recordProgress(previousOffset uint64) {
+	if m.assembler.offset == previousOffset {
 		m.metrics.lateChunks.Inc(1)
 		return
 	}
-	m.moved = time.Now()
-	if m.result.First == 0 {
-		m.result.First = m.moved.Sub(m.start)
+	m.lastProgress = time.Now()
+	if m.result.FirstByte == 0 {
+		m.result.FirstByte = m.lastProgress.Sub(m.start)
 	}
 }
 
-// broken gives the verdict on a connection that ended without the end mark, or
-// nil where the stream is to be resumed.
-func (m *modelAttempt) broken(ctx context.Context, err error) *resultcode.Failure {
-	var taken *sinkError
-	var told *engineError
-	var violated protocolError
+// handleStreamError returns the failure of an attempt whose connection ended
+// without the end mark, or nil if the stream has to be resumed.
+func (m *modelAttempt) handleStreamError(ctx context.Context, err error) *resultcode.Failure {
+	var sinkErr *sinkError
+	var engineErr *engineError
+	var protocolErr protocolError
 	switch {
 	case ctx.Err() != nil:
-		return m.canceled(context.Cause(ctx))
-	case errors.As(err, &taken):
-		return m.canceled(taken.cause)
-	case errors.As(err, &told):
-		return m.cut(resultcode.TargetError, err)
-	case errors.As(err, &violated):
-		return m.cut(resultcode.TargetProtocol, err)
-	case errors.Is(err, errNoToken):
-		return m.cut(resultcode.TargetStalled, err)
+		return m.answerCanceled(context.Cause(ctx))
+	case errors.As(err, &sinkErr):
+		return m.answerCanceled(sinkErr.cause)
+	case errors.As(err, &engineErr):
+		return m.failIncomplete(resultcode.TargetError, err)
+	case errors.As(err, &protocolErr):
+		return m.failIncomplete(resultcode.TargetProtocol, err)
+	case errors.Is(err, errTokenTimeout):
+		return m.failIncomplete(resultcode.TargetStalled, err)
 	}
-	m.noteSilence(err)
-	m.life.fire(onBroken)
+	m.checkInactivity(err)
+	m.lifecycle.fire(triggerBroken)
 	return nil
 }
 
-// cut ends an attempt whose answer cannot be completed.
-func (m *modelAttempt) cut(code resultcode.Code, cause error) *resultcode.Failure {
-	m.life.fire(onCut)
+// failIncomplete ends an attempt whose answer cannot be completed and cancels its
+// stream.
+func (m *modelAttempt) failIncomplete(code resultcode.Code, cause error) *resultcode.Failure {
+	m.lifecycle.fire(triggerCut)
 	m.result.TargetFailed = true
-	m.cancelStream()
-	return fail(code, cause)
+	m.cancelStreamAsync()
+	return newFailure(code, cause)
 }
 
-func (m *modelAttempt) noteSilence(err error) {
-	if errors.Is(err, errSilent) {
-		m.distrust(m.req.Address)
+func (m *modelAttempt) checkInactivity(err error) {
+	if errors.Is(err, errInactivityTimeout) {
+		m.handleSilentConn(m.req.Address)
 	}
 }
 
-// resume asks for the rest of the stream on a new connection until one carries
-// it or the resume window has passed.
+// resume requests the rest of the stream on new connections until one succeeds or
+// the resume window has passed.
 func (m *modelAttempt) resume(ctx context.Context) (*exchange, *resultcode.Failure) {
-	pause := time.Duration(0)
-	lastErr := error(errSilent)
+	backoff := time.Duration(0)
+	lastErr := error(errInactivityTimeout)
 	for {
-		if err := m.pause(ctx, pause); err != nil {
-			return nil, m.canceled(err)
+		if err := m.sleep(ctx, backoff); err != nil {
+			return nil, m.answerCanceled(err)
 		}
-		if time.Since(m.moved) > m.cfg.ResumeWindow {
-			return nil, m.gaveUp(lastErr)
+		if time.Since(m.lastProgress) > m.cfg.ResumeWindow {
+			return nil, m.resumeTimedOut(lastErr)
 		}
-		x, err := m.reopen(ctx)
+		x, err := m.tryResume(ctx)
 		switch {
 		case err == nil:
-			m.life.fire(onAnswered)
+			m.lifecycle.fire(triggerAnswered)
 			return x, nil
 		case ctx.Err() != nil:
-			return nil, m.canceled(context.Cause(ctx))
-		case errors.Is(err, errNoStream):
-			return nil, m.cut(m.lostCode(), err)
+			return nil, m.answerCanceled(context.Cause(ctx))
+		case errors.Is(err, errStreamNotFound):
+			return nil, m.failIncomplete(m.lostStreamCode(), err)
 		}
-		m.life.fire(onBroken)
+		m.lifecycle.fire(triggerBroken)
 		lastErr = err
-		pause = min(max(2*pause, resumePause), maxResumePause)
+		backoff = min(max(2*backoff, resumeBackoff), maxResumeBackoff)
 	}
 }
 
-func (m *modelAttempt) gaveUp(err error) *resultcode.Failure {
-	if errors.Is(err, errSilent) {
-		return m.cut(resultcode.TargetStalled, err)
+func (m *modelAttempt) resumeTimedOut(err error) *resultcode.Failure {
+	if errors.Is(err, errInactivityTimeout) {
+		return m.failIncomplete(resultcode.TargetStalled, err)
 	}
-	return m.cut(m.lostCode(), err)
+	return m.failIncomplete(m.lostStreamCode(), err)
 }
 
-// lostCode is the code for a stream that is gone: before its first chunk or
-// within the answer.
-func (m *modelAttempt) lostCode() resultcode.Code {
-	if m.stream.offset == m.req.After {
+// lostStreamCode returns the code for a lost stream, which depends on whether the
+// first chunk had arrived.
+func (m *modelAttempt) lostStreamCode() resultcode.Code {
+	if m.assembler.offset == m.req.StartOffset {
 		return resultcode.ConnectionLost
 	}
 	return resultcode.AnswerCut
 }
 
-func (m *modelAttempt) pause(ctx context.Context, d time.Duration) error {
+func (m *modelAttempt) sleep(ctx context.Context, d time.Duration) error {
 	if d == 0 {
 		return context.Cause(ctx)
 	}
@@ -361,16 +364,16 @@
 	}
 }
 
-// reopen makes one try to resume. The connection is a new one, since others to
-// the target may be silent as well.
-func (m *modelAttempt) reopen(ctx context.Context) (*exchange, error) {
-	x := m.newExchange(ctx, m.cfg.FirstByte)
+// tryResume makes one attempt to resume the stream. It uses a new connection
+// because the pooled ones to the target may have gone silent as well.
+func (m *modelAttempt) tryResume(ctx context.Context) (*exchange, error) {
+	x := m.newExchange(ctx, m.cfg.FirstByteTimeout)
 	h := requestHeader(ctx, nil)
 	h.Set("Accept", "text/event-stream")
-	h.Set(headerLastEventID, strconv.FormatUint(m.stream.offset, 10))
-	m.result.Resumed++
+	h.Set(headerLastEventID, strconv.FormatUint(m.assembler.offset, 10))
+	m.result.ResumeCount++
 	m.metrics.resumed.Inc(1)
-	if err := x.send(m.fresh, newRequest(ctx, http.MethodGet, m.streamURL(), h, nil)); err != nil {
+	if err := x.send(m.unpooled, newRequest(ctx, http.MethodGet, m.streamURL(), h, nil)); err != nil {
 		x.abort()
 		return nil, err
 	}
@@ -379,7 +382,7 @@
 		return x, nil
 	case http.StatusNotFound, http.StatusGone:
 		x.abort()
-		return nil, errNoStream
+		return nil, errStreamNotFound
 	}
 	defer x.abort()
 	return nil, merry.Errorf("resume: status %d", x.resp.StatusCode)
@@ -389,6 +392,6 @@
 	return &url.URL{Scheme: "http", Host: m.req.Address, Path: streamsPath + string(m.req.Attempt)}
 }
 
-func fail(code resultcode.Code, cause error) *resultcode.Failure {
+func newFailure(code resultcode.Code, cause error) *resultcode.Failure {
 	return resultcode.Failure{Code: code}.Because(cause)
 }
--- a/internal/attempt/model_test.go
+++ b/internal/attempt/model_test.go
@@ -18,76 +18,76 @@
 
 const answerTokens = 40
 
-// checkWhole requires the whole and exact answer of one run.
-func checkWhole(t *testing.T, e *enginestandin.Engine, prompt string, sink *text, got attempt.Result) {
+// checkCompleteAnswer requires that the request ran once and that its answer is
+// complete and exact.
+func checkCompleteAnswer(t *testing.T, e *enginestandin.Engine, prompt string, sink *collectingSink, got attempt.Result) {
 	t.Helper()
 	is := is.NewRelaxed(t)
 	is.True(got.Failure == nil)
 	is.Equal(got.Outcome, resultcode.Ran)
 	is.NoErr(sink.err)
-	is.Equal(sink.b.String(), enginestandin.Text(prompt, answerTokens)) // each token once, in order
+	is.Equal(sink.text.String(), enginestandin.Text(prompt, answerTokens)) // each token once, in order
 	is.Equal(got.Tokens, answerTokens)
 	is.Equal(got.PromptTokens, enginestandin.PromptTokens(prompt))
 	is.Equal(e.Ran(prompt), 1) // the engine ran it once
 }
 
-func TestModelAnswerIsWhole(t *testing.T) {
+func TestModelAnswerIsComplete(t *testing.T) {
 	e, address := newEngine(t, enginestandin.Config{})
-	sink := &text{}
-	got := newRunner(t, quick()).Model(t.Context(), modelRequest(address, "plain", answerTokens), sink)
-	checkWhole(t, e, "plain", sink, got)
-	is.New(t).Equal(got.Resumed, 0)
+	sink := &collectingSink{}
+	got := newRunner(t, shortTimeouts()).Model(t.Context(), modelRequest(address, "plain", answerTokens), sink)
+	checkCompleteAnswer(t, e, "plain", sink, got)
+	is.New(t).Equal(got.ResumeCount, 0)
 }
 
-// A user watches an answer grow and its connection to the engine is cut, goes
-// silent, ends in good order without the end mark, or loses a token on the way.
-// The stream runs on in the engine. Shown as an end, the answer would be short;
-// sent again, the request would run twice. The attempt asks for the rest at the
-// exact offset on a new connection.
+// The connection of a stream is cut, goes silent, ends normally without the end
+// mark, or loses a token, while the stream continues in the engine. Treating this
+// as the end would truncate the answer, and sending the request again would run
+// it twice. The attempt must resume at the exact offset on a new connection.
 func TestModelResumesBrokenStream(t *testing.T) {
 	faults := map[string]enginestandin.FaultKind{
-		"cut":                enginestandin.FaultCut,
-		"silent connection":  enginestandin.FaultSilence,
-		"no end mark":        enginestandin.FaultEndEarly,
-		"left out token":     enginestandin.FaultSkip,
-		"reset after write":  enginestandin.FaultReset,
-		"mute after write":   enginestandin.FaultMute,
-		"cut at last token":  enginestandin.FaultCut,
-		"cut before a token": enginestandin.FaultCut,
+		"cut":                     enginestandin.FaultCut,
+		"silent connection":       enginestandin.FaultSilence,
+		"no end mark":             enginestandin.FaultEndEarly,
+		"skipped token":           enginestandin.FaultSkip,
+		"reset after write":       enginestandin.FaultReset,
+		"no response after write": enginestandin.FaultMute,
+		"cut at last token":       enginestandin.FaultCut,
+		"cut before a token":      enginestandin.FaultCut,
 	}
-	after := map[string]int{"cut at last token": answerTokens - 1, "cut before a token": 0}
+	offsets := map[string]int{"cut at last token": answerTokens - 1, "cut before a token": 0}
 	for name, kind := range faults {
 		t.Run(name, func(t *testing.T) {
 			e, address := newEngine(t, enginestandin.Config{})
-			at, set := after[name]
+			offset, set := offsets[name]
 			if !set {
-				at = 10
+				offset = 10
 			}
-			e.Inject(enginestandin.Fault{Kind: kind, AfterTokens: at})
-			sink := &text{}
-			got := newRunner(t, quick()).Model(t.Context(), modelRequest(address, name, answerTokens), sink)
-			checkWhole(t, e, name, sink, got)
-			is.New(t).Equal(got.Resumed, 1)
+			e.Inject(enginestandin.Fault{Kind: kind, AfterTokens: offset})
+			sink := &collectingSink{}
+			got := newRunner(t, shortTimeouts()).Model(t.Context(), modelRequest(address, name, answerTokens), sink)
+			checkCompleteAnswer(t, e, name, sink, got)
+			is.New(t).Equal(got.ResumeCount, 1)
 		})
 	}
 }
 
-// A user's answer breaks off and every connection that resumes it breaks as
-// well, after a token each. Each break must go on at the offset reached.
-func TestModelResumesAgainAndAgain(t *testing.T) {
+// The connection of a stream is cut, and so is each connection that resumes it,
+// after one token each. The attempt must resume at the current offset each time.
+func TestModelResumesRepeatedly(t *testing.T) {
 	e, address := newEngine(t, enginestandin.Config{})
-	for at := 1; at < 20; at++ {
-		e.Inject(enginestandin.Fault{Kind: enginestandin.FaultCut, AfterTokens: at})
+	for offset := 1; offset < 20; offset++ {
+		e.Inject(enginestandin.Fault{Kind: enginestandin.FaultCut, AfterTokens: offset})
 	}
-	sink := &text{}
-	got := newRunner(t, quick()).Model(t.Context(), modelRequest(address, "again", answerTokens), sink)
-	checkWhole(t, e, "again", sink, got)
-	is.New(t).Equal(got.Resumed, 19)
+	sink := &collectingSink{}
+	got := newRunner(t, shortTimeouts()).Model(t.Context(), modelRequest(address, "again", answerTokens), sink)
+	checkCompleteAnswer(t, e, "again", sink, got)
+	is.New(t).Equal(got.ResumeCount, 19)
 }
 
-// An engine restarts within an answer and knows the stream no longer, reports
-// an error within it, or fails on the request. The rest will never come, so that
-// the user must get an error that says the request may have run.
+// An engine restarts and loses the stream, sends an error event within it, or
+// fails the request. The rest of the answer will never arrive, so the attempt must
+// return an error with the outcome "may have run".
 func TestModelAnswerThatCannotBeCompletedFails(t *testing.T) {
 	cases := map[string]struct {
 		kind   enginestandin.FaultKind
@@ -104,28 +104,29 @@
 			is := is.New(t)
 			e, address := newEngine(t, enginestandin.Config{})
 			e.Inject(enginestandin.Fault{Kind: c.kind, AfterTokens: c.tokens})
-			sink := &text{}
-			got := newRunner(t, quick()).Model(t.Context(), modelRequest(address, name, answerTokens), sink)
+			sink := &collectingSink{}
+			got := newRunner(t, shortTimeouts()).Model(t.Context(), modelRequest(address, name, answerTokens), sink)
 			is.True(got.Failure != nil)
 			is.Equal(got.Failure.Code.Name, c.code.Name)
 			is.Equal(got.Outcome, resultcode.MayHaveRun)
-			is.Equal(sink.b.String(), enginestandin.Text(name, c.tokens)) // what came is right
+			is.Equal(sink.text.String(), enginestandin.Text(name, c.tokens)) // the received part is correct
 			is.True(got.TargetFailed)
 			is.Equal(e.Ran(name), 1)
 		})
 	}
 }
 
-// An engine goes away for good within an answer: its connections end and new
-// ones are refused. The attempt must give up once the resume window has passed.
+// An engine fails permanently within an answer: its connection is cut, and
+// requests on new ones get no response. The attempt must give up after the resume
+// window.
 func TestModelGivesUpAfterResumeWindow(t *testing.T) {
 	is := is.New(t)
-	cfg := quick()
+	cfg := shortTimeouts()
 	cfg.ResumeWindow = 200 * time.Millisecond
 	e, address := newEngine(t, enginestandin.Config{})
 	e.Inject(enginestandin.Fault{Kind: enginestandin.FaultCut, AfterTokens: 10})
 	e.Inject(enginestandin.Fault{Kind: enginestandin.FaultMute, Times: 1 << 20})
-	sink := &text{}
+	sink := &collectingSink{}
 	got := newRunner(t, cfg).Model(t.Context(), modelRequest(address, "gone", answerTokens), sink)
 	is.True(got.Failure != nil)
 	is.Equal(got.Failure.Code.Name, resultcode.TargetStalled.Name)
@@ -133,12 +134,13 @@
 	is.Equal(sink.offset, uint64(10))
 }
 
-// A caller is told "not run" and files the request anew elsewhere. That is a
-// double unless no byte has left, or the engine says it did not process it.
+// A caller that gets "not run" may submit the request again elsewhere. To prevent
+// duplicate runs, the outcome may be "not run" only if no byte was sent or the
+// engine declares that it did not process the request.
 func TestModelNotRun(t *testing.T) {
 	t.Run("dial refused", func(t *testing.T) {
 		is := is.New(t)
-		got := newRunner(t, quick()).Model(t.Context(), modelRequest(faultlink.FreeAddress(t), "x", 1), &text{})
+		got := newRunner(t, shortTimeouts()).Model(t.Context(), modelRequest(faultlink.FreeAddress(t), "x", 1), &collectingSink{})
 		is.Equal(got.Outcome, resultcode.NotRun)
 		is.Equal(got.Failure.Code.Name, resultcode.TargetRefused.Name)
 		is.True(got.TargetFailed)
@@ -147,7 +149,7 @@
 		is := is.New(t)
 		e, address := newEngine(t, enginestandin.Config{})
 		e.Inject(enginestandin.Fault{Kind: enginestandin.FaultRefuse})
-		got := newRunner(t, quick()).Model(t.Context(), modelRequest(address, "x", 1), &text{})
+		got := newRunner(t, shortTimeouts()).Model(t.Context(), modelRequest(address, "x", 1), &collectingSink{})
 		is.Equal(got.Outcome, resultcode.NotRun)
 		is.True(!got.Leaving)
 		is.True(!got.TargetFailed)
@@ -157,28 +159,28 @@
 		is := is.New(t)
 		e, address := newEngine(t, enginestandin.Config{})
 		e.SetLeaving(true)
-		got := newRunner(t, quick()).Model(t.Context(), modelRequest(address, "x", 1), &text{})
+		got := newRunner(t, shortTimeouts()).Model(t.Context(), modelRequest(address, "x", 1), &collectingSink{})
 		is.Equal(got.Outcome, resultcode.NotRun)
 		is.True(got.Leaving)
 		is.Equal(e.Ran("x"), 0)
 	})
-	t.Run("caller gone before", func(t *testing.T) {
+	t.Run("caller canceled before dial", func(t *testing.T) {
 		is := is.New(t)
 		e, address := newEngine(t, enginestandin.Config{})
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
-		got := newRunner(t, quick()).Model(ctx, modelRequest(address, "x", 1), &text{})
+		got := newRunner(t, shortTimeouts()).Model(ctx, modelRequest(address, "x", 1), &collectingSink{})
 		is.Equal(got.Outcome, resultcode.NotRun)
 		is.Equal(e.Ran("x"), 0)
 	})
 }
 
-// The target takes a request in and its host resets the connection before an
-// answer. The request may be running, so that "not run" would be false. The
-// stream cannot be asked for either.
+// The target receives a request, and its connection is reset before a response.
+// The request may be running, so "not run" would be false. The stream cannot be
+// resumed because the target accepts no new connections.
 func TestModelResetAfterWriteMayHaveRun(t *testing.T) {
 	is := is.New(t)
-	l, err := net.Listen("tcp", faultlink.FreeAddress(t)) // it must stay dead once it is closed
+	l, err := net.Listen("tcp", faultlink.FreeAddress(t)) // the address must refuse connections after it is closed
 	is.NoErr(err)
 	done := make(chan struct{})
 	go func() {
@@ -192,58 +194,57 @@
 		_ = c.Close()
 		_ = l.Close()
 	}()
-	cfg := quick()
+	cfg := shortTimeouts()
 	cfg.ResumeWindow = 100 * time.Millisecond
-	got := newRunner(t, cfg).Model(t.Context(), modelRequest(l.Addr().String(), "x", 1), &text{})
+	got := newRunner(t, cfg).Model(t.Context(), modelRequest(l.Addr().String(), "x", 1), &collectingSink{})
 	<-done
 	is.Equal(got.Outcome, resultcode.MayHaveRun)
 	is.Equal(got.Failure.Code.Name, resultcode.ConnectionLost.Name)
 }
 
-// An engine shows life and generates nothing. Its heartbeats must not hold the
-// caller for ever.
-func TestModelWithoutTokensIsGivenUp(t *testing.T) {
+// An engine sends heartbeats but generates no token. The heartbeats must not keep
+// the attempt waiting forever.
+func TestModelWithoutTokensTimesOut(t *testing.T) {
 	is := is.New(t)
 	e, address := newEngine(t, enginestandin.Config{Step: time.Hour})
 	req := modelRequest(address, "x", 1)
-	req.FirstToken = 100 * time.Millisecond
-	got := newRunner(t, quick()).Model(t.Context(), req, &text{})
+	req.FirstTokenTimeout = 100 * time.Millisecond
+	got := newRunner(t, shortTimeouts()).Model(t.Context(), req, &collectingSink{})
 	is.Equal(got.Outcome, resultcode.MayHaveRun)
 	is.Equal(got.Failure.Code.Name, resultcode.TargetStalled.Name)
-	is.Equal(got.Resumed, 0)
-	eventually(t, "the slot is free", func() bool { return e.Counts().Canceled == 1 })
+	is.Equal(got.ResumeCount, 0)
+	eventually(t, "the stream is canceled", func() bool { return e.Counts().Canceled == 1 })
 }
 
-// A caller hangs up within an answer. The engine must not go on generating
-// what nobody reads, since others wait for its slots.
-func TestModelCallerGoneCancelsStream(t *testing.T) {
-	ways := map[string]func(*text, context.CancelFunc){
-		"context ended": func(s *text, cancel context.CancelFunc) {
+// A caller disconnects within an answer. The engine must stop generating, because
+// other requests wait for its slots.
+func TestModelCallerCancellationCancelsStream(t *testing.T) {
+	cancellations := map[string]func(*collectingSink, context.CancelFunc){
+		"context ended": func(s *collectingSink, cancel context.CancelFunc) {
 			s.onChunk = func(uint64) error { cancel(); return nil }
 		},
-		"sink refused": func(s *text, _ context.CancelFunc) {
+		"sink error": func(s *collectingSink, _ context.CancelFunc) {
 			s.onChunk = func(uint64) error { return errors.New("pipe closed") }
 		},
 	}
-	for name, leave := range ways {
+	for name, cancelCall := range cancellations {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			e, address := newEngine(t, enginestandin.Config{KeepDetached: time.Hour})
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			sink := &text{}
-			leave(sink, cancel)
-			got := newRunner(t, quick()).Model(ctx, modelRequest(address, "x", 1<<20), sink)
+			sink := &collectingSink{}
+			cancelCall(sink, cancel)
+			got := newRunner(t, shortTimeouts()).Model(ctx, modelRequest(address, "x", 1<<20), sink)
 			is.Equal(got.Outcome, resultcode.MayHaveRun)
-			is.True(!got.TargetFailed) // the target is not to blame
+			is.True(!got.TargetFailed) // the target did not cause the failure
 			eventually(t, "the engine's slot is free", func() bool { return e.Counts().Canceled == 1 && e.Running() == 0 })
 		})
 	}
 }
 
-// An old connection of a stream is slow, the stream is resumed on another, and
-// then chunks that were sent before arrive once more. Handed over, the user
-// would read the same words twice.
+// A resumed connection repeats chunks that arrived before. They must be dropped,
+// or the caller would receive the same text twice.
 func TestModelDropsRepeatedChunks(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -255,15 +256,16 @@
 		_, _ = w.Write([]byte("id: 1\ndata: {\"choices\":[{\"text\":\"a\"}]}\n\nid: 2\ndata: {\"choices\":[{\"text\":\"b\"}]}\n\n" +
 			"id: 4\ndata: {\"tokens\":2,\"choices\":[{\"text\":\"cd\",\"finish_reason\":\"stop\"}],\"usage\":{\"prompt_tokens\":7,\"completion_tokens\":4}}\n\ndata: [DONE]\n\n"))
 	}), func() {})
-	sink := &text{}
-	got := newRunner(t, quick()).Model(t.Context(), modelRequest(address, "x", 4), sink)
+	sink := &collectingSink{}
+	got := newRunner(t, shortTimeouts()).Model(t.Context(), modelRequest(address, "x", 4), sink)
 	is.True(got.Failure == nil)
-	is.Equal(sink.b.String(), "abcd")
+	is.Equal(sink.text.String(), "abcd")
 	is.Equal(got.Tokens, 4)
 	is.Equal(got.PromptTokens, 7)
 }
 
-// An engine breaks its protocol. What it sent cannot be trusted to be whole.
+// An engine violates its protocol, so the completeness of its answer cannot be
+// verified. The attempt must fail.
 func TestModelProtocolViolations(t *testing.T) {
 	cases := map[string]struct{ contentType, body string }{
 		"not a stream":         {"application/json", "{}"},
@@ -280,7 +282,7 @@
 				w.Header().Set("Content-Type", c.contentType)
 				_, _ = w.Write([]byte(c.body))
 			}), func() {})
-			got := newRunner(t, quick()).Model(t.Context(), modelRequest(address, "x", 1), &text{})
+			got := newRunner(t, shortTimeouts()).Model(t.Context(), modelRequest(address, "x", 1), &collectingSink{})
 			is.True(got.Failure != nil)
 			is.Equal(got.Failure.Code.Name, resultcode.TargetProtocol.Name)
 			is.Equal(got.Outcome, resultcode.MayHaveRun)
--- a/internal/attempt/plain.go
+++ b/internal/attempt/plain.go
@@ -12,71 +12,72 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-// copyBuffer is the size of the pieces in which a body is passed on.
-const copyBuffer = 16 << 10
+// copyBufferSize is the size of the buffer for forwarding a body.
+const copyBufferSize = 16 << 10
 
 // plainAttempt is the state of one Plain call.
 type plainAttempt struct {
 	*Runner
-	req    PlainRequest
-	sink   PlainSink
-	life   life
-	result Result
-	start  time.Time
+	req       PlainRequest
+	sink      PlainSink
+	lifecycle lifecycle
+	result    Result
+	start     time.Time
 }
 
-// Plain runs a request on a plain service and passes its response to the sink,
-// whatever its status is. A Failure after the response's header means that the
-// body is not whole: the caller's connection must then be aborted.
+// Plain runs a request on a plain service and forwards its response to the sink,
+// whatever its status. A Failure after the response header was forwarded means
+// that the body is incomplete; the caller's connection must then be aborted.
 func (r *Runner) Plain(ctx context.Context, req PlainRequest, sink PlainSink) Result {
 	ctx, span := r.startSpan(ctx, req.Address, string(req.Attempt))
 	defer span.End()
-	p := &plainAttempt{Runner: r, req: req, sink: sink, life: newLife(), start: time.Now()}
+	p := &plainAttempt{Runner: r, req: req, sink: sink, lifecycle: newLifecycle(), start: time.Now()}
 	p.result.Failure = p.run(ctx)
 	p.result.Elapsed = time.Since(p.start)
-	p.result.Outcome = p.life.outcome()
-	r.record(span, p.result)
+	p.result.Outcome = p.lifecycle.outcome()
+	r.recordResult(span, p.result)
 	return p.result
 }
 
 func (p *plainAttempt) run(ctx context.Context) *resultcode.Failure {
-	req, err := p.request(ctx)
+	req, err := p.buildRequest(ctx)
 	if err != nil {
-		p.life.fire(onRefused)
-		return fail(resultcode.BadRequest, err)
+		p.lifecycle.fire(triggerRefused)
+		return newFailure(resultcode.BadRequest, err)
 	}
-	x := p.newExchange(ctx, cmp.Or(p.req.FirstByte, p.cfg.PlainFirstByte))
-	if err := x.send(p.transport(), req); err != nil {
+	x := p.newExchange(ctx, cmp.Or(p.req.FirstByteTimeout, p.cfg.PlainFirstByteTimeout))
+	if err := x.send(p.selectTransport(), req); err != nil {
 		defer x.abort()
-		return p.unanswered(ctx, x, err)
+		return p.noResponseFailure(ctx, x, err)
 	}
-	p.life.fire(onConnected)
-	p.result.First = time.Since(p.start)
+	p.lifecycle.fire(triggerConnected)
+	p.result.FirstByte = time.Since(p.start)
 	p.result.Status = x.resp.StatusCode
-	if failure := p.inadmissible(x.resp); failure != nil {
+	if failure := p.checkResponse(x.resp); failure != nil {
 		x.abort()
 		return failure
 	}
-	p.life.fire(onAnswered)
-	if err := p.pass(x); err != nil {
+	p.lifecycle.fire(triggerAnswered)
+	if err := p.forwardResponse(x); err != nil {
 		x.abort()
-		return p.cut(ctx, err)
+		return p.incompleteFailure(ctx, err)
 	}
 	x.finish()
-	p.life.fire(onEnded)
+	p.lifecycle.fire(triggerEnded)
 	return nil
 }
 
-// transport returns one that never reuses a connection for requests that must
-// not be repeated, and for TRACE, which net/http would repeat by itself.
-func (p *plainAttempt) transport() *http.Transport {
+// selectTransport returns the transport for the request. Requests that must not be
+// repeated, and TRACE, which net/http would retry on its own, get one that never
+// reuses connections.
+func (p *plainAttempt) selectTransport() *http.Transport {
 	if p.req.Unrepeatable || p.req.Method == http.MethodTrace {
-		return p.fresh
+		return p.unpooled
 	}
-	return p.pooled(p.req.Address)
+	return p.pooledTransport(p.req.Address)
 }
 
-func (p *plainAttempt) request(ctx context.Context) (*http.Request, error) {
+func (p *plainAttempt) buildRequest(ctx context.Context) (*http.Request, error) {
 	h := requestHeader(ctx, p.req.Header)
 	h.Set(headerAttempt, string(p.req.Attempt))
 	if !validHeader(h) {
@@ -89,67 +90,68 @@
 	return newRequest(ctx, p.req.Method, u, h, p.req.Body), nil
 }
 
-// unanswered gives the verdict on a request without a response header.
-func (p *plainAttempt) unanswered(ctx context.Context, x *exchange, err error) *resultcode.Failure {
-	sent := x.sent()
+// noResponseFailure returns the failure of a request without a response header.
+func (p *plainAttempt) noResponseFailure(ctx context.Context, x *exchange, err error) *resultcode.Failure {
+	sent := x.sealAndCheckSent()
 	if sent {
-		p.life.fire(onConnected)
+		p.lifecycle.fire(triggerConnected)
 	}
 	if ctx.Err() != nil {
-		p.life.fire(onCanceled)
+		p.lifecycle.fire(triggerCanceled)
 		if sent {
-			return fail(resultcode.ConnectionLost, context.Cause(ctx))
+			return newFailure(resultcode.ConnectionLost, context.Cause(ctx))
 		}
-		return fail(resultcode.CallerGone, context.Cause(ctx))
+		return newFailure(resultcode.CallerGone, context.Cause(ctx))
 	}
-	p.result.TargetFailed = !localCause(err)
+	p.result.TargetFailed = !isLocalError(err)
 	if !sent {
-		p.life.fire(onRefused)
-		return fail(resultcode.TargetRefused, err)
+		p.lifecycle.fire(triggerRefused)
+		return newFailure(resultcode.TargetRefused, err)
 	}
-	p.life.fire(onBroken)
-	if errors.Is(err, errSilent) {
-		p.distrust(p.req.Address)
-		return fail(resultcode.TargetStalled, err)
+	p.lifecycle.fire(triggerBroken)
+	if errors.Is(err, errInactivityTimeout) {
+		p.handleSilentConn(p.req.Address)
+		return newFailure(resultcode.TargetStalled, err)
 	}
-	return fail(resultcode.ConnectionLost, err)
+	return newFailure(resultcode.ConnectionLost, err)
 }
 
-// inadmissible gives the verdict on a response that is not passed on.
-func (p *plainAttempt) inadmissible(resp *http.Response) *resultcode.Failure {
+// checkResponse returns a failure if the response must not be forwarded.
+func (p *plainAttempt) checkResponse(resp *http.Response) *resultcode.Failure {
 	if notProcessed(resp) {
-		p.life.fire(onNotProcessed)
+		p.lifecycle.fire(triggerNotProcessed)
 		p.result.Leaving = resp.Header.Get(headerLeaving) == "true"
 		return resultcode.Fail(resultcode.TargetRefused, "%s", p.req.Address)
 	}
 	if resp.StatusCode == http.StatusSwitchingProtocols {
-		p.life.fire(onBroken)
+		p.lifecycle.fire(triggerBroken)
 		return resultcode.Fail(resultcode.TargetProtocol, "the service switched protocols")
 	}
-	if unframed(resp, p.req.Method) {
-		p.life.fire(onBroken)
+	if isCloseDelimited(resp, p.req.Method) {
+		p.lifecycle.fire(triggerBroken)
 		p.result.TargetFailed = true
 		return resultcode.Fail(resultcode.TargetProtocol, "the response has no length")
 	}
 	return nil
 }
 
-// unframed tells whether the end of the connection is the end of the body.
+// isCloseDelimited reports whether the body ends when the connection is closed.
 //
-// Such a body is refused: a connection that breaks would make a short answer
-// look whole, and nothing in the response could show it.
-func unframed(resp *http.Response, method string) bool {
+// Such a response is rejected: if the connection breaks, a truncated body cannot
+// be distinguished from a complete one.
+func isCloseDelimited(resp *http.Response, method string) bool {
 	if method == http.MethodHead || resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified {
 		return false
 	}
 	return resp.ContentLength < 0 && !slices.Contains(resp.TransferEncoding, "chunked")
 }
 
-// pass hands the response over. An error means that it is not whole; net/http
-// reports a body that is shorter than its length or lacks its last chunk.
-func (p *plainAttempt) pass(x *exchange) error {
+// forwardResponse copies the response to the sink. An error means that the
+// response is incomplete; net/http reports a body that is shorter than its length
+// or lacks its last chunk.
+func (p *plainAttempt) forwardResponse(x *exchange) error {
 	header := p.sink.Header()
-	for name, values := range endToEnd(x.resp.Header) {
+	for name, values := range endToEndHeaders(x.resp.Header) {
 		header[name] = values
 	}
 	p.sink.WriteHeader(x.resp.StatusCode)
@@ -157,27 +159,27 @@
 	if x.resp.ContentLength >= 0 {
 		flusher = nil
 	}
-	buf := make([]byte, copyBuffer)
+	buf := make([]byte, copyBufferSize)
 	for {
-		x.alive(cmp.Or(p.req.Progress, p.cfg.PlainProgress))
+		x.extendDeadline(cmp.Or(p.req.ProgressTimeout, p.cfg.PlainProgressTimeout))
 		n, err := x.resp.Body.Read(buf)
-		if failed := p.write(buf[:n], flusher); failed != nil {
-			return failed
+		if writeErr := p.forwardData(buf[:n], flusher); writeErr != nil {
+			return writeErr
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return x.explain(err)
+			return x.causeOr(err)
 		}
 	}
 }
 
-func (p *plainAttempt) write(piece []byte, flusher http.Flusher) error {
-	if len(piece) == 0 {
+func (p *plainAttempt) forwardData(data []byte, flusher http.Flusher) error {
+	if len(data) == 0 {
 		return nil
 	}
-	if _, err := p.sink.Write(piece); err != nil {
+	if _, err := p.sink.Write(data); err != nil {
 		return &sinkError{cause: err}
 	}
 	if flusher != nil {
@@ -186,18 +188,19 @@
 	return nil
 }
 
-// cut gives the verdict on a response that did not arrive whole.
-func (p *plainAttempt) cut(ctx context.Context, err error) *resultcode.Failure {
-	var taken *sinkError
-	if ctx.Err() != nil || errors.As(err, &taken) {
-		p.life.fire(onCanceled)
-		return fail(resultcode.AnswerCut, err)
-	}
-	p.life.fire(onCut)
+// incompleteFailure returns the failure for a response that was not forwarded
+// completely.
+func (p *plainAttempt) incompleteFailure(ctx context.Context, err error) *resultcode.Failure {
+	var sinkErr *sinkError
+	if ctx.Err() != nil || errors.As(err, &sinkErr) {
+		p.lifecycle.fire(triggerCanceled)
+		return newFailure(resultcode.AnswerCut, err)
+	}
+	p.lifecycle.fire(triggerCut)
 	p.result.TargetFailed = true
-	if errors.Is(err, errSilent) {
-		p.distrust(p.req.Address)
-		return fail(resultcode.TargetStalled, err)
+	if errors.Is(err, errInactivityTimeout) {
+		p.handleSilentConn(p.req.Address)
+		return newFailure(resultcode.TargetStalled, err)
 	}
-	return fail(resultcode.AnswerCut, err)
+	return newFailure(resultcode.AnswerCut, err)
 }
--- a/internal/attempt/plain_test.go
+++ b/internal/attempt/plain_test.go
@@ -37,16 +37,16 @@
 	}
 }
 
-func TestPlainPassesRequestAndResponse(t *testing.T) {
+func TestPlainForwardsRequestAndResponse(t *testing.T) {
 	for _, method := range []string{"GET", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"} {
 		for _, body := range []string{"", "the body"} {
 			t.Run(method+" "+body, func(t *testing.T) {
 				is := is.New(t)
-				s, address := newPlain(t)
+				s, address := newPlainService(t)
 				req := plainRequest(address, method, "m", "")
 				req.Body = []byte(body)
 				w := httptest.NewRecorder()
-				got := newRunner(t, quick()).Plain(t.Context(), req, w)
+				got := newRunner(t, shortTimeouts()).Plain(t.Context(), req, w)
 				is.True(got.Failure == nil)
 				is.Equal(got.Outcome, resultcode.Ran)
 				var echo plainstandin.Echo
@@ -56,7 +56,7 @@
 					Method: method, Path: "/a/b/c", Query: "q=1&q=2", Mark: "m", BodySHA256: hex.EncodeToString(sum[:]),
 				})
 				is.Equal(s.Ran("m"), 1)
-				is.Equal(s.Header("m").Get("Authorization"), "") // the key ends at the daemon
+				is.Equal(s.Header("m").Get("Authorization"), "") // the bearer key is not forwarded
 				is.Equal(s.Header("m").Get("X-Only-Here"), "")
 				is.Equal(s.Header("m").Get("X-Savorystall-Attempt"), string(req.Attempt))
 			})
@@ -64,8 +64,9 @@
 	}
 }
 
-// A service's answer breaks in one of several ways. Passed on as it is, a cut
-// body would look like a short success; called "not run", it would be run anew.
+// A plain service fails in one of several ways. A truncated body must not be
+// reported as a success, and a request that may have run must not be reported as
+// "not run", because the caller would then run it again.
 func TestPlainFailures(t *testing.T) {
 	cases := map[string]struct {
 		code    resultcode.Code
@@ -83,39 +84,39 @@
 	for fail, c := range cases {
 		t.Run(fail, func(t *testing.T) {
 			is := is.New(t)
-			s, address := newPlain(t)
+			s, address := newPlainService(t)
 			sink := &headerSink{ResponseRecorder: httptest.NewRecorder()}
-			got := newRunner(t, quick()).Plain(t.Context(), plainRequest(address, "POST", "m", fail), sink)
+			got := newRunner(t, shortTimeouts()).Plain(t.Context(), plainRequest(address, "POST", "m", fail), sink)
 			is.True(got.Failure != nil)
 			is.Equal(got.Failure.Code.Name, c.code.Name)
 			is.Equal(got.Outcome, c.outcome)
 			is.Equal(s.Ran("m"), c.runs)
-			is.Equal(sink.called, c.header)
+			is.Equal(sink.headerWritten, c.header)
 		})
 	}
 }
 
 type headerSink struct {
 	*httptest.ResponseRecorder
-	called bool
+	headerWritten bool
 }
 
 func (s *headerSink) WriteHeader(status int) {
-	s.called = true
+	s.headerWritten = true
 	s.ResponseRecorder.WriteHeader(status)
 }
 
-// A claim is filed with an idempotency key on a connection that served before.
-// The service runs it and the connection breaks before the answer. net/http's
-// transport takes such a key, or a GET, as leave to send the request again by
-// itself: the claim is filed twice and nobody is told.
+// A request with an idempotency key is sent on a reused connection. The service
+// runs it, and the connection breaks before the response. net/http's transport
+// retries requests with such a key, and GET requests, on its own, so the request
+// would run twice without anyone noticing.
 func TestPlainIsNeverReplayedByTheTransport(t *testing.T) {
 	for _, method := range []string{"POST", "DELETE", "GET", "HEAD", "OPTIONS", "TRACE"} {
 		for _, body := range []string{"", "claim"} {
 			t.Run(method+" "+body, func(t *testing.T) {
 				is := is.New(t)
 				s := newBreakingServer(t)
-				r := newRunner(t, quick())
+				r := newRunner(t, shortTimeouts())
 				first := plainRequest(s.address, "POST", "first", "")
 				is.True(r.Plain(t.Context(), first, httptest.NewRecorder()).Failure == nil)
 
@@ -126,14 +127,14 @@
 				got := r.Plain(t.Context(), req, httptest.NewRecorder())
 				is.True(got.Failure != nil)
 				is.Equal(got.Outcome, resultcode.MayHaveRun)
-				is.Equal(s.requests.Load(), int64(2)) // one each
+				is.Equal(s.requests.Load(), int64(2)) // one for each call
 			})
 		}
 	}
 }
 
-// breakingServer answers the first request and breaks the connection of each
-// later one after it has read it.
+// breakingServer responds to the first request and closes the connection of each
+// later one after reading it.
 type breakingServer struct {
 	address  string
 	requests atomic.Int64
@@ -158,9 +159,9 @@
 
 func (s *breakingServer) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
-	in := bufio.NewReader(c)
+	reader := bufio.NewReader(c)
 	for {
-		req, err := http.ReadRequest(in)
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -172,13 +173,13 @@
 	}
 }
 
-// Callers hang up at any moment while their claims are being dispatched. Those
-// who are told "not run" file again elsewhere; had the write just been about to
-// begin, the claim would run twice.
-func TestPlainNotRunIsTrueWhenCallersLeave(t *testing.T) {
+// Callers cancel at arbitrary times while their requests are being sent. A caller
+// that gets "not run" submits the request again elsewhere; if the write were about
+// to start at that time, the request would run twice.
+func TestPlainNotRunIsAccurateWhenCallersCancel(t *testing.T) {
 	const callers = 600
-	s, address := newPlain(t)
-	r := newRunner(t, quick())
+	s, address := newPlainService(t)
+	r := newRunner(t, shortTimeouts())
 	var notRun atomic.Int64
 	var group sync.WaitGroup
 	for i := range callers {
@@ -197,12 +198,12 @@
 		})
 	}
 	group.Wait()
-	is.New(t).True(notRun.Load() > 0) // the test met the case
+	is.New(t).True(notRun.Load() > 0) // the case occurred in this run
 }
 
 func TestProbe(t *testing.T) {
 	is := is.New(t)
-	r := newRunner(t, quick())
+	r := newRunner(t, shortTimeouts())
 	e, engine := newEngine(t, enginestandin.Config{Models: []string{"m"}})
 	e.SetLeaving(true)
 	status, err := r.Probe(t.Context(), engine)
@@ -210,7 +211,7 @@
 	is.True(status.Leaving)
 	is.Equal(status.Models, []string{"m"})
 	_, err = r.Probe(t.Context(), serve(t, http.NotFoundHandler(), func() {}))
-	is.NoErr(err) // a service without a status page lives as well
+	is.NoErr(err) // a service without a status page counts as reachable
 	_, err = r.Probe(t.Context(), faultlink.FreeAddress(t))
 	is.True(err != nil)
 }
--- a/internal/attempt/runner.go
+++ b/internal/attempt/runner.go
@@ -1,15 +1,14 @@
-// Package attempt is the target hop: it runs one request on one target and says
-// truthfully what became of it.
+// Package attempt runs one request on one target and reports its outcome reliably.
 //
-// Three rules hold throughout. A request is "not run" only where no write of it
-// to the target's transport was begun, or where the target's protocol says that
-// it was not processed. An attempt sends its request once: nothing below it
-// (the HTTP transport) and nothing within it repeats the request; a broken
-// stream is resumed by its attempt id at the exact offset. An answer is complete
-// only with its end mark; all else is a failure.
+// Three rules always hold. The outcome is "not run" only if no write of the request
+// to the target's transport was started, or if the target declares that it did not
+// process the request. An attempt sends its request once: neither the HTTP
+// transport below it nor the attempt itself repeats the request; a broken stream
+// is resumed by its attempt ID at the exact offset. An answer is complete only with
+// its end mark; everything else is a failure.
 //
-// docs/ENGINE-API.md is the protocol towards engines and
-// docs/design/target-hop.md says which ways were weighed.
+// docs/ENGINE-API.md describes the protocol between daemons and engines,
+// docs/design/target-hop.md the design alternatives that were considered.
 package attempt
 
 import (
@@ -28,41 +27,41 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-// Config holds the deadlines of the target hop.
+// Config holds the timeouts and limits of a Runner.
 type Config struct {
-	// ConnectTimeout bounds the dialling of a connection. Default: 1 s.
+	// ConnectTimeout bounds the time to establish a connection. Default: 1 s.
 	ConnectTimeout time.Duration
-	// FirstByte bounds the wait for the response header of an engine, which
-	// answers as soon as it has accepted a request. Default: 5 s.
-	FirstByte time.Duration
-	// Progress bounds the silence on an engine's stream. An engine writes a
-	// heartbeat each second, whatever its step time is. Default: 4 s.
-	Progress time.Duration
-	// TokenDeadline bounds the wait for the next token while heartbeats
-	// arrive. The step time of engines is not assumed, so that it is long.
-	// Default: 2 min.
-	TokenDeadline time.Duration
-	// ResumeWindow bounds the time without a new token in which a broken
-	// stream is resumed. Default: 10 s.
+	// FirstByteTimeout bounds the wait for the response header of an engine, which
+	// responds as soon as it has accepted a request. Default: 5 s.
+	FirstByteTimeout time.Duration
+	// ProgressTimeout bounds the time without data on an engine's stream. An
+	// engine sends a heartbeat every second, whatever its step time. Default: 4 s.
+	ProgressTimeout time.Duration
+	// TokenTimeout bounds the wait for the next token while heartbeats arrive. It
+	// is long because the step time of the engines is not known. Default: 2 min.
+	TokenTimeout time.Duration
+	// ResumeWindow is how long after the last new token a broken stream is still
+	// resumed. Default: 10 s.
 	ResumeWindow time.Duration
-	// PlainFirstByte bounds the wait for the response header of a plain
+	// PlainFirstByteTimeout bounds the wait for the response header of a plain
 	// service. Default: 60 s.
-	PlainFirstByte time.Duration
-	// PlainProgress bounds the silence within the body of a plain service's
-	// response. Default: 20 s.
-	PlainProgress time.Duration
-	// UserTimeout is TCP_USER_TIMEOUT: how long written bytes may stay without
-	// acknowledgement before the connection counts as broken. Default: 5 s.
+	PlainFirstByteTimeout time.Duration
+	// PlainProgressTimeout bounds the time without data within the response body
+	// of a plain service. Default: 20 s.
+	PlainProgressTimeout time.Duration
+	// UserTimeout is TCP_USER_TIMEOUT: how long transmitted data may remain
+	// unacknowledged before the connection is considered broken. Default: 5 s.
 	UserTimeout time.Duration
-	// IdleTimeout is how long an unused connection is kept. It is shorter than
-	// the idle timeouts usual at servers, so that a request seldom meets a
+	// IdleTimeout is how long an idle connection is kept. It is shorter than the
+	// usual idle timeouts of servers, so that a request is rarely sent on a
 	// connection that the target is closing. Default: 4 s.
 	IdleTimeout time.Duration
-	// IdlePerTarget bounds the unused connections to one target. Default: 64.
-	IdlePerTarget int
-	// MaxEvent bounds one line of a stream in bytes. Default: 1 MiB.
-	MaxEvent int
-	// Tracer makes the span of the hop. Default: the global provider's.
+	// MaxIdlePerTarget bounds the idle connections to one target. Default: 64.
+	MaxIdlePerTarget int
+	// MaxLineBytes bounds the length of one line of a stream. Default: 1 MiB.
+	MaxLineBytes int
+	// Tracer creates the span of each attempt. Default: a tracer of the global
+	// provider.
 	Tracer trace.Tracer
 	// Scope receives the metrics. Default: none.
 	Scope tally.Scope
@@ -70,16 +69,16 @@
 
 func (c Config) withDefaults() Config {
 	c.ConnectTimeout = cmp.Or(c.ConnectTimeout, time.Second)
-	c.FirstByte = cmp.Or(c.FirstByte, 5*time.Second)
-	c.Progress = cmp.Or(c.Progress, 4*time.Second)
-	c.TokenDeadline = cmp.Or(c.TokenDeadline, 2*time.Minute)
+	c.FirstByteTimeout = cmp.Or(c.FirstByteTimeout, 5*time.Second)
+	c.ProgressTimeout = cmp.Or(c.ProgressTimeout, 4*time.Second)
+	c.TokenTimeout = cmp.Or(c.TokenTimeout, 2*time.Minute)
 	c.ResumeWindow = cmp.Or(c.ResumeWindow, 10*time.Second)
-	c.PlainFirstByte = cmp.Or(c.PlainFirstByte, time.Minute)
-	c.PlainProgress = cmp.Or(c.PlainProgress, 20*time.Second)
+	c.PlainFirstByteTimeout = cmp.Or(c.PlainFirstByteTimeout, time.Minute)
+	c.PlainProgressTimeout = cmp.Or(c.PlainProgressTimeout, 20*time.Second)
 	c.UserTimeout = cmp.Or(c.UserTimeout, 5*time.Second)
 	c.IdleTimeout = cmp.Or(c.IdleTimeout, 4*time.Second)
-	c.IdlePerTarget = cmp.Or(c.IdlePerTarget, 64)
-	c.MaxEvent = cmp.Or(c.MaxEvent, 1<<20)
+	c.MaxIdlePerTarget = cmp.Or(c.MaxIdlePerTarget, 64)
+	c.MaxLineBytes = cmp.Or(c.MaxLineBytes, 1<<20)
 	if c.Tracer == nil {
 		c.Tracer = otel.Tracer("github.com/savorystall/savorystall/internal/attempt")
 	}
@@ -89,71 +88,72 @@
 	return c
 }
 
-// Result tells how an attempt ended.
+// Result describes how an attempt ended.
 type Result struct {
-	// Outcome is what is known about the run.
+	// Outcome is what is known about whether the request ran.
 	Outcome resultcode.Outcome
-	// Failure is nil where the whole answer was handed over.
+	// Failure is nil if the complete answer was delivered.
 	Failure *resultcode.Failure
-	// Status is the HTTP status of the target; zero where none arrived.
+	// Status is the HTTP status of the response; zero if there was none.
 	Status int
-	// Tokens were handed to the sink by this attempt; PromptTokens is the engine's count, zero
-	// where it did not tell.
+	// Tokens is the number of tokens that this attempt passed to the sink.
+	// PromptTokens is the number reported by the engine; zero if it reported none.
 	Tokens, PromptTokens int
-	// First runs from the start to the first chunk or byte (zero: there was
-	// none), Elapsed to the end.
-	First, Elapsed time.Duration
-	// Resumed counts the connections after the first.
-	Resumed int
-	// TargetFailed tells that the target or the way to it failed, as opposed to
-	// the caller or the request.
+	// FirstByte is the time from the start to the first chunk or to the response
+	// header (zero if there was none), Elapsed the time to the end.
+	FirstByte, Elapsed time.Duration
+	// ResumeCount is the number of connections after the first.
+	ResumeCount int
+	// TargetFailed reports that the target or the network path to it failed, as
+	// opposed to the caller or the request.
 	TargetFailed bool
-	// Leaving tells that the target refused because it is leaving.
+	// Leaving reports that the target rejected the request because it is leaving.
 	Leaving bool
-	// Preempted tells that the attempt was stopped by ErrPreempted.
+	// Preempted reports that the attempt was stopped with ErrPreempted.
 	Preempted bool
 }
 
-// Chunk is a piece of an engine's answer.
+// Chunk is a part of an engine's answer.
 type Chunk struct {
-	// Offset counts the tokens of the answer up to and with this chunk.
+	// Offset is the number of tokens of the answer up to and including this chunk.
 	Offset uint64
 	// Tokens is the number of tokens in this chunk.
 	Tokens int
-	// Data is the JSON of the event. The receiver may keep it.
+	// Data is the JSON of the event. The receiver may retain it.
 	Data []byte
 }
 
-// Sink receives the chunks of an answer in order, each once.
+// Sink receives the chunks of an answer in order, each exactly once.
 type Sink interface {
-	// Chunk takes one chunk. An error ends the attempt and cancels the stream.
+	// Chunk receives one chunk. An error ends the attempt and cancels the stream.
 	Chunk(Chunk) error
 }
 
 // ModelRequest is a request to a model engine.
 type ModelRequest struct {
-	// Attempt names the stream; it is never used twice.
+	// Attempt identifies the stream; it must never be reused.
 	Attempt ident.Attempt
 	// Address is host:port of the target.
 	Address string
 	// Path is "/v1/completions" or "/v1/chat/completions".
 	Path   string
 	Header http.Header
-	// Body is the JSON body and asks for a stream.
+	// Body is the JSON body. It must request a stream.
 	Body []byte
-	// FirstToken bounds the wait for the first token, NextToken that for each
-	// later one, while heartbeats arrive. Zero: Config.TokenDeadline.
-	FirstToken, NextToken time.Duration
-	// Unrepeatable asks for a connection of its own, as in PlainRequest.
+	// FirstTokenTimeout bounds the wait for the first token, NextTokenTimeout that
+	// for each later one, while heartbeats arrive. Zero means Config.TokenTimeout.
+	FirstTokenTimeout, NextTokenTimeout time.Duration
+	// Unrepeatable requests a new connection, as in PlainRequest.
 	Unrepeatable bool
-	// After is how many tokens of the answer earlier attempts have handed over;
-	// the engine goes on after them, and Body holds what it needs for that.
-	After uint64
+	// StartOffset is how many tokens of the answer earlier attempts have delivered.
+	// The engine continues after them; Body contains what it needs for that.
+	StartOffset uint64
 }
 
-// ErrPreempted as the cause of the end of an attempt's context stops the attempt
-// for another request: Result.Preempted is set, and the engine has been told.
-var ErrPreempted = merry.New("stopped for another request")
+// ErrPreempted is the cancellation cause of an attempt's context that preempts the
+// attempt for another request. Result.Preempted is then set, and a stream that may
+// exist has been canceled at the engine when the attempt returns.
+var ErrPreempted = merry.New("preempted by another request")
 
 // PlainRequest is a request to a plain service.
 type PlainRequest struct {
@@ -161,22 +161,23 @@
 	// Address is host:port of the target.
 	Address string
 	Method  string
-	// Path is the escaped path, RawQuery the query without "?".
+	// Path is the escaped path, RawQuery the encoded query without "?".
 	Path, RawQuery string
 	Header         http.Header
 	Body           []byte
-	// Unrepeatable asks for a connection of its own: a reused one may be
-	// closing already or have gone silent, and then nobody can tell whether the
-	// request was run, and it cannot be tried again.
+	// Unrepeatable requests a new connection. A reused one may be closing or may
+	// have gone silent; it would then be unknown whether the request ran, and the
+	// request could not be retried.
 	Unrepeatable bool
-	// FirstByte bounds the wait for the response's header, Progress the silence
-	// within its body. Zero: Config.PlainFirstByte and Config.PlainProgress.
-	FirstByte, Progress time.Duration
+	// FirstByteTimeout bounds the wait for the response header, ProgressTimeout the
+	// time without data within the body. Zero means Config.PlainFirstByteTimeout
+	// and Config.PlainProgressTimeout.
+	FirstByteTimeout, ProgressTimeout time.Duration
 }
 
-// PlainSink receives the response of a plain service. An http.ResponseWriter
-// is one. WriteHeader is called at most once, and not at all where the attempt
-// fails before the response's header.
+// PlainSink receives the response of a plain service. Every http.ResponseWriter
+// implements it. WriteHeader is called at most once, and not at all if the attempt
+// fails before the response header.
 type PlainSink interface {
 	Header() http.Header
 	WriteHeader(status int)
@@ -185,15 +186,16 @@
 
 // Runner runs attempts. It is safe for concurrent use.
 type Runner struct {
-	cfg  Config
-	dial *dialer
-	// fresh makes a connection for each request.
-	fresh *http.Transport
-	// background ends with the runner; it bounds the cancelling of streams.
-	background context.Context
-	end        context.CancelFunc
-	canceling  sync.WaitGroup
-	metrics    metrics
+	cfg    Config
+	dialer *dialer
+	// unpooled opens a new connection for each request.
+	unpooled *http.Transport
+	// cancelContext is the context of the requests that cancel streams. It ends
+	// with the runner.
+	cancelContext     context.Context
+	stopCancellations context.CancelFunc
+	cancellations     sync.WaitGroup
+	metrics           metrics
 
 	mu    sync.Mutex
 	pools map[string]*pool
@@ -203,13 +205,13 @@
 	resumed, stalled, lateChunks, notRun, unknown tally.Counter
 }
 
-// NewRunner returns a runner. Close releases its connections.
+// NewRunner returns a Runner. Close releases its connections.
 func NewRunner(cfg Config) *Runner {
 	cfg = cfg.withDefaults()
 	r := &Runner{
-		cfg:   cfg,
-		dial:  newDialer(cfg),
-		pools: map[string]*pool{},
+		cfg:    cfg,
+		dialer: newDialer(cfg),
+		pools:  map[string]*pool{},
 		metrics: metrics{
 			resumed:    cfg.Scope.Counter("attempt_streams_resumed"),
 			stalled:    cfg.Scope.Counter("attempt_connections_silent"),
@@ -218,25 +220,25 @@
 			unknown:    cfg.Scope.Counter("attempt_outcome_unknown"),
 		},
 	}
-	r.background, r.end = context.WithCancel(context.Background())
-	r.fresh = r.newTransport()
-	r.fresh.DisableKeepAlives = true
+	r.cancelContext, r.stopCancellations = context.WithCancel(context.Background())
+	r.unpooled = r.newTransport()
+	r.unpooled.DisableKeepAlives = true
 	return r
 }
 
-// Close waits a short time for the cancelling of streams and closes unused
-// connections. Attempts must have ended.
+// Close waits up to cancelTimeout for pending stream cancellations and closes idle
+// connections. All attempts must have ended.
 func (r *Runner) Close() {
 	done := make(chan struct{})
 	go func() {
-		r.canceling.Wait()
+		r.cancellations.Wait()
 		close(done)
 	}()
 	select {
 	case <-done:
 	case <-time.After(cancelTimeout):
 	}
-	r.end()
+	r.stopCancellations()
 	<-done
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/attempt/sse.go
+++ b/internal/attempt/sse.go
@@ -9,30 +9,31 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// event is one server-sent event, or a comment that only shows life.
+// event is one server-sent event, or a comment that serves only as a heartbeat.
 type event struct {
 	id      string
 	data    []byte
 	comment bool
 }
 
-var errEventTooLong = merry.New("an event is longer than allowed")
+var errLineTooLong = merry.New("an event line exceeds the maximum length")
 
-// eventBuffer holds an ordinary event; longer lines are put together.
-const eventBuffer = 1 << 10
+// eventBufferSize is enough for an ordinary event. Longer lines are assembled from
+// several reads.
+const eventBufferSize = 1 << 10
 
 // eventReader reads a stream of server-sent events.
 type eventReader struct {
-	in    *bufio.Reader
-	limit int
+	buffered     *bufio.Reader
+	maxLineBytes int
 }
 
 func newEventReader(in io.Reader, limit int) *eventReader {
-	return &eventReader{in: bufio.NewReaderSize(in, eventBuffer), limit: limit}
+	return &eventReader{buffered: bufio.NewReaderSize(in, eventBufferSize), maxLineBytes: limit}
 }
 
-// next returns the next event. An event that the end of the input cuts off is
-// dropped, and the error is io.EOF or io.ErrUnexpectedEOF.
+// next returns the next event. An event that is truncated by the end of the input
+// is dropped, and the error is io.EOF or io.ErrUnexpectedEOF.
 func (r *eventReader) next() (event, error) {
 	var e event
 	for {
@@ -46,11 +47,11 @@
 			}
 			continue
 		}
-		e.add(line)
+		e.addLine(line)
 	}
 }
 
-func (e *event) add(line []byte) {
+func (e *event) addLine(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(name) {
@@ -67,30 +68,31 @@
 	}
 }
 
-// line returns the next line without its end. It is valid until the next call.
+// line returns the next line without its line ending. It is valid until the next
+// call.
 func (r *eventReader) line() ([]byte, error) {
-	line, err := r.in.ReadSlice('\n')
+	line, err := r.buffered.ReadSlice('\n')
 	if err == nil {
-		return trimEnd(line), nil
+		return trimLineEnd(line), nil
 	}
 	if !errors.Is(err, bufio.ErrBufferFull) {
 		return nil, err
 	}
-	whole := bytes.Clone(line)
+	fullLine := bytes.Clone(line)
 	for errors.Is(err, bufio.ErrBufferFull) {
-		if len(whole) > r.limit {
-			return nil, errEventTooLong
+		if len(fullLine) > r.maxLineBytes {
+			return nil, errLineTooLong
 		}
-		line, err = r.in.ReadSlice('\n')
-		whole = append(whole, line...)
+		line, err = r.buffered.ReadSlice('\n')
+		fullLine = append(fullLine, line...)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return trimEnd(whole), nil
+	return trimLineEnd(fullLine), nil
 }
 
-func trimEnd(line []byte) []byte {
+func trimLineEnd(line []byte) []byte {
 	line = bytes.TrimSuffix(line, []byte("\n"))
 	return bytes.TrimSuffix(line, []byte("\r"))
 }
--- a/internal/attempt/stop.go
+++ b/internal/attempt/stop.go
@@ -9,48 +9,48 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-func (m *modelAttempt) canceled(cause error) *resultcode.Failure {
-	return m.stopped(resultcode.AnswerCut, cause)
+func (m *modelAttempt) answerCanceled(cause error) *resultcode.Failure {
+	return m.canceledWithCode(resultcode.AnswerCut, cause)
 }
 
-// stopped ends a canceled attempt. A preempted one waits until the engine has
-// heard of it: its slot is given away next, and the engine would refuse or queue
-// the request that gets it while the stream still runs.
-func (m *modelAttempt) stopped(code resultcode.Code, cause error) *resultcode.Failure {
-	m.life.fire(onCanceled)
+// canceledWithCode ends a canceled attempt. A preempted attempt waits for the
+// engine to respond to the cancellation: its slot is reassigned next, and the engine
+// would reject or queue the request that gets the slot while the stream still runs.
+func (m *modelAttempt) canceledWithCode(code resultcode.Code, cause error) *resultcode.Failure {
+	m.lifecycle.fire(triggerCanceled)
 	m.result.Preempted = errors.Is(cause, ErrPreempted)
 	if m.result.Preempted {
 		m.deleteStream()
 	} else {
-		m.cancelStream()
+		m.cancelStreamAsync()
 	}
-	return fail(code, cause)
+	return newFailure(code, cause)
 }
 
-// cancelStream tells the engine, beside the caller's path, that nobody wants
-// the stream any more. An engine that does not hear it drops the stream by
-// itself some seconds after its last connection.
-func (m *modelAttempt) cancelStream() {
-	m.canceling.Go(m.deleteStream)
+// cancelStreamAsync cancels the stream at the engine without delaying the caller.
+// An engine that does not receive the cancellation drops the stream on its own a
+// few seconds after its last connection.
+func (m *modelAttempt) cancelStreamAsync() {
+	m.cancellations.Go(m.deleteStream)
 }
 
 func (m *modelAttempt) deleteStream() {
-	ctx, cancel := context.WithTimeout(m.background, cancelTimeout)
+	ctx, cancel := context.WithTimeout(m.cancelContext, cancelTimeout)
 	defer cancel()
 	req := newRequest(ctx, http.MethodDelete, m.streamURL(), requestHeader(ctx, nil), nil)
-	resp, err := m.fresh.RoundTrip(req)
+	resp, err := m.unpooled.RoundTrip(req)
 	if err != nil {
 		return
 	}
 	_ = resp.Body.Close()
 }
 
-// checkContinued refuses an engine that does not confirm the offset: one that
-// knows nothing of it would begin another answer, and the caller would get a text
-// put together from two.
-func (m *modelAttempt) checkContinued(resp *http.Response) error {
-	if m.req.After == 0 || resp.Header.Get(headerContinued) == strconv.FormatUint(m.req.After, 10) {
+// checkContinuation returns an error if the engine does not confirm the start
+// offset. An engine that ignores the offset would start a new answer, and the
+// caller would get a mixture of two answers.
+func (m *modelAttempt) checkContinuation(resp *http.Response) error {
+	if m.req.StartOffset == 0 || resp.Header.Get(headerContinued) == strconv.FormatUint(m.req.StartOffset, 10) {
 		return nil
 	}
-	return protocolError("the engine did not go on at the offset")
+	return protocolError("the engine did not confirm the start offset")
 }
--- a/internal/daemon/cache.go
+++ b/internal/daemon/cache.go
@@ -117,7 +117,7 @@
 func (p *cachePoller) ask(ctx context.Context, poll cachePoll) (events int) {
 	page, err := p.runner.CacheEvents(ctx, poll.address, poll.after)
 	switch {
-	case errors.Is(err, attempt.ErrNoCacheEvents):
+	case errors.Is(err, attempt.ErrCacheEventsUnsupported):
 		p.mu.Lock()
 		p.quiet[poll.probed] = time.Now().Add(cacheRetry)
 		p.mu.Unlock()
--- a/internal/daemon/follow.go
+++ b/internal/daemon/follow.go
@@ -195,7 +195,7 @@
 	before, _ := p.words.Load(key)
 	last, _ := before.(word)
 	now := word{heard: true, leaving: status.Leaving}
-	if err != nil || doc.Kind == document.Model && status.HTTP != http.StatusOK {
+	if err != nil || doc.Kind == document.Model && status.HTTPStatus != http.StatusOK {
 		now = word{silent: true, heard: last.heard, leaving: last.leaving}
 	}
 	p.words.Store(key, now)
--- a/internal/ingress/model.go
+++ b/internal/ingress/model.go
@@ -166,7 +166,7 @@
 		}
 		return s.Runner.Model(ctx, attempt.ModelRequest{
 			Attempt: id, Address: address, Path: path, Header: header, Body: body, Unrepeatable: !j.repeatable(),
-			FirstToken: limits.FirstByteTimeout, NextToken: limits.ProgressTimeout, After: so.tokens,
+			FirstTokenTimeout: limits.FirstByteTimeout, NextTokenTimeout: limits.ProgressTimeout, StartOffset: so.tokens,
 		}, &progress{sink: sink, so: so, report: func(tokens int) {
 			s.Placer.Progress(j.w.request, so.cost(tokens))
 		}})
--- a/internal/ingress/place.go
+++ b/internal/ingress/place.go
@@ -178,7 +178,7 @@
 	s.Placer.Finish(j.w.request, scheduler.Result{
 		Served:    served,
 		Elapsed:   result.Elapsed,
-		FirstByte: result.First,
+		FirstByte: result.FirstByte,
 		Failed:    result.TargetFailed,
 		NotRun:    result.Outcome == resultcode.NotRun,
 		Preempted: result.Preempted,
@@ -194,8 +194,8 @@
 	if result.Outcome == resultcode.NotRun {
 		return
 	}
-	if result.First > 0 && j.stops == 0 {
-		s.Metrics.First(j.name(), result.First)
+	if result.FirstByte > 0 && j.stops == 0 {
+		s.Metrics.First(j.name(), result.FirstByte)
 	}
 	s.Metrics.Served(j.name(), j.workspace, int64(served))
 	if result.Failure == nil {
--- a/internal/ingress/plain.go
+++ b/internal/ingress/plain.go
@@ -78,7 +78,7 @@
 		return s.Runner.Plain(ctx, attempt.PlainRequest{
 			Attempt: id, Address: address, Method: r.Method, Path: path, RawQuery: r.URL.RawQuery,
 			Header: r.Header, Body: body, Unrepeatable: !j.repeatable(),
-			FirstByte: j.service.Document.Limits.FirstByteTimeout, Progress: j.service.Document.Limits.ProgressTimeout,
+			FirstByteTimeout: j.service.Document.Limits.FirstByteTimeout, ProgressTimeout: j.service.Document.Limits.ProgressTimeout,
 		}, j.w)
 	}
 }
