--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -154,7 +154,7 @@
 // checkLimits refuses a request that exceeds its workspace's own limits.
 func (c *Controller) checkLimits(now time.Time, w *workspace, a Arrival) *resultcode.Failure {
 	if !w.share.Concurrency.Admit(a.Running + a.Waiting) {
-		f := resultcode.Fail(resultcode.ConcurrencyFull, "the limit is %d", w.limits.Concurrent)
+		f := resultcode.Fail(resultcode.ConcurrencyLimited, "the limit is %d", w.limits.Concurrent)
 		f.RetryAfter = ceilSeconds(c.timeToNextCompletion(a))
 		return f
 	}
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -31,7 +31,7 @@
 	}
 	f := c.Admit(start, Arrival{Workspace: "a"})
 	is.Equal(resultNumber(f), resultcode.RateLimited.Number)
-	is.Equal(f.Code.HTTP, 429)
+	is.Equal(f.Code.HTTPStatus, 429)
 	is.Equal(f.RetryAfter, time.Second)
 	is.Equal(c.Admit(start, Arrival{Workspace: "b"}), nil)
 	is.Equal(c.Admit(start.Add(100*time.Millisecond), Arrival{Workspace: "a"}), nil)
@@ -43,7 +43,7 @@
 	c := New(Config{})
 	c.SetLimits("a", Limits{Weight: 1, Concurrent: 3})
 	is.Equal(c.Admit(start, Arrival{Workspace: "a", Running: 2}), nil)
-	is.Equal(resultNumber(c.Admit(start, Arrival{Workspace: "a", Running: 2, Waiting: 1})), resultcode.ConcurrencyFull.Number)
+	is.Equal(resultNumber(c.Admit(start, Arrival{Workspace: "a", Running: 2, Waiting: 1})), resultcode.ConcurrencyLimited.Number)
 }
 
 // One workspace has filled the daemon's queues. If every request were refused
@@ -55,7 +55,7 @@
 	c.SetLimits("small", Limits{Weight: 1})
 	f := c.Admit(start, Arrival{Workspace: "flood", Waiting: 100, TotalWaiting: 100})
 	is.Equal(resultNumber(f), resultcode.FleetFull.Number)
-	is.Equal(f.Code.HTTP, 503)
+	is.Equal(f.Code.HTTPStatus, 503)
 	is.Equal(c.Admit(start, Arrival{Workspace: "small", TotalWaiting: 100}), nil)
 }
 
--- a/internal/attempt/model.go
+++ b/internal/attempt/model.go
@@ -393,5 +393,5 @@
 }
 
 func newFailure(code resultcode.Code, cause error) *resultcode.Failure {
-	return resultcode.Failure{Code: code}.Because(cause)
+	return resultcode.Failure{Code: code}.WithCause(cause)
 }
--- a/internal/booking/core_test.go
+++ b/internal/booking/core_test.go
@@ -132,6 +132,6 @@
 	c.Submit(now, booking.Request{ID: "r", Service: "pool", Workspace: "w", Deadline: now.Add(time.Second)})
 	refused, ok := c.TakeEffects()[0].(booking.Refuse)
 	is.True(ok)
-	is.Equal(refused.Failure.Code.HTTP, http.StatusServiceUnavailable)
-	is.True(refused.Failure.Wait() > 0) // with a time to retry after
+	is.Equal(refused.Failure.Code.HTTPStatus, http.StatusServiceUnavailable)
+	is.True(refused.Failure.RetryDelay() > 0) // with a time to retry after
 }
--- a/internal/claim/claimer.go
+++ b/internal/claim/claimer.go
@@ -131,7 +131,7 @@
 			c.refusalLog.Do(func() {
 				event.ClaimRefused.Log(c.log, "service", hold.key.Service, "workspace", hold.key.Workspace)
 			})
-			return Refuse{resultcode.Fail(resultcode.StoreUnavailable, "").Because(err)}, nil
+			return Refuse{resultcode.Fail(resultcode.StoreUnavailable, "").WithCause(err)}, nil
 		}
 		if result.conflict == nil {
 			return c.proceed(hold, result.revision), nil
--- a/internal/claim/claimer_test.go
+++ b/internal/claim/claimer_test.go
@@ -149,7 +149,7 @@
 	for _, c := range []*Claimer{a, b} {
 		d, err := c.Claim(t.Context(), testKey, []byte("other"), "x")
 		is.NoErr(err)
-		is.Equal(d.(Refuse).Failure.Code, resultcode.KeyReused)
+		is.Equal(d.(Refuse).Failure.Code, resultcode.IdempotencyKeyReused)
 	}
 }
 
--- a/internal/claim/ledger.go
+++ b/internal/claim/ledger.go
@@ -69,7 +69,7 @@
 		return nil
 	}
 	if !bytes.Equal(e.digest, digest) {
-		return Refuse{resultcode.Fail(resultcode.KeyReused, "")}
+		return Refuse{resultcode.Fail(resultcode.IdempotencyKeyReused, "")}
 	}
 	if e.phase != phaseFinished {
 		return Refuse{resultcode.Fail(resultcode.InProgress, "")}
--- a/internal/claim/rule.go
+++ b/internal/claim/rule.go
@@ -32,7 +32,7 @@
 		return actionProceed, nil
 	}
 	if !bytes.Equal(row.Digest, own.Digest) {
-		return actionDecided, Refuse{resultcode.Fail(resultcode.KeyReused, "")}
+		return actionDecided, Refuse{resultcode.Fail(resultcode.IdempotencyKeyReused, "")}
 	}
 	if row.Done {
 		return evaluateOutcome(row.Outcome)
--- a/internal/control/bookings.go
+++ b/internal/control/bookings.go
@@ -105,7 +105,7 @@
 }
 
 // First reports that the first byte of a response has arrived.
-func (b *BookingLoop) First(id ident.Request, took time.Duration) {
+func (b *BookingLoop) FirstByte(id ident.Request, took time.Duration) {
 	b.post(func(now time.Time) { b.core.FirstByte(now, id, took) })
 }
 
@@ -116,7 +116,7 @@
 
 // Wanted records the demand of a workspace for a request that was refused without a search
 // for a target.
-func (b *BookingLoop) Wanted(service ident.Service, workspace ident.Workspace, cost float64) {
+func (b *BookingLoop) RecordShed(service ident.Service, workspace ident.Workspace, cost float64) {
 	b.post(func(now time.Time) { b.core.RecordShed(now, service, workspace, cost) })
 }
 
--- a/internal/daemon/answers_test.go
+++ b/internal/daemon/answers_test.go
@@ -100,7 +100,7 @@
 	is.Equal(string(repeated), string(body))
 	is.Equal(site.TargetRequests(), seen)
 	status, _, _ = ask(t, a.Callers, "another request", header, "")
-	is.Equal(status, resultcode.KeyReused.HTTP)
+	is.Equal(status, resultcode.IdempotencyKeyReused.HTTPStatus)
 }
 
 // An engine ends a stream in good order but without its end mark. A caller that
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -93,9 +93,9 @@
 		withKey(get("no key on a plain service", "/services/portal/x", resultcode.Unauthenticated), ""),
 		withKey(get("key of another service", "/services/portal/x", resultcode.Forbidden), dev.OtherKey),
 		withHeader(withKey(post("basic authentication", completions, good, resultcode.Unauthenticated), ""), "Authorization", "Basic eDp5"),
-		withMedia(post("no content type", completions, good, resultcode.UnsupportedMedia), ""),
-		withMedia(post("form", completions, "model=recap-1", resultcode.UnsupportedMedia), "application/x-www-form-urlencoded"),
-		withMedia(post("broken content type", completions, good, resultcode.UnsupportedMedia), ";;"),
+		withMedia(post("no content type", completions, good, resultcode.UnsupportedMediaType), ""),
+		withMedia(post("form", completions, "model=recap-1", resultcode.UnsupportedMediaType), "application/x-www-form-urlencoded"),
+		withMedia(post("broken content type", completions, good, resultcode.UnsupportedMediaType), ";;"),
 		post("empty body", completions, "", resultcode.BadRequest),
 		post("cut JSON", completions, `{"model":"recap-1"`, resultcode.BadRequest),
 		post("array", completions, `[1]`, resultcode.BadRequest),
@@ -119,7 +119,7 @@
 		get("encoded slash", "/services/portal/a%2Fb", resultcode.UnknownOperation),
 		get("encoded dots", "/services/portal/a/%2e%2e%5cb", resultcode.UnknownOperation),
 		get("encoded name of a service", "/services/p%6Frtal/x", resultcode.UnknownService),
-		post("no idempotency key", "/services/portal/claims", "x", resultcode.KeyRequired),
+		post("no idempotency key", "/services/portal/claims", "x", resultcode.IdempotencyKeyRequired),
 		post("wrong path of a plain service", "/services/portal/other", "x", resultcode.MethodNotAllowed),
 	}
 }
@@ -162,7 +162,7 @@
 			is.Equal(answer.Error.Name, c.want.Name)
 			is.Equal(answer.Error.Code, c.want.Number)
 			is.Equal(answer.Error.Run, resultcode.NotRun)
-			is.Equal(response.StatusCode, c.want.HTTP)
+			is.Equal(response.StatusCode, c.want.HTTPStatus)
 		})
 	}
 	is.New(t).Equal(stall.TargetRequests(), before)
@@ -183,5 +183,5 @@
 	response, err := http.DefaultClient.Do(request)
 	is.NoErr(err)
 	defer func() { _ = response.Body.Close() }()
-	is.Equal(response.StatusCode, resultcode.BodyTimeout.HTTP)
+	is.Equal(response.StatusCode, resultcode.BodyTimeout.HTTPStatus)
 }
--- a/internal/daemon/hangups_test.go
+++ b/internal/daemon/hangups_test.go
@@ -29,28 +29,28 @@
 func (p onlyTarget) Place(context.Context, booking.Request) control.Placement {
 	return control.Placement{Target: "t"}
 }
-func (p onlyTarget) First(ident.Request, time.Duration)             {}
-func (p onlyTarget) Finish(_ ident.Request, r booking.Result)       { p.ended <- r }
-func (p onlyTarget) Wanted(ident.Service, ident.Workspace, float64) {}
+func (p onlyTarget) FirstByte(ident.Request, time.Duration)             {}
+func (p onlyTarget) Finish(_ ident.Request, r booking.Result)           { p.ended <- r }
+func (p onlyTarget) RecordShed(ident.Service, ident.Workspace, float64) {}
 
 // anyDialect translates nothing.
 type anyDialect struct{}
 
-func (anyDialect) Call(http.Header) gateway.Call          { return gateway.Call{} }
-func (anyDialect) ForTarget(http.Header, gateway.Forward) {}
-func (anyDialect) Answer(int, http.Header) gateway.Answer { return gateway.Answer{} }
+func (anyDialect) ParseRequest(http.Header) gateway.RequestInfo        { return gateway.RequestInfo{} }
+func (anyDialect) SetTargetHeaders(http.Header, gateway.ForwardInfo)   {}
+func (anyDialect) ParseResponse(int, http.Header) gateway.ResponseInfo { return gateway.ResponseInfo{} }
 
 // serveCallers serves callers as a daemon does, with all requests going to one target.
 func serveCallers(t *testing.T, target string) (address string, ended chan booking.Result) {
 	is := is.New(t)
 	table, err := route.NewTable(route.Document{
 		Version:  1,
-		Routes:   []route.Route{{Name: "r", Host: "h.example", Prefix: "/", Services: []route.Split{{Service: "app", Weight: 1}}, Attempts: 2, Repeat: route.Repeatable}},
+		Routes:   []route.Route{{Name: "r", Host: "h.example", Prefix: "/", Services: []route.WeightedService{{Service: "app", Weight: 1}}, MaxAttempts: 2, Retry: route.Repeatable}},
 		Services: []route.Service{{Name: "app"}},
 	})
 	is.NoErr(err)
 	routes := &route.Holder{}
-	is.True(routes.Offer(table))
+	is.True(routes.UpdateIfNewer(table))
 	metrics := telemetry.NewMetrics()
 	tracing, err := telemetry.NewTracing(t.Context(), "d", settings.Trace{})
 	is.NoErr(err)
@@ -67,8 +67,8 @@
 	}()
 	g := gateway.New(gateway.Deps{
 		Routes: routes, Dialect: anyDialect{}, Placer: onlyTarget{ended}, Pool: targetconn.New(targetconn.Config{}),
-		Gone: callerGone, Watch: left.watch, Sheds: func(context.Context) bool { return false },
-		Busy: func() bool { return false }, Left: func() bool { return false },
+		CallerGone: callerGone, OnCallerGone: left.watch, ShouldShed: func(context.Context) bool { return false },
+		Shedding: func() bool { return false }, OutOfRotation: func() bool { return false },
 		Metrics: metrics, Tracing: tracing, Log: slog.New(slog.DiscardHandler),
 	})
 	g.SetTargets(&gateway.Targets{
--- a/internal/daemon/passage.go
+++ b/internal/daemon/passage.go
@@ -148,7 +148,7 @@
 	f := resultcode.Fail(resultcode.NeighbourLost, "")
 	body := string(gateway.FailureBody(f))
 	answer := http.Response{
-		StatusCode: f.Code.HTTP, ProtoMajor: 1, ProtoMinor: 1, Close: true,
+		StatusCode: f.Code.HTTPStatus, ProtoMajor: 1, ProtoMinor: 1, Close: true,
 		Header: http.Header{"Content-Type": {"application/json"}}, ContentLength: int64(len(body)), Body: io.NopCloser(strings.NewReader(body)),
 	}
 	_ = answer.Write(p.caller) // a caller that has left needs no answer
--- a/internal/daemon/routed.go
+++ b/internal/daemon/routed.go
@@ -82,12 +82,12 @@
 	metrics *telemetry.Metrics, tracing *telemetry.Tracing, log *slog.Logger) *gateway.Server {
 	b.gateway = gateway.New(gateway.Deps{
 		Config: gateway.Config{
-			Repeats: retry.WindowConfig{
+			RetryBudget: retry.WindowConfig{
 				Ratio: s.Routing.RepeatRatio, Burst: s.Routing.RepeatBurst, Span: s.Routing.RepeatWindow,
 			},
 			ConnectionShare: s.Routing.ConnectionShare,
 		},
-		Routes: routes, Dialect: platform.Dialect{}, Placer: loop, Pool: pool, Gone: callerGone, Watch: left.watch, Sheds: load.sheds, Busy: load.busy, Stale: load.stale, Late: load.late, Left: load.left,
+		Routes: routes, Dialect: platform.Dialect{}, Placer: loop, Pool: pool, CallerGone: callerGone, OnCallerGone: left.watch, ShouldShed: load.sheds, Shedding: load.busy, RoutesMayBeStale: load.stale, ReadDelay: load.late, OutOfRotation: load.left,
 		Metrics: metrics, Tracing: tracing, Log: log,
 	})
 	return b.gateway
--- a/internal/daemon/site.go
+++ b/internal/daemon/site.go
@@ -140,8 +140,8 @@
 	}
 	var services []booking.Service
 	for _, spec := range table.Services {
-		service := booking.Service{Name: spec.Name, ServesModel: spec.Model, FetchPerToken: spec.Fetch, Workspaces: workspaces}
-		if spec.Model {
+		service := booking.Service{Name: spec.Name, ServesModel: spec.ServesModel, FetchPerToken: spec.FetchPerToken, Workspaces: workspaces}
+		if spec.ServesModel {
 			service.Rate = table.Limits.TokensPerSecond
 		}
 		for _, e := range entries {
@@ -288,7 +288,7 @@
 		case <-ticker.C:
 			s.gauges()
 			s.p.Handovers.report()
-			s.p.Gateway.TellLeftOut()
+			s.p.Gateway.LogDroppedLines()
 		case <-sharing.C:
 			s.logSharing()
 		}
--- a/internal/daemon/siterows.go
+++ b/internal/daemon/siterows.go
@@ -56,7 +56,7 @@
 		event.RowUnreadable.Log(log, "table", platform.TableOperator, "key", row.Key, "revision", row.Revision, "error", err)
 		return
 	}
-	if !r.site.p.Routes.Offer(table) {
+	if !r.site.p.Routes.UpdateIfNewer(table) {
 		r.passOver(table.Version, row)
 		return
 	}
--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -17,64 +17,64 @@
 	"github.com/savorystall/savorystall/internal/route"
 )
 
-// job is an accepted request on its way to a target and back.
-type job struct {
+// proxyRequest is an accepted request and its state until the response is complete.
+type proxyRequest struct {
 	w  http.ResponseWriter
 	id ident.Request
-	// in is the caller's request, of which the body is read into body.
-	in   *http.Request
-	body []byte
-	call Call
+	// inbound is the caller's request; its body has been read into body.
+	inbound *http.Request
+	body    []byte
+	info    RequestInfo
 
 	route     *route.Route
 	service   route.Service
 	workspace ident.Workspace
 	version   uint64
 	arrived   time.Time
-	// until is when the caller or the operator wants no answer any more.
-	until time.Time
-	plan  patience.Plan
-	// leave ends the request because its caller has left.
-	leave context.CancelFunc
-
-	// isPending tells that it counts among those being read or placed.
+	// deadline is when the caller's or the operator's time limit ends.
+	deadline time.Time
+	plan     patience.Plan
+	// cancel ends the request because its caller has disconnected.
+	cancel context.CancelFunc
+
+	// isPending reports whether the request counts as pending: its body is being read or it
+	// is being placed.
 	isPending bool
-	// began tells that a part of the answer has gone to the caller.
-	began bool
-	// status is that of the answer; zero before it has one.
+	// responseStarted reports whether part of the response has been sent to the caller.
+	responseStarted bool
+	// status is the HTTP status of the response; zero before the response starts.
 	status int
-	// events is what is known of the stream so far.
-	events progress
-	trace  history
+	// events tracks the event stream that has been received so far.
+	events eventFilter
+	stats  requestStats
 }
 
-// history is what the line about the request tells.
-type history struct {
+// requestStats holds what is logged about a request.
+type requestStats struct {
 	target ident.Target
-	// sends counts the targets that it was sent to, runs those that may have run
-	// it, and unsent the tries that failed before a byte left.
-	sends, runs, unsent int
-	// basis is what the last placement was decided by.
+	// attempts counts the targets that the request was sent to, runs those that may have run
+	// it, and unsentAttempts the attempts that failed before a byte was sent.
+	attempts, runs, unsentAttempts int
+	// basis is what the last placement decision was based on.
 	basis booking.Basis
-	// waited is the time that the placing took, first from the last dispatch to the first
-	// byte of the answer.
-	waited, first time.Duration
-	avoid         []ident.Target
+	// placementTime is the total time spent on placement, firstByteTime the time from the
+	// last dispatch to the first byte of the response.
+	placementTime, firstByteTime time.Duration
+	avoid                        []ident.Target
 }
 
 const (
-	// bodyTimeout bounds the arrival of a body where the operator states nothing.
-	bodyTimeout = 10 * time.Second
-	// defaultBody bounds a body where the operator states nothing.
-	defaultBody = 4 << 20
-	// forever stands in for a time limit that nobody set.
-	forever = time.Minute
+	// bodyReadTimeout bounds the time to receive a body.
+	bodyReadTimeout = 10 * time.Second
+	// defaultMaxBodyBytes is the body size limit if the operator has not set one.
+	defaultMaxBodyBytes = 4 << 20
+	// defaultTimeout is the time limit of a request if its route has none.
+	defaultTimeout = time.Minute
 )
 
-// accept checks everything that can be checked before a target is needed. The
-// job is nil where there is a failure.
-func (s *Server) accept(w http.ResponseWriter, r *http.Request) (*job, *resultcode.Failure) {
-	arrived := s.arrival(r)
+// accept does all checks that need no target. The returned request is nil on failure.
+func (s *Server) accept(w http.ResponseWriter, r *http.Request) (*proxyRequest, *resultcode.Failure) {
+	arrived := s.arrivalTime(r)
 	if s.closing.Load() {
 		return nil, resultcode.Fail(resultcode.Stopping, "")
 	}
@@ -83,88 +83,90 @@
 		return nil, resultcode.Fail(resultcode.ConfigurationAbsent, "")
 	}
 	path, _, _ := strings.Cut(requestTarget(r), "?")
-	found, ok := table.Find(r.Host, path)
+	matched, ok := table.Find(r.Host, path)
 	if !ok {
-		return nil, s.unknown(resultcode.Fail(resultcode.NotFound, "no route for %s%s", r.Host, path))
+		return nil, s.rejectUnknown(resultcode.Fail(resultcode.NotFound, "no route for %s%s", r.Host, path))
 	}
-	call := s.Dialect.Call(r.Header)
-	workspace, failure := table.Identify(found, call.Key)
+	info := s.Dialect.ParseRequest(r.Header)
+	workspace, failure := table.Identify(matched, info.Key)
 	if failure != nil {
-		return nil, s.unknown(failure)
+		return nil, s.rejectUnknown(failure)
 	}
-	j := &job{
-		w: w, id: ident.NewRequest(), in: r, call: call,
-		route: found, workspace: workspace, version: table.Version, arrived: arrived,
-		events: progress{last: call.LastEvent},
+	pr := &proxyRequest{
+		w: w, id: ident.NewRequest(), inbound: r, info: info,
+		route: matched, workspace: workspace, version: table.Version, arrived: arrived,
+		events: eventFilter{lastID: info.LastEventID},
 	}
 	if s.pending.Add(1) > maxPending {
 		s.pending.Add(-1)
-		discard(r)
+		discardBody(r)
 		return nil, resultcode.Fail(resultcode.FleetFull, "this daemon has %d requests to place", maxPending)
 	}
-	j.isPending = true
-	if j.body, failure = readBody(w, r, table.Limits); failure != nil {
-		s.settled(j)
+	pr.isPending = true
+	if pr.body, failure = readBody(w, r, table.Limits); failure != nil {
+		s.releasePending(pr)
 		return nil, failure
 	}
-	s.schedule(j, table)
-	return j, nil
+	s.planRequest(pr, table)
+	return pr, nil
 }
 
-// arrival is when a request has come. On a daemon short of processor time that may be well
-// before it is read, and a target that is told otherwise works on after its caller has left.
-func (s *Server) arrival(r *http.Request) time.Time {
+// arrivalTime returns when a request arrived. On a daemon short of processor time that can
+// be well before the request is read; a deadline counted from the read would let the target
+// work on after the caller has given up.
+func (s *Server) arrivalTime(r *http.Request) time.Time {
 	now := time.Now()
-	if s.Late == nil {
+	if s.ReadDelay == nil {
 		return now
 	}
-	return now.Add(-s.Late(r.Context()))
+	return now.Add(-s.ReadDelay(r.Context()))
 }
 
-// unknown is the answer to a request whose route or key is not known here. It sends the caller
-// elsewhere where that may be because this daemon has not come to read of them.
-func (s *Server) unknown(f *resultcode.Failure) *resultcode.Failure {
-	if s.Stale != nil && s.Stale() {
-		return busy()
+// rejectUnknown returns the failure for a request whose route or key is unknown. If this
+// daemon may not have read the latest routes yet, the caller is told to retry, so that it
+// reaches another daemon.
+func (s *Server) rejectUnknown(f *resultcode.Failure) *resultcode.Failure {
+	if s.RoutesMayBeStale != nil && s.RoutesMayBeStale() {
+		return busyFailure()
 	}
 	return f
 }
 
-// settled tells that a request is not being read or placed any more.
-func (s *Server) settled(j *job) {
-	if j.isPending {
-		j.isPending = false
+// releasePending stops counting a request as pending.
+func (s *Server) releasePending(pr *proxyRequest) {
+	if pr.isPending {
+		pr.isPending = false
 		s.pending.Add(-1)
 	}
 }
 
-// discard reads a short body without keeping it: closing a connection with unread
-// bytes would reset it, and the caller might not get its answer.
-func discard(r *http.Request) {
-	// An error means that the caller has left.
-	_, _ = io.CopyN(io.Discard, r.Body, defaultBody)
+// discardBody reads a short body and drops it: closing a connection with unread bytes would
+// reset it, and the caller might not receive the response.
+func discardBody(r *http.Request) {
+	// An error means that the caller has disconnected.
+	_, _ = io.CopyN(io.Discard, r.Body, defaultMaxBodyBytes)
 }
 
-// schedule decides the service, and how long the request may wait.
-func (s *Server) schedule(j *job, table *route.Table) {
-	j.service = s.choose(j.route, table)
-	limit := forever
-	if j.route.Timeout > 0 {
-		limit = j.route.Timeout
-	}
-	left := limit
-	if j.call.Patience > 0 {
-		left = min(left, j.call.Patience)
-	}
-	j.until = j.arrived.Add(left)
-	j.plan = patience.Decide(patience.Request{
-		Arrived: j.arrived, Remaining: left, MaxWait: limit, Objective: j.route.Objective,
-		Resumed: j.call.LastEvent > 0,
+// planRequest selects the service and sets the deadline and the wait plan.
+func (s *Server) planRequest(pr *proxyRequest, table *route.Table) {
+	pr.service = s.chooseService(pr.route, table)
+	limit := defaultTimeout
+	if pr.route.Timeout > 0 {
+		limit = pr.route.Timeout
+	}
+	remaining := limit
+	if pr.info.Remaining > 0 {
+		remaining = min(remaining, pr.info.Remaining)
+	}
+	pr.deadline = pr.arrived.Add(remaining)
+	pr.plan = patience.Decide(patience.Request{
+		Arrived: pr.arrived, Remaining: remaining, MaxWait: limit, Objective: pr.route.Objective,
+		Resumed: pr.info.LastEventID > 0,
 	})
 }
 
-// choose returns the service of a route's split that is to serve a request.
-func (s *Server) choose(r *route.Route, table *route.Table) route.Service {
+// chooseService selects one of a route's weighted services for a request.
+func (s *Server) chooseService(r *route.Route, table *route.Table) route.Service {
 	usable := s.targets.Load().Usable
 	name := r.Choose(rand.Float64(), func(n ident.Service) bool { return usable[n] })
 	if known, ok := table.Service(name); ok {
@@ -173,43 +175,43 @@
 	return route.Service{Name: name}
 }
 
-// requestTarget is the path and query as the caller sent them.
+// requestTarget returns the path and query as the caller sent them.
 func requestTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
 	}
-	return r.URL.RequestURI() // the absolute form, or the asterisk
+	return r.URL.RequestURI() // absolute form or asterisk form
 }
 
 func readBody(w http.ResponseWriter, r *http.Request, limits route.Limits) ([]byte, *resultcode.Failure) {
-	most := limits.BodyBytes
-	if most == 0 {
-		most = defaultBody
+	maxBytes := limits.MaxBodyBytes
+	if maxBytes == 0 {
+		maxBytes = defaultMaxBodyBytes
 	}
-	if r.ContentLength > most {
-		return nil, resultcode.Fail(resultcode.BodyTooLarge, "the limit is %d bytes", most)
+	if r.ContentLength > maxBytes {
+		return nil, resultcode.Fail(resultcode.BodyTooLarge, "the limit is %d bytes", maxBytes)
 	}
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
-	deadline := http.NewResponseController(w)
-	// A server without deadlines reads on without one.
-	_ = deadline.SetReadDeadline(time.Now().Add(bodyTimeout))
-	body, err := readAll(io.LimitReader(r.Body, most+1), r.ContentLength)
-	_ = deadline.SetReadDeadline(time.Time{})
+	controller := http.NewResponseController(w)
+	// Without support for read deadlines the body is read without one.
+	_ = controller.SetReadDeadline(time.Now().Add(bodyReadTimeout))
+	body, err := readAll(io.LimitReader(r.Body, maxBytes+1), r.ContentLength)
+	_ = controller.SetReadDeadline(time.Time{})
 	var timeout net.Error
 	switch {
 	case errors.As(err, &timeout) && timeout.Timeout():
 		return nil, resultcode.Fail(resultcode.BodyTimeout, "")
 	case err != nil:
-		return nil, resultcode.Fail(resultcode.BadRequest, "the body broke off").Because(err)
-	case int64(len(body)) > most:
-		return nil, resultcode.Fail(resultcode.BodyTooLarge, "the limit is %d bytes", most)
+		return nil, resultcode.Fail(resultcode.BadRequest, "the body broke off").WithCause(err)
+	case int64(len(body)) > maxBytes:
+		return nil, resultcode.Fail(resultcode.BodyTooLarge, "the limit is %d bytes", maxBytes)
 	}
 	return body, nil
 }
 
-// readAll reads a body whose length may be known in advance.
+// readAll reads a body of the given length, or until EOF if length is negative.
 func readAll(from io.Reader, length int64) ([]byte, error) {
 	if length < 0 {
 		return io.ReadAll(from)
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -5,82 +5,85 @@
 	"strconv"
 )
 
-// progress follows the events of one stream, over several targets where it goes
-// on at another one. Events are passed on byte for byte, whatever they hold; only
-// their ids are read.
-type progress struct {
-	// last is the id of the last event that was handed over, count how many were.
-	last  uint64
-	count int
-	// rest is the beginning of an event that has not ended yet.
-	rest []byte
-	// resumed tells that a target goes on, so that what the caller has is dropped.
-	resumed bool
-	out     []byte
+// eventFilter extracts complete events from one event stream that may be received from
+// several targets in turn, and drops the events that were already delivered. Events are
+// passed on unchanged whatever they contain; only their IDs are parsed.
+type eventFilter struct {
+	// lastID is the ID of the last delivered event, count the number of delivered events
+	// with an ID.
+	lastID uint64
+	count  int
+	// partialEvent is the start of an event whose end has not arrived yet.
+	partialEvent []byte
+	// resumed reports whether the current target continues a stream of which the caller
+	// already has events.
+	resumed  bool
+	complete []byte
 }
 
-// restart prepares for the stream of another target.
-func (p *progress) restart() {
-	p.rest = p.rest[:0]
-	p.resumed = p.count > 0
+// startAttempt prepares for the stream of another target.
+func (f *eventFilter) startAttempt() {
+	f.partialEvent = f.partialEvent[:0]
+	f.resumed = f.count > 0
 }
 
-// partial tells whether the stream stands in the middle of an event.
-func (p *progress) partial() bool { return len(bytes.TrimSpace(p.rest)) > 0 }
+// hasPartialEvent reports whether the stream has stopped within an event.
+func (f *eventFilter) hasPartialEvent() bool { return len(bytes.TrimSpace(f.partialEvent)) > 0 }
 
-// take adds bytes of the stream and returns the whole events to hand over. They
-// are valid until the next call.
-func (p *progress) take(b []byte) []byte {
+// feed adds received bytes and returns the complete events to deliver. The returned slice is
+// valid until the next call.
+func (f *eventFilter) feed(b []byte) []byte {
 	if len(b) == 0 {
 		return nil
 	}
-	p.rest = append(p.rest, b...)
-	p.out = p.out[:0]
-	begin := 0
+	f.partialEvent = append(f.partialEvent, b...)
+	f.complete = f.complete[:0]
+	start := 0
 	for {
-		length := eventLength(p.rest[begin:])
+		length := eventLength(f.partialEvent[start:])
 		if length == 0 {
 			break
 		}
-		event := p.rest[begin : begin+length]
-		begin += length
-		if p.wanted(event) {
-			p.out = append(p.out, event...)
+		event := f.partialEvent[start : start+length]
+		start += length
+		if f.acceptEvent(event) {
+			f.complete = append(f.complete, event...)
 		}
 	}
-	p.rest = append(p.rest[:0], p.rest[begin:]...)
-	return p.out
+	f.partialEvent = append(f.partialEvent[:0], f.partialEvent[start:]...)
+	return f.complete
 }
 
-// eventLength returns the length of the event that begins b with its empty line,
-// or zero where it has not ended.
+// eventLength returns the length of the event at the start of b including its terminating
+// empty line, or zero if the event is incomplete.
 func eventLength(b []byte) int {
-	for at := 0; at < len(b); {
-		end := bytes.IndexByte(b[at:], '\n')
+	for offset := 0; offset < len(b); {
+		end := bytes.IndexByte(b[offset:], '\n')
 		if end < 0 {
 			return 0
 		}
-		line := b[at : at+end]
-		at += end + 1
+		line := b[offset : offset+end]
+		offset += end + 1
 		if len(line) == 0 || len(line) == 1 && line[0] == '\r' {
-			return at
+			return offset
 		}
 	}
 	return 0
 }
 
-// wanted notes an event's id and tells whether the caller lacks the event. An
-// event without an id goes through: a comment, or one that nobody can resume at.
-func (p *progress) wanted(event []byte) bool {
+// acceptEvent records an event's ID and reports whether the event must be delivered. An
+// event without a valid ID, such as a comment, is always delivered; the stream cannot be
+// resumed after it.
+func (f *eventFilter) acceptEvent(event []byte) bool {
 	id, ok := eventID(event)
 	if !ok {
 		return true
 	}
-	if id <= p.last && p.last > 0 {
+	if id <= f.lastID && f.lastID > 0 {
 		return false
 	}
-	p.last = id
-	p.count++
+	f.lastID = id
+	f.count++
 	return true
 }
 
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -18,32 +18,32 @@
 )
 
 const (
-	// chunk is how much is read of an answer at once.
-	chunk = 4 << 10
-	// heldBody is how much of a plain answer is awaited before its header goes to
-	// the caller, so that one that breaks off can still be told as a failure, or
-	// run again where that is allowed.
-	heldBody = 64 << 10
+	// readSize is the size of the buffer for reading a response.
+	readSize = 4 << 10
+	// maxBufferedBody is how much of a response that is not an event stream is buffered
+	// before its header is sent to the caller. A response that breaks off earlier can still
+	// be reported as a failure, or the request retried where that is allowed.
+	maxBufferedBody = 64 << 10
 )
 
-// exchange sends the request to a target and passes the answer on.
-func (s *Server) exchange(ctx context.Context, j *job, entry registry.Entry, began time.Time) result {
-	x, err := s.Pool.Do(ctx, entry.Address, s.request(ctx, j, entry, began))
+// exchange sends the request to a target and relays the response.
+func (s *Server) exchange(ctx context.Context, pr *proxyRequest, entry registry.Entry, dispatched time.Time) attemptResult {
+	x, err := s.Pool.Do(ctx, entry.Address, s.targetRequest(ctx, pr, entry, dispatched))
 	if err != nil {
-		return s.unanswered(entry, err)
+		return s.exchangeFailure(entry, err)
 	}
-	defer x.Abort() // does nothing after a whole answer
-	answer := s.Dialect.Answer(x.Response.StatusCode, x.Response.Header)
-	r := result{sent: true, status: x.Response.StatusCode}
+	defer x.Abort() // no-op after a complete response
+	answer := s.Dialect.ParseResponse(x.Response.StatusCode, x.Response.Header)
+	r := attemptResult{sent: true, status: x.Response.StatusCode}
 	switch {
 	case answer.NotRun:
-		return s.refused(x, r)
+		return s.handleRefusal(x, r)
 	case x.Response.StatusCode >= http.StatusBadRequest:
-		return s.failed(ctx, x, j, r, began)
-	case j.route.Repeat == route.Stream && isEventStream(x.Response.Header):
-		return s.stream(ctx, x, j, r, began)
+		return s.handleErrorStatus(ctx, x, pr, r, dispatched)
+	case pr.route.Retry == route.Stream && isEventStream(x.Response.Header):
+		return s.relayStream(ctx, x, pr, r, dispatched)
 	}
-	return s.plain(ctx, x, j, r, began)
+	return s.relayResponse(ctx, x, pr, r, dispatched)
 }
 
 func isEventStream(h http.Header) bool {
@@ -51,119 +51,120 @@
 	return err == nil && media == "text/event-stream"
 }
 
-// freshLook is how long the last look for a caller that has left holds. On a daemon short
-// of processor time a request may wait for its turn for a second between the place and the
-// connection to its target, and would be sent on after its caller has gone.
-const freshLook = 20 * time.Millisecond
+// callerCheckTTL is how long the last check that the caller is still connected remains
+// valid. On a daemon short of processor time a request may wait up to a second between
+// placement and the connection to its target; without another check it would be sent after
+// its caller has disconnected.
+const callerCheckTTL = 20 * time.Millisecond
 
-// request translates the caller's request for a target.
-func (s *Server) request(ctx context.Context, j *job, entry registry.Entry, began time.Time) targetconn.Request {
+// targetRequest converts the caller's request to one for a target.
+func (s *Server) targetRequest(ctx context.Context, pr *proxyRequest, entry registry.Entry, dispatched time.Time) targetconn.Request {
 	connections := 0
-	if j.service.Connections > 0 {
-		connections = max(1, j.service.Connections/max(1, s.Config.ConnectionShare))
+	if pr.service.MaxConnections > 0 {
+		connections = max(1, pr.service.MaxConnections/max(1, s.Config.ConnectionShare))
 	}
 	return targetconn.Request{
-		Method: j.in.Method, Target: requestTarget(j.in), Host: j.in.Host, Header: endToEnd(j.in.Header), Body: j.body,
+		Method: pr.inbound.Method, Target: requestTarget(pr.inbound), Host: pr.inbound.Host, Header: endToEndHeaders(pr.inbound.Header), Body: pr.body,
 		Complete: func(h http.Header) {
-			s.Dialect.ForTarget(h, Forward{
-				Identity: entry.Identity, Workspace: j.workspace,
-				Patience: time.Until(j.until), LastEvent: j.events.last, Source: s.source(j, entry),
+			s.Dialect.SetTargetHeaders(h, ForwardInfo{
+				Identity: entry.Identity, Workspace: pr.workspace,
+				Remaining: time.Until(pr.deadline), LastEventID: pr.events.lastID, PrefixSource: s.prefixSource(pr, entry),
 			})
 		},
 		Connections: connections,
 		Mine: func(status int, h http.Header) bool {
-			echoed := s.Dialect.Answer(status, h)
-			return echoed.Attempt == j.call.Attempt || echoed.Attempt == "" && !echoed.Signed
+			echoed := s.Dialect.ParseResponse(status, h)
+			return echoed.AttemptID == pr.info.AttemptID || echoed.AttemptID == "" && !echoed.Signed
 		},
-		Abandoned: func() bool { return time.Since(began) > freshLook && s.Gone(ctx) },
-		Watch:     s.watch(ctx, j),
-		Foreign:   func() { event.AnswerForeign.Log(s.Log, "target", entry.Identity, "request", j.call.Attempt) },
+		Abandoned: func() bool { return time.Since(dispatched) > callerCheckTTL && s.CallerGone(ctx) },
+		Watch:     s.watchCaller(ctx, pr),
+		Foreign:   func() { event.AnswerForeign.Log(s.Log, "target", entry.Identity, "request", pr.info.AttemptID) },
 	}
 }
 
-// watch ends an exchange at once when its caller leaves; nil: the daemon does not tell.
-func (s *Server) watch(ctx context.Context, j *job) func(end func()) (stop func() bool) {
-	if s.Watch == nil {
+// watchCaller returns a function that aborts an exchange as soon as its caller disconnects,
+// or nil if the daemon does not report disconnects.
+func (s *Server) watchCaller(ctx context.Context, pr *proxyRequest) func(end func()) (stop func() bool) {
+	if s.OnCallerGone == nil {
 		return nil
 	}
 	return func(end func()) func() bool {
-		return s.Watch(ctx, func() {
-			j.leave() // first: else the end would look like the target's
+		return s.OnCallerGone(ctx, func() {
+			pr.cancel() // before end, or the abort would be taken for a failure of the target
 			end()
 		})
 	}
 }
 
-// source is the address of the target that a prompt's beginning is copied from; empty
-// where there is none, or where it has left since the request was placed: its address may
-// be another service's by now.
-func (s *Server) source(j *job, to registry.Entry) string {
-	id := j.trace.basis.FetchSource
+// prefixSource returns the address of the target from which the prompt's prefix is copied.
+// It is empty if there is none, or if that target was deregistered after the request was
+// placed: its address may belong to another service by now.
+func (s *Server) prefixSource(pr *proxyRequest, destination registry.Entry) string {
+	id := pr.stats.basis.FetchSource
 	if id == "" {
 		return ""
 	}
 	entry, known := s.targets.Load().ByIdentity[id]
-	if !known || entry.Service != to.Service {
+	if !known || entry.Service != destination.Service {
 		return ""
 	}
 	return entry.Address
 }
 
-// unanswered is the result of an exchange without an answer.
-func (s *Server) unanswered(entry registry.Entry, err error) result {
+// exchangeFailure returns the result of an exchange that got no response.
+func (s *Server) exchangeFailure(entry registry.Entry, err error) attemptResult {
 	var unsent *targetconn.Unsent
 	if errors.Is(err, targetconn.ErrAbandoned) {
-		return result{failure: resultcode.Fail(resultcode.CallerGone, "")}
+		return attemptResult{failure: resultcode.Fail(resultcode.CallerGone, "")}
 	}
 	if errors.As(err, &unsent) {
-		return result{
-			failure:      resultcode.Fail(resultcode.TargetRefused, "target %s", entry.Identity).Because(err),
+		return attemptResult{
+			failure:      resultcode.Fail(resultcode.TargetRefused, "target %s", entry.Identity).WithCause(err),
 			targetFailed: !errors.Is(err, targetconn.ErrFull) && !errors.Is(err, context.Canceled),
 		}
 	}
 	canceled := errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)
-	return result{
-		failure: resultcode.Fail(resultcode.ConnectionLost, "target %s", entry.Identity).Because(err),
+	return attemptResult{
+		failure: resultcode.Fail(resultcode.ConnectionLost, "target %s", entry.Identity).WithCause(err),
 		sent:    true, targetFailed: !canceled,
 	}
 }
 
-// refused is the result of an answer that says the request was not run.
-func (s *Server) refused(x *targetconn.Exchange, r result) result {
-	drain(x)
+// handleRefusal returns the result for a response which says that the request was not run.
+func (s *Server) handleRefusal(x *targetconn.Exchange, r attemptResult) attemptResult {
+	drainBody(x)
 	r.failure = resultcode.Fail(resultcode.TargetRefused, "status %d", r.status)
 	r.targetFailed = true
 	return r
 }
 
-// drain reads a short answer to its end, so that its connection can be used
-// again.
-func drain(x *targetconn.Exchange) {
-	// An error only means that the connection is not kept.
-	_, _ = io.CopyN(io.Discard, x, heldBody)
+// drainBody reads a short response to its end, so that the connection can be reused.
+func drainBody(x *targetconn.Exchange) {
+	// An error only means that the connection is not reused.
+	_, _ = io.CopyN(io.Discard, x, maxBufferedBody)
 }
 
-// failed takes a failure of the target's own. It is handed over unchanged, unless
-// its status promises that the request has not run, which this target did not say.
-func (s *Server) failed(ctx context.Context, x *targetconn.Exchange, j *job, r result, began time.Time) result {
-	r.first = time.Since(began)
-	body, err := io.ReadAll(io.LimitReader(x, heldBody))
+// handleErrorStatus handles an error response of the target itself. It is relayed unchanged
+// unless its status implies that the request was not run, which this target did not confirm.
+func (s *Server) handleErrorStatus(ctx context.Context, x *targetconn.Exchange, pr *proxyRequest, r attemptResult, dispatched time.Time) attemptResult {
+	r.firstByteTime = time.Since(dispatched)
+	body, err := io.ReadAll(io.LimitReader(x, maxBufferedBody))
 	if err != nil {
-		r.targetFailed = !callerLeft(ctx, j)
-		r.failure = resultcode.Fail(resultcode.AnswerCut, "").Because(err)
+		r.targetFailed = !callerGone(ctx, pr)
+		r.failure = resultcode.Fail(resultcode.AnswerCut, "").WithCause(err)
 		return r
 	}
 	r.failure = resultcode.Fail(resultcode.TargetError, "status %d", r.status)
 	r.targetFailed = r.status >= http.StatusInternalServerError
-	if !promisesNotRun(r.status) {
-		r.answer = &held{status: r.status, header: x.Response.Header, body: body}
+	if !impliesNotRun(r.status) {
+		r.buffered = &bufferedResponse{status: r.status, header: x.Response.Header, body: body}
 	}
 	return r
 }
 
-// promisesNotRun tells whether callers take a status for a promise that the
-// request has not run.
-func promisesNotRun(status int) bool {
+// impliesNotRun reports whether callers take the status to mean that the request was not
+// run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -171,64 +172,65 @@
 	return false
 }
 
-// plain passes an answer on that is not a stream of events.
-func (s *Server) plain(ctx context.Context, x *targetconn.Exchange, j *job, r result, began time.Time) result {
-	start, err := io.ReadAll(io.LimitReader(x, heldBody))
-	r.first = time.Since(began)
-	r.served = float64(r.first.Milliseconds())
+// relayResponse relays a response that is not an event stream.
+func (s *Server) relayResponse(ctx context.Context, x *targetconn.Exchange, pr *proxyRequest, r attemptResult, dispatched time.Time) attemptResult {
+	prefix, err := io.ReadAll(io.LimitReader(x, maxBufferedBody))
+	r.firstByteTime = time.Since(dispatched)
+	r.cost = float64(r.firstByteTime.Milliseconds())
 	if err != nil {
-		r.targetFailed = !callerLeft(ctx, j)
-		r.failure = resultcode.Fail(resultcode.AnswerCut, "").Because(err)
+		r.targetFailed = !callerGone(ctx, pr)
+		r.failure = resultcode.Fail(resultcode.AnswerCut, "").WithCause(err)
 		return r
 	}
-	j.begin(x.Response.StatusCode, x.Response.Header, x.Response.ContentLength)
-	if _, err := j.w.Write(start); err != nil {
-		r.failure = resultcode.Fail(resultcode.CallerGone, "").Because(err)
+	pr.writeHeader(x.Response.StatusCode, x.Response.Header, x.Response.ContentLength)
+	if _, err := pr.w.Write(prefix); err != nil {
+		r.failure = resultcode.Fail(resultcode.CallerGone, "").WithCause(err)
 		return r
 	}
-	if len(start) < heldBody {
+	if len(prefix) < maxBufferedBody {
 		return r
 	}
-	if _, err := io.Copy(j.w, x); err != nil {
-		r.failure = resultcode.Fail(resultcode.AnswerCut, "").Because(err)
+	if _, err := io.Copy(pr.w, x); err != nil {
+		r.failure = resultcode.Fail(resultcode.AnswerCut, "").WithCause(err)
 	}
 	return r
 }
 
-// handOver gives a held answer to the caller.
-func (s *Server) handOver(j *job, a *held) {
-	j.begin(a.status, a.header, int64(len(a.body)))
-	// A caller that has left needs no answer.
-	_, _ = j.w.Write(a.body)
+// writeBuffered sends a buffered response to the caller.
+func (s *Server) writeBuffered(pr *proxyRequest, response *bufferedResponse) {
+	pr.writeHeader(response.status, response.header, int64(len(response.body)))
+	// A write error means that the caller has disconnected.
+	_, _ = pr.w.Write(response.body)
 }
 
-// begin writes the header of the answer.
-func (j *job) begin(status int, h http.Header, length int64) {
-	out := j.w.Header()
-	maps.Copy(out, endToEnd(h))
+// writeHeader sends the header of the response to the caller.
+func (pr *proxyRequest) writeHeader(status int, h http.Header, length int64) {
+	out := pr.w.Header()
+	maps.Copy(out, endToEndHeaders(h))
 	if length >= 0 {
-		out.Set("Content-Length", lengthText(length))
+		out.Set("Content-Length", formatLength(length))
 	} else {
 		out.Del("Content-Length")
 	}
 	if _, set := out["Content-Type"]; !set {
-		out["Content-Type"] = nil // the server must not guess one
+		out["Content-Type"] = nil // keeps net/http from detecting one
 	}
 	if _, set := out["Date"]; !set {
 		out["Date"] = nil
 	}
-	j.began, j.status = true, status
-	j.w.WriteHeader(status)
+	pr.responseStarted, pr.status = true, status
+	pr.w.WriteHeader(status)
 }
 
-// hopByHop are the headers that concern one connection only (RFC 9110, 7.6.1).
-var hopByHop = []string{
+// hopByHopHeaders lists the headers that apply to a single connection (RFC 9110, section
+// 7.6.1) or are set anew for the next one.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect", "Host",
 }
 
-// endToEnd returns a copy of h without the headers of one connection.
-func endToEnd(h http.Header) http.Header {
+// endToEndHeaders returns a copy of h without the hop-by-hop headers.
+func endToEndHeaders(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	maps.Copy(out, h)
 	for _, line := range h["Connection"] {
@@ -236,7 +238,7 @@
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,10 +1,11 @@
-// Package gateway serves callers over routes: it finds the route and workspace of
-// a request, lets the scheduler place it, passes it to the target and hands the
-// target's answer back unchanged. It decides nothing about shares or targets; what
-// it may wait for is decided by package patience, whether a failed attempt is
-// followed by another by package retry.
+// Package gateway implements the reverse proxy that serves callers according to routes. It
+// determines the route and workspace of a request, has the scheduler place it, forwards it
+// to the target and relays the target's response unchanged. It decides neither on shares nor
+// on targets; package patience decides how long a request may wait, and package retry
+// whether a failed attempt is retried.
 //
-// Headers are translated by a Dialect, so that no name of a platform stands here.
+// Headers are translated by a Dialect, so that the package is independent of any platform's
+// header names.
 package gateway
 
 import (
@@ -32,169 +33,174 @@
 	"github.com/savorystall/savorystall/internal/telemetry"
 )
 
-// Call is what a caller's headers say of its request.
-type Call struct {
-	// Attempt is the caller's name of the request, which targets echo.
-	Attempt string
-	// Patience is how long the caller waits; zero: not stated.
-	Patience time.Duration
+// RequestInfo is the content of a caller's request headers.
+type RequestInfo struct {
+	// AttemptID is the caller's identifier of the request, which targets echo.
+	AttemptID string
+	// Remaining is how much longer the caller waits for the response; zero if not stated.
+	Remaining time.Duration
 	// Key is the bearer key.
 	Key string
-	// LastEvent is the id of the last event that the caller has; zero: none.
-	LastEvent uint64
-	// PromptTokens and OutputTokens are the size of the prompt and the expected
-	// one of the answer; zero: not stated.
+	// LastEventID is the ID of the last event that the caller has received; zero if none.
+	LastEventID uint64
+	// PromptTokens is the size of the prompt and OutputTokens the expected size of the
+	// response; zero if not stated.
 	PromptTokens, OutputTokens int
-	// Parts are those of the prompt, the first one first.
+	// Parts lists the parts of the prompt in order.
 	Parts []booking.PromptPart
 }
 
-// Forward is what a target is told beside the caller's own headers.
-type Forward struct {
-	// Identity is the target that is to run the request; any other refuses.
+// ForwardInfo is what a target is told in addition to the caller's own headers.
+type ForwardInfo struct {
+	// Identity is the target that must run the request; any other target refuses it.
 	Identity  ident.Target
 	Workspace ident.Workspace
-	// Patience is how much of the caller's time is left.
-	Patience time.Duration
-	// LastEvent is the id of the last event that arrived; zero: from the start.
-	LastEvent uint64
-	// Source is the address of a target that keeps more of the prompt, to copy it
-	// from; empty: none.
-	Source string
-}
-
-// Answer is what the headers of a target's answer say.
-type Answer struct {
-	// Attempt is the request that the target names; empty: none.
-	Attempt string
-	// NotRun tells that the target has not run the request and never will.
+	// Remaining is how much longer the caller waits.
+	Remaining time.Duration
+	// LastEventID is the ID of the last event that was received; zero to start from the
+	// first event.
+	LastEventID uint64
+	// PrefixSource is the address of a target that has cached more of the prompt, from which
+	// it can be copied; empty if there is none.
+	PrefixSource string
+}
+
+// ResponseInfo is the content of a target's response headers.
+type ResponseInfo struct {
+	// AttemptID is the identifier that the target echoes; empty if none.
+	AttemptID string
+	// NotRun reports that the target has not run the request and will not run it.
 	NotRun bool
-	// Signed tells that the target vouches for the answer.
+	// Signed reports that the response carries the target's signature.
 	Signed bool
 }
 
-// Dialect translates between headers and typed values.
+// Dialect converts between a platform's headers and typed values.
 type Dialect interface {
-	Call(h http.Header) Call
-	// ForTarget changes the caller's headers to those for a target.
-	ForTarget(h http.Header, f Forward)
-	Answer(status int, h http.Header) Answer
+	ParseRequest(h http.Header) RequestInfo
+	// SetTargetHeaders turns the caller's headers into those for a target.
+	SetTargetHeaders(h http.Header, f ForwardInfo)
+	ParseResponse(status int, h http.Header) ResponseInfo
 }
 
-// Placer finds targets for requests.
+// Placer assigns requests to targets.
 type Placer interface {
 	Place(ctx context.Context, r booking.Request) control.Placement
-	First(id ident.Request, took time.Duration)
+	FirstByte(id ident.Request, took time.Duration)
 	Finish(id ident.Request, result booking.Result)
-	// Wanted counts what was asked for and refused without asking for a place.
-	Wanted(service ident.Service, workspace ident.Workspace, cost float64)
+	// RecordShed counts the cost of a request that was shed without placement as demand of
+	// its workspace.
+	RecordShed(service ident.Service, workspace ident.Workspace, cost float64)
 }
 
-// Config bounds what the gateway does.
+// Config holds the limits of the gateway.
 type Config struct {
-	// Repeats is the fleet's budget of repeats for each service.
-	Repeats retry.WindowConfig
-	// ConnectionShare is how many daemons may share a target's connections at
-	// most; each opens that part of the bound.
+	// RetryBudget is the fleet-wide retry budget of each service.
+	RetryBudget retry.WindowConfig
+	// ConnectionShare is the maximum number of daemons that share the connection limit of a
+	// target; each uses an equal part of it.
 	ConnectionShare int
 }
 
-// maxPending bounds the requests that are being read or placed at once. It takes a
-// few milliseconds each, so that more of them mean that the daemon does not keep up;
-// their bodies, 24 kB on average and 140 kB at most where prompts are long, would
-// then fill a small VM's memory, and the garbage collector would take what is left of
-// the processor time. At 256 they take 6 MB, and 36 MB at the worst.
+// maxPending bounds the requests that are being read or placed concurrently. Either takes
+// only a few milliseconds, so more of them mean that the daemon cannot keep up. Their
+// bodies, 24 kB on average and 140 kB at most where prompts are long, would then fill the
+// memory of a small VM, and garbage collection would use up the remaining processor time.
+// 256 bodies take 6 MB, and 36 MB in the worst case.
 const maxPending = 256
 
-// Deps are what the gateway works with.
+// Deps holds the dependencies of a Server.
 type Deps struct {
 	Config  Config
 	Routes  *route.Holder
 	Dialect Dialect
 	Placer  Placer
 	Pool    *targetconn.Pool
-	// Gone tells whether the caller of a request has left, by its context.
-	Gone func(ctx context.Context) bool
-	// Watch calls end once when the caller of a request, by its context, has left, until
-	// stop is called, which tells that end was not called; it may be nil.
-	Watch func(ctx context.Context, end func()) (stop func() bool)
-	// Sheds tells whether a new request is to be refused for want of processor time,
-	// by its context.
-	Sheds func(ctx context.Context) bool
-	// Busy tells whether a part of new requests is refused so.
-	Busy func() bool
-	// Stale tells whether the routes may have changed without this daemon having had the
-	// processor time to read them; it may be nil.
-	Stale func() bool
-	// Late tells how long ago a request has come that is read now, by its context; it may be
-	// nil.
-	Late func(ctx context.Context) time.Duration
-	// Left tells whether the balancer leads no new connections here.
-	Left    func() bool
-	Metrics *telemetry.Metrics
-	Tracing *telemetry.Tracing
-	Log     *slog.Logger
-}
-
-// Lines a second about requests: failures are rare and each matters, refusals
-// come by the thousand under overload, and of what went well a sample is enough.
+	// CallerGone reports whether the caller of the request with this context has
+	// disconnected.
+	CallerGone func(ctx context.Context) bool
+	// OnCallerGone calls end once when the caller of the request with this context
+	// disconnects, unless stop is called first; stop reports whether it prevented the call.
+	// May be nil.
+	OnCallerGone func(ctx context.Context, end func()) (stop func() bool)
+	// ShouldShed reports whether the new request with this context is to be refused for lack
+	// of processor time.
+	ShouldShed func(ctx context.Context) bool
+	// Shedding reports whether a fraction of the new requests is currently shed.
+	Shedding func() bool
+	// RoutesMayBeStale reports whether the routes may have changed while the daemon had no
+	// processor time to read them. May be nil.
+	RoutesMayBeStale func() bool
+	// ReadDelay returns how long ago the request with this context, which is read now,
+	// arrived. May be nil.
+	ReadDelay func(ctx context.Context) time.Duration
+	// OutOfRotation reports whether the load balancer has stopped sending new connections to
+	// this daemon.
+	OutOfRotation func() bool
+	Metrics       *telemetry.Metrics
+	Tracing       *telemetry.Tracing
+	Log           *slog.Logger
+}
+
+// Maximum log lines per second about requests. Failures are rare and each one matters;
+// refusals come by the thousand under overload; of served requests a sample is enough.
 const (
-	failedLines  = 50
-	refusedLines = 15
-	servedLines  = 5
+	failedLogRate  = 50
+	refusedLogRate = 15
+	servedLogRate  = 5
 )
 
-// lines bounds what is logged about requests.
-type lines struct{ failed, refused, served *logging.Budget }
+// logBudgets limits the rate of log lines about requests.
+type logBudgets struct{ failed, refused, served *logging.Budget }
 
 // Server is the HTTP handler for callers. It is safe for concurrent use.
 type Server struct {
 	Deps
 	targets atomic.Pointer[Targets]
 	daemons atomic.Int64
-	// closing is set when no new request is taken any more.
+	// closing is set once no new requests are accepted.
 	closing atomic.Bool
 	// pending counts the requests that are being read or placed.
-	pending atomic.Int64
-	lines   lines
+	pending    atomic.Int64
+	logBudgets logBudgets
 
-	mu      sync.Mutex
-	budgets map[ident.Service]*retry.Window
+	mu           sync.Mutex
+	retryBudgets map[ident.Service]*retry.Window
 }
 
-// Targets are the registered targets at one moment. It is immutable.
+// Targets is an immutable snapshot of the registered targets.
 type Targets struct {
 	ByIdentity map[ident.Target]registry.Entry
-	// Usable are the services with a target that takes requests.
+	// Usable holds the services with at least one target that accepts requests.
 	Usable map[ident.Service]bool
 }
 
-// New returns the handler.
+// New returns a Server that knows no targets yet and no other daemon.
 func New(deps Deps) *Server {
-	s := &Server{Deps: deps, budgets: map[ident.Service]*retry.Window{}}
-	s.lines = lines{
-		failed: logging.NewBudget(failedLines), refused: logging.NewBudget(refusedLines), served: logging.NewBudget(servedLines),
+	s := &Server{Deps: deps, retryBudgets: map[ident.Service]*retry.Window{}}
+	s.logBudgets = logBudgets{
+		failed: logging.NewBudget(failedLogRate), refused: logging.NewBudget(refusedLogRate), served: logging.NewBudget(servedLogRate),
 	}
 	s.targets.Store(&Targets{})
 	s.daemons.Store(1)
 	return s
 }
 
-// TellLeftOut logs how many lines were left out since the last call.
-func (s *Server) TellLeftOut() {
-	failed, refused, served := s.lines.failed.LeftOut(), s.lines.refused.LeftOut(), s.lines.served.LeftOut()
+// LogDroppedLines logs how many lines about requests were dropped since the last call.
+func (s *Server) LogDroppedLines() {
+	failed, refused, served := s.logBudgets.failed.LeftOut(), s.logBudgets.refused.LeftOut(), s.logBudgets.served.LeftOut()
 	if failed+refused+served > 0 {
 		event.LinesDropped.Log(s.Log, "failed", failed, "refused", refused, "served", served)
 	}
 }
 
-// SetTargets puts a new set of targets in force.
+// SetTargets replaces the set of targets.
 func (s *Server) SetTargets(t *Targets) { s.targets.Store(t) }
 
-// SetDaemons tells how many daemons serve callers.
+// SetDaemons sets how many daemons serve callers, this one included.
 func (s *Server) SetDaemons(n int) { s.daemons.Store(int64(n)) }
 
-// Close refuses all requests from now on. Those that were taken before go on.
+// Close makes the server refuse all new requests. Requests accepted before continue.
 func (s *Server) Close() { s.closing.Store(true) }
 
 // Daemons returns how many daemons serve callers, this one included.
@@ -202,50 +208,52 @@
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	defer s.recover(r)
-	if s.Sheds(r.Context()) {
+	defer s.recoverPanic(r)
+	if s.ShouldShed(r.Context()) {
 		s.shed(w, r)
 		return
 	}
 	ctx := s.Tracing.Propagator.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	ctx, span := s.Tracing.Start(ctx, telemetry.SpanIngress, trace.WithSpanKind(trace.SpanKindServer))
 	defer span.End()
-	j, failure := s.accept(w, r)
+	pr, failure := s.accept(w, r)
 	if failure == nil {
-		failure = s.run(ctx, j)
+		failure = s.run(ctx, pr)
 	}
 	if failure != nil {
 		span.SetAttributes(attribute.Int("code", failure.Code.Number))
 	}
-	s.end(w, r, j, failure)
+	s.finish(w, r, pr, failure)
 }
 
-// accepted counts a request in its service's budget of repeats.
-func (s *Server) accepted(service ident.Service, now time.Time) {
+// creditRetryBudget counts an accepted request in the retry budget of its service.
+func (s *Server) creditRetryBudget(service ident.Service, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget(service).Accepted(now)
+	s.retryBudget(service).Accepted(now)
 }
 
-// mayRepeat takes one repeat from its service's budget.
-func (s *Server) mayRepeat(service ident.Service, now time.Time) bool {
+// takeRetry takes one retry from the budget of the service and reports whether the budget
+// allows it.
+func (s *Server) takeRetry(service ident.Service, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budget(service).Allow(now)
+	return s.retryBudget(service).Allow(now)
 }
 
-func (s *Server) budget(service ident.Service) *retry.Window {
-	b := s.budgets[service]
+func (s *Server) retryBudget(service ident.Service) *retry.Window {
+	b := s.retryBudgets[service]
 	if b == nil {
-		b = retry.NewWindow(s.Config.Repeats)
-		s.budgets[service] = b
+		b = retry.NewWindow(s.Config.RetryBudget)
+		s.retryBudgets[service] = b
 	}
 	b.SetDaemons(int(s.daemons.Load()))
 	return b
 }
 
-// unanswered is a failure without an answer: the caller has left, or the answer
-// has begun and must not look complete.
-func unanswered(f *resultcode.Failure, j *job) bool {
-	return f.Code == resultcode.CallerGone || j != nil && j.began
+// mustAbort reports whether a failure gets no response of its own and the connection is
+// aborted instead: the caller has disconnected, or the response has started and must not
+// appear complete.
+func mustAbort(f *resultcode.Failure, pr *proxyRequest) bool {
+	return f.Code == resultcode.CallerGone || pr != nil && pr.responseStarted
 }
--- a/internal/gateway/respond.go
+++ b/internal/gateway/respond.go
@@ -16,7 +16,7 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-// errorBody is the JSON of every refusal and failure.
+// errorBody is the JSON body of all refusals and failures.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -28,141 +28,142 @@
 	Run     resultcode.Outcome `json:"run"`
 }
 
-// end answers a failure, logs the request, and breaks the connection off where
-// the answer must not look complete.
-func (s *Server) end(w http.ResponseWriter, r *http.Request, j *job, f *resultcode.Failure) {
-	s.note(r, j, f)
+// finish logs the request, responds to a failure, and aborts the connection if the response
+// must not appear complete.
+func (s *Server) finish(w http.ResponseWriter, r *http.Request, pr *proxyRequest, f *resultcode.Failure) {
+	s.recordRequest(r, pr, f)
 	if f == nil {
 		return
 	}
-	if unanswered(f, j) {
+	if mustAbort(f, pr) {
 		panic(http.ErrAbortHandler)
 	}
-	s.answerFailure(w, j, f)
+	s.writeFailure(w, pr, f)
 }
 
-// shed refuses a request that the daemon has no processor time for.
+// shed refuses a request for lack of processor time.
 func (s *Server) shed(w http.ResponseWriter, r *http.Request) {
-	s.wanted(r)
-	discard(r)
-	if s.Left() {
-		w.Header().Set("Connection", "close") // a new one leads to another daemon
+	s.recordShedDemand(r)
+	discardBody(r)
+	if s.OutOfRotation() {
+		w.Header().Set("Connection", "close") // a new connection reaches another daemon
 	}
-	s.end(w, r, nil, busy())
+	s.finish(w, r, nil, busyFailure())
 }
 
-// busy is the refusal for want of processor time.
-func busy() *resultcode.Failure {
+// busyFailure returns the failure of a request that is refused for lack of processor time.
+func busyFailure() *resultcode.Failure {
 	f := resultcode.Fail(resultcode.DaemonBusy, "")
 	f.RetryAfter = overload.ImmediateRetryDelay
 	return f
 }
 
-// wanted counts what a refused request asks for in its workspace's demand. Without it a
-// workspace whose callers all reach one busy daemon would seem to want nothing, and what
-// it lacks would go to those that have more already.
-func (s *Server) wanted(r *http.Request) {
+// recordShedDemand counts a shed request in the demand of its workspace. Otherwise a
+// workspace whose callers all reach one overloaded daemon would appear to have no demand,
+// and its share would go to workspaces that already have more.
+func (s *Server) recordShedDemand(r *http.Request) {
 	table := s.Routes.Current()
 	if table == nil {
 		return
 	}
 	path, _, _ := strings.Cut(requestTarget(r), "?")
-	found, ok := table.Find(r.Host, path)
+	matched, ok := table.Find(r.Host, path)
 	if !ok {
 		return
 	}
-	call := s.Dialect.Call(r.Header)
-	workspace, failure := table.Identify(found, call.Key)
+	info := s.Dialect.ParseRequest(r.Header)
+	workspace, failure := table.Identify(matched, info.Key)
 	if failure != nil {
 		return
 	}
-	service := s.choose(found, table)
-	if service.Model {
-		s.Placer.Wanted(service.Name, workspace, booking.Tokens(call.PromptTokens, call.OutputTokens))
+	service := s.chooseService(matched, table)
+	if service.ServesModel {
+		s.Placer.RecordShed(service.Name, workspace, booking.Tokens(info.PromptTokens, info.OutputTokens))
 	}
 }
 
-// status returns the HTTP status of a failure. Callers take 503 for a promise
-// that the request has not run, and come back; so every refusal for want of time
-// or place is told that way, and nothing else is.
-func status(f *resultcode.Failure) int {
-	if f.Code.Outcome == resultcode.NotRun && f.Code.HTTP >= http.StatusInternalServerError {
+// httpStatus returns the HTTP status of a failure. Callers take 503 to mean that the request
+// was not run, and retry it. Every refusal for lack of time or capacity therefore gets that
+// status, and nothing else does.
+func httpStatus(f *resultcode.Failure) int {
+	if f.Code.Outcome == resultcode.NotRun && f.Code.HTTPStatus >= http.StatusInternalServerError {
 		return http.StatusServiceUnavailable
 	}
-	return f.Code.HTTP
+	return f.Code.HTTPStatus
 }
 
-func (s *Server) answerFailure(w http.ResponseWriter, j *job, f *resultcode.Failure) {
-	text := FailureBody(f)
+func (s *Server) writeFailure(w http.ResponseWriter, pr *proxyRequest, f *resultcode.Failure) {
+	body := FailureBody(f)
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
-	header.Set("Content-Length", lengthText(int64(len(text))))
-	if wait := f.Wait(); wait > 0 {
-		header.Set("Retry-After", seconds(wait))
+	header.Set("Content-Length", formatLength(int64(len(body))))
+	if wait := f.RetryDelay(); wait > 0 {
+		header.Set("Retry-After", formatSeconds(wait))
 	}
-	if f.Code.HTTP == http.StatusUnauthorized {
+	if f.Code.HTTPStatus == http.StatusUnauthorized {
 		header.Set("WWW-Authenticate", "Bearer")
 	}
 	if f.Code == resultcode.BodyTooLarge || f.Code == resultcode.BodyTimeout || f.Code == resultcode.BadRequest {
-		header.Set("Connection", "close") // the rest of the body is not read
+		header.Set("Connection", "close") // the rest of the body is left unread
 	}
-	w.WriteHeader(status(f))
-	// A caller that has left needs no answer.
-	_, _ = w.Write(text)
+	w.WriteHeader(httpStatus(f))
+	// A write error means that the caller has disconnected.
+	_, _ = w.Write(body)
 }
 
-// FailureBody returns the JSON body that tells a caller of a failure.
+// FailureBody returns the JSON body that describes a failure to the caller.
 func FailureBody(f *resultcode.Failure) []byte {
 	message := f.Code.Text
 	if f.Detail != "" {
 		message += ": " + f.Detail
 	}
 	// Marshalling strings and numbers cannot fail.
-	text, _ := json.Marshal(errorBody{errorDetail{Code: f.Code.Number, Name: f.Code.Name, Message: message, Run: f.Code.Outcome}})
-	return text
+	body, _ := json.Marshal(errorBody{errorDetail{Code: f.Code.Number, Name: f.Code.Name, Message: message, Run: f.Code.Outcome}})
+	return body
 }
 
-// seconds writes a wait with its fractions.
-func seconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
+// formatSeconds formats a duration in seconds with three decimal places.
+func formatSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
-// note writes the one line and the metrics of a request.
-func (s *Server) note(r *http.Request, j *job, f *resultcode.Failure) {
+// recordRequest writes the log line and the metrics of a finished request.
+func (s *Server) recordRequest(r *http.Request, pr *proxyRequest, f *resultcode.Failure) {
 	service, code := ident.Service(""), 0
-	if j != nil {
-		service = j.service.Name
+	if pr != nil {
+		service = pr.service.Name
 	}
 	if f != nil {
 		code = f.Code.Number
 	}
 	s.Metrics.Request(service, strconv.Itoa(code))
-	line, budget := event.RequestServed, s.lines.served
+	logEvent, budget := event.RequestServed, s.logBudgets.served
 	switch {
 	case f == nil:
 	case f.Code.Outcome == resultcode.NotRun:
-		line, budget = event.RequestRefused, s.lines.refused
+		logEvent, budget = event.RequestRefused, s.logBudgets.refused
 	default:
-		line, budget = event.RequestFailed, s.lines.failed
+		logEvent, budget = event.RequestFailed, s.logBudgets.failed
 	}
 	if budget.Allow() {
-		line.Log(s.Log, s.arguments(r, j, f)...)
+		logEvent.Log(s.Log, s.logAttributes(r, pr, f)...)
 	}
 }
 
-// arguments tell how a request went: what decided, how old that was, and the end.
-func (s *Server) arguments(r *http.Request, j *job, f *resultcode.Failure) []any {
+// logAttributes returns the log attributes of a request: how it was placed, its routes
+// version and timing, and how it ended.
+func (s *Server) logAttributes(r *http.Request, pr *proxyRequest, f *resultcode.Failure) []any {
 	var args []any
-	if j == nil {
-		args = []any{"request", s.Dialect.Call(r.Header).Attempt, "host", r.Host, "path", r.URL.Path}
+	if pr == nil {
+		args = []any{"request", s.Dialect.ParseRequest(r.Header).AttemptID, "host", r.Host, "path", r.URL.Path}
 	} else {
 		args = []any{
-			"request", j.call.Attempt, "route", j.route.Name, "service", j.service.Name, "workspace", j.workspace,
-			"routes_version", j.version, "target", j.trace.target, "by", j.trace.basis.SelectedBy, "asked", j.trace.basis.OwnersAsked,
-			"expected_ms", j.trace.basis.Expected.Milliseconds(), "late", j.plan.Late, "back", j.trace.basis.CallerRetry, "source", j.trace.basis.FetchSource, "held", j.trace.basis.Held,
-			"limit", j.trace.basis.Limit.String(), "share_used", math.Round(100*j.trace.basis.ShareUsed) / 100, "alone_ms", j.trace.basis.UnloadedWait.Milliseconds(),
-			"tokens", j.call.PromptTokens, "due_ms", j.plan.Due.Sub(j.arrived).Milliseconds(),
-			"waited_ms", j.trace.waited.Milliseconds(), "first_ms", j.trace.first.Milliseconds(),
-			"total_ms", time.Since(j.arrived).Milliseconds(), "left_ms", time.Until(j.until).Milliseconds(), "caller", r.RemoteAddr, "sends", j.trace.sends, "runs", j.trace.runs,
-			"events", j.events.count, "last_event", j.events.last, "status", j.status,
+			"request", pr.info.AttemptID, "route", pr.route.Name, "service", pr.service.Name, "workspace", pr.workspace,
+			"routes_version", pr.version, "target", pr.stats.target, "by", pr.stats.basis.SelectedBy, "asked", pr.stats.basis.OwnersAsked,
+			"expected_ms", pr.stats.basis.Expected.Milliseconds(), "late", pr.plan.Late, "back", pr.stats.basis.CallerRetry, "source", pr.stats.basis.FetchSource, "held", pr.stats.basis.Held,
+			"limit", pr.stats.basis.Limit.String(), "share_used", math.Round(100*pr.stats.basis.ShareUsed) / 100, "alone_ms", pr.stats.basis.UnloadedWait.Milliseconds(),
+			"tokens", pr.info.PromptTokens, "due_ms", pr.plan.Due.Sub(pr.arrived).Milliseconds(),
+			"waited_ms", pr.stats.placementTime.Milliseconds(), "first_ms", pr.stats.firstByteTime.Milliseconds(),
+			"total_ms", time.Since(pr.arrived).Milliseconds(), "left_ms", time.Until(pr.deadline).Milliseconds(), "caller", r.RemoteAddr, "sends", pr.stats.attempts, "runs", pr.stats.runs,
+			"events", pr.events.count, "last_event", pr.events.lastID, "status", pr.status,
 		}
 	}
 	if f != nil {
@@ -171,8 +172,8 @@
 	return args
 }
 
-// recover turns a panic of the handler into a logged failure.
-func (s *Server) recover(r *http.Request) {
+// recoverPanic logs a panic of the handler and aborts the connection.
+func (s *Server) recoverPanic(r *http.Request) {
 	cause := recover()
 	if cause == nil {
 		return
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -20,229 +20,234 @@
 	"github.com/savorystall/savorystall/internal/telemetry"
 )
 
-// maxUnsent bounds the tries of one request that fail before a byte leaves, such
-// as at a target that refuses connections. They cost targets nothing.
-const maxUnsent = 3
+// maxUnsentAttempts bounds the attempts of one request that fail before a byte is sent, for
+// example because the target refuses connections. Such attempts cost the targets nothing.
+const maxUnsentAttempts = 3
 
-// result is how an attempt at one target ended.
-type result struct {
-	// failure is nil after a complete answer.
+// attemptResult describes how an attempt at one target ended.
+type attemptResult struct {
+	// failure is nil after a complete response.
 	failure *resultcode.Failure
-	// sent tells that bytes of the request may have reached the target.
+	// sent reports that bytes of the request may have reached the target.
 	sent bool
-	// status is that of the target's answer; zero where none arrived.
+	// status is the HTTP status of the target's response; zero if none arrived.
 	status int
-	// targetFailed tells that the target or the way to it failed, or that the
-	// target refused what its owner thought it could take.
+	// targetFailed reports that the target or the connection to it failed, or that the
+	// target refused a request that its owner expected it to accept.
 	targetFailed bool
-	// answer is a failure of the target's own, held back while another target may
-	// do better.
-	answer *held
-	served float64
-	first  time.Duration
-	// events counts those of a stream that came in this attempt.
-	events int
+	// buffered is an error response of the target itself, not sent to the caller yet because
+	// another target may succeed.
+	buffered      *bufferedResponse
+	cost          float64
+	firstByteTime time.Duration
+	// eventCount is the number of events of a stream received in this attempt.
+	eventCount int
 }
 
-// leastEvents is how many events tell a mean pause between them.
-const leastEvents = 4
+// minEventsForInterval is the minimum number of events for a meaningful mean interval.
+const minEventsForInterval = 4
 
-// pause is the mean time between the events of a whole stream; zero: not known.
-func (r *result) pause(elapsed time.Duration) time.Duration {
-	if r.failure != nil || r.events < leastEvents {
+// eventInterval returns the mean time between the events of a complete stream; zero means
+// unknown.
+func (r *attemptResult) eventInterval(elapsed time.Duration) time.Duration {
+	if r.failure != nil || r.eventCount < minEventsForInterval {
 		return 0
 	}
-	return (elapsed - r.first) / time.Duration(r.events-1)
+	return (elapsed - r.firstByteTime) / time.Duration(r.eventCount-1)
 }
 
-// held is an answer that is not handed over yet.
-type held struct {
+// bufferedResponse is a response that has not been sent to the caller yet.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// run brings a request to its end: an answer, or one final failure.
-func (s *Server) run(ctx context.Context, j *job) *resultcode.Failure {
-	ctx, cancel := context.WithDeadline(ctx, j.until)
+// run processes an accepted request until it has a response or a final failure.
+func (s *Server) run(ctx context.Context, pr *proxyRequest) *resultcode.Failure {
+	ctx, cancel := context.WithDeadline(ctx, pr.deadline)
 	defer cancel()
-	j.leave = cancel
-	s.accepted(j.service.Name, j.arrived)
-	defer s.settled(j)
+	pr.cancel = cancel
+	s.creditRetryBudget(pr.service.Name, pr.arrived)
+	defer s.releasePending(pr)
 	outcome := resultcode.NotRun
 	for {
-		placed, began := s.place(ctx, j)
-		s.settled(j)
-		if placed.Failure != nil {
-			return s.unplaced(ctx, j, placed.Failure, outcome)
+		placement, dispatched := s.place(ctx, pr)
+		s.releasePending(pr)
+		if placement.Failure != nil {
+			return s.placementFailure(ctx, pr, placement.Failure, outcome)
 		}
-		if s.Gone(ctx) {
-			s.Placer.Finish(j.id, booking.Result{})
+		if s.CallerGone(ctx) {
+			s.Placer.Finish(pr.id, booking.Result{})
 			return resultcode.Fail(resultcode.CallerGone, "")
 		}
-		if s.heldTooLong(j) {
-			s.Placer.Finish(j.id, booking.Result{})
-			return busy()
+		if s.waitedTooLong(pr) {
+			s.Placer.Finish(pr.id, booking.Result{})
+			return busyFailure()
 		}
-		r := s.try(ctx, j, placed.Target, began)
+		r := s.attempt(ctx, pr, placement.Target, dispatched)
 		if r.failure == nil {
 			return nil
 		}
 		outcome = retry.WorstOutcome(outcome, r.failure.Code.Outcome)
 		if ctx.Err() != nil {
-			return s.expired(ctx, j, outcome)
+			return s.contextFailure(ctx, pr, outcome)
 		}
-		if !s.again(j, r, placed.Target) {
-			return s.final(j, r, outcome)
+		if !s.prepareRetry(pr, r, placement.Target) {
+			return s.finalFailure(pr, r, outcome)
 		}
 	}
 }
 
-// heldTooLong tells whether a request has waited in this daemon for so long that its
-// answer can't be in time.
+// waitedTooLong reports whether a request has waited in this daemon so long that its
+// response cannot be in time any more.
 //
-// On a daemon that does not keep up a request that was read may wait for its turns until
-// its caller leaves, and the close waits as long to be noticed: the engine would work on
-// for nobody. The caller is sent elsewhere instead, where it may be served at least.
-func (s *Server) heldTooLong(j *job) bool {
-	return j.trace.sends == 0 && time.Now().After(j.plan.Due) && s.Busy()
+// On a daemon that cannot keep up, a request that has been read may wait to be scheduled
+// until its caller disconnects, and the disconnect is noticed just as late: the engine would
+// work on a response that nobody receives. The caller is told to retry instead, as another
+// daemon may still serve it.
+func (s *Server) waitedTooLong(pr *proxyRequest) bool {
+	return pr.stats.attempts == 0 && time.Now().After(pr.plan.Due) && s.Shedding()
 }
 
-// place finds a target.
-func (s *Server) place(ctx context.Context, j *job) (control.Placement, time.Time) {
-	asked := time.Now()
+// place has a target assigned to the request.
+func (s *Server) place(ctx context.Context, pr *proxyRequest) (control.Placement, time.Time) {
+	start := time.Now()
 	request := booking.Request{
-		ID: j.id, Service: j.service.Name, Workspace: j.workspace,
-		Deadline: j.plan.Due, Late: j.plan.Late, PreviouslyPlaced: j.trace.sends > 0, OwnerContacted: j.trace.sends+j.trace.unsent > 0, Avoid: j.trace.avoid,
+		ID: pr.id, Service: pr.service.Name, Workspace: pr.workspace,
+		Deadline: pr.plan.Due, Late: pr.plan.Late, PreviouslyPlaced: pr.stats.attempts > 0, OwnerContacted: pr.stats.attempts+pr.stats.unsentAttempts > 0, Avoid: pr.stats.avoid,
 	}
-	if j.service.Model {
-		request.Prompt, request.Output, request.Parts = j.call.PromptTokens, j.call.OutputTokens, j.call.Parts
+	if pr.service.ServesModel {
+		request.Prompt, request.Output, request.Parts = pr.info.PromptTokens, pr.info.OutputTokens, pr.info.Parts
 	}
 	if request.PreviouslyPlaced {
-		request.Deadline = j.until
+		request.Deadline = pr.deadline
 	}
 	ctx, span := s.Tracing.Start(ctx, telemetry.SpanPlace)
-	placed := s.Placer.Place(ctx, request)
+	placement := s.Placer.Place(ctx, request)
 	span.End()
-	began := time.Now()
-	j.trace.waited += began.Sub(asked)
-	j.trace.basis = placed.Basis
-	s.Metrics.Wait(j.service.Name, string(j.route.Repeat), began.Sub(asked))
-	return placed, began
+	dispatched := time.Now()
+	pr.stats.placementTime += dispatched.Sub(start)
+	pr.stats.basis = placement.Basis
+	s.Metrics.Wait(pr.service.Name, string(pr.route.Retry), dispatched.Sub(start))
+	return placement, dispatched
 }
 
-// try sends the request to one target and gives the slot back.
-func (s *Server) try(ctx context.Context, j *job, id ident.Target, began time.Time) result {
+// attempt sends the request to one target and releases the slot afterwards.
+func (s *Server) attempt(ctx context.Context, pr *proxyRequest, id ident.Target, dispatched time.Time) attemptResult {
 	entry, known := s.targets.Load().ByIdentity[id]
-	if !known || entry.Draining || entry.Service != j.service.Name {
-		s.Placer.Finish(j.id, booking.Result{NotRun: true})
-		j.trace.unsent++ // else it would be placed there again and again until its time is up
-		return result{failure: resultcode.Fail(resultcode.NoTarget, "target %s is gone", id)}
+	if !known || entry.Draining || entry.Service != pr.service.Name {
+		s.Placer.Finish(pr.id, booking.Result{NotRun: true})
+		pr.stats.unsentAttempts++ // or it would be placed there again and again until its deadline
+		return attemptResult{failure: resultcode.Fail(resultcode.NoTarget, "target %s is gone", id)}
 	}
-	j.trace.target = id
-	var r result
+	pr.stats.target = id
+	var r attemptResult
 	ended := false
 	defer func() {
-		// A panic on the way would keep the slot for good.
+		// Without this, a panic would leak the slot.
 		if !ended {
-			s.Placer.Finish(j.id, booking.Result{})
+			s.Placer.Finish(pr.id, booking.Result{})
 		}
 	}()
 	ctx, span := s.Tracing.Start(ctx, telemetry.SpanTarget, trace.WithAttributes(attribute.String("target", string(id))))
-	r = s.exchange(ctx, j, entry, began)
+	r = s.exchange(ctx, pr, entry, dispatched)
 	span.End()
 	ended = true
-	s.report(j, entry, r, time.Since(began))
+	s.reportAttempt(pr, entry, r, time.Since(dispatched))
 	return r
 }
 
-// report tells the scheduler and the metrics how an attempt ended.
-func (s *Server) report(j *job, entry registry.Entry, r result, elapsed time.Duration) {
+// reportAttempt passes the result of an attempt to the scheduler and the metrics.
+func (s *Server) reportAttempt(pr *proxyRequest, entry registry.Entry, r attemptResult, elapsed time.Duration) {
 	notRun := r.failure != nil && r.failure.Code.Outcome == resultcode.NotRun
-	s.Placer.Finish(j.id, booking.Result{Elapsed: elapsed, Failed: r.targetFailed, NotRun: notRun, EventInterval: r.pause(elapsed)})
+	s.Placer.Finish(pr.id, booking.Result{Elapsed: elapsed, Failed: r.targetFailed, NotRun: notRun, EventInterval: r.eventInterval(elapsed)})
 	if r.sent {
-		j.trace.sends++
+		pr.stats.attempts++
 		if !notRun {
-			j.trace.runs++
+			pr.stats.runs++
 		}
 	} else {
-		j.trace.unsent++
+		pr.stats.unsentAttempts++
 	}
-	j.trace.first = r.first
-	if r.first > 0 {
-		s.Metrics.First(entry.Service, r.first)
+	pr.stats.firstByteTime = r.firstByteTime
+	if r.firstByteTime > 0 {
+		s.Metrics.First(entry.Service, r.firstByteTime)
 	}
-	s.Metrics.Served(entry.Service, j.workspace, int64(r.served))
+	s.Metrics.Served(entry.Service, pr.workspace, int64(r.cost))
 }
 
-// again decides whether another target follows.
-func (s *Server) again(j *job, r result, target ident.Target) bool {
-	if !r.sent && j.trace.unsent > maxUnsent {
+// prepareRetry reports whether the request is retried at another target. If so, it takes the
+// retry from the budget and excludes the failed target.
+func (s *Server) prepareRetry(pr *proxyRequest, r attemptResult, target ident.Target) bool {
+	if !r.sent && pr.stats.unsentAttempts > maxUnsentAttempts {
 		return false
 	}
-	// An engine's failure counts as run; a repeatable request may run again.
+	// A request that failed in the engine has run, but a repeatable one may run again.
 	outcome := r.failure.Code.Outcome
 	if outcome == resultcode.Ran {
 		outcome = resultcode.MayHaveRun
 	}
 	reason := retry.ReasonAgainst(retry.Attempt{
 		Outcome: outcome, Status: r.status,
-		Attempts: j.trace.sends, Runs: j.trace.runs,
-		Delivered:  j.began && !(j.route.Repeat == route.Stream && j.route.Resumable),
-		Repeatable: j.route.Repeatable(),
+		Attempts: pr.stats.attempts, Runs: pr.stats.runs,
+		Delivered:  pr.responseStarted && !(pr.route.Retry == route.Stream && pr.route.Resumable),
+		Repeatable: pr.route.Repeatable(),
 		CallerGone: r.failure.Code == resultcode.CallerGone,
-	}, j.route.Attempts, j.route.Attempts)
+	}, pr.route.MaxAttempts, pr.route.MaxAttempts)
 	if reason != "" {
 		return false
 	}
-	if r.sent && !s.mayRepeat(j.service.Name, time.Now()) {
+	if r.sent && !s.takeRetry(pr.service.Name, time.Now()) {
 		return false
 	}
-	if !slices.Contains(j.trace.avoid, target) {
-		j.trace.avoid = append(j.trace.avoid, target)
+	if !slices.Contains(pr.stats.avoid, target) {
+		pr.stats.avoid = append(pr.stats.avoid, target)
 	}
-	s.Metrics.Retry(j.service.Name)
+	s.Metrics.Retry(pr.service.Name)
 	return true
 }
 
-// final is the last word on a request that no other target follows.
-func (s *Server) final(j *job, r result, outcome resultcode.Outcome) *resultcode.Failure {
-	if r.answer != nil && !j.began {
-		s.handOver(j, r.answer)
+// finalFailure returns the failure of a request that is not retried, or nil if a buffered
+// error response was sent to the caller instead.
+func (s *Server) finalFailure(pr *proxyRequest, r attemptResult, outcome resultcode.Outcome) *resultcode.Failure {
+	if r.buffered != nil && !pr.responseStarted {
+		s.writeBuffered(pr, r.buffered)
 		return nil
 	}
-	return truthful(r.failure, outcome)
+	return correctOutcome(r.failure, outcome)
 }
 
-// truthful keeps a refusal from saying "not run" after an earlier attempt that
-// may have run.
-func truthful(f *resultcode.Failure, outcome resultcode.Outcome) *resultcode.Failure {
+// correctOutcome replaces a failure whose outcome is "not run" if an earlier attempt may
+// have run.
+func correctOutcome(f *resultcode.Failure, outcome resultcode.Outcome) *resultcode.Failure {
 	if f.Code.Outcome == resultcode.NotRun && outcome != resultcode.NotRun {
-		return resultcode.Fail(resultcode.ConnectionLost, "an earlier attempt may have run").Because(f)
+		return resultcode.Fail(resultcode.ConnectionLost, "an earlier attempt may have run").WithCause(f)
 	}
 	return f
 }
 
-// unplaced is the answer to a request that got no target.
-func (s *Server) unplaced(ctx context.Context, j *job, f *resultcode.Failure, outcome resultcode.Outcome) *resultcode.Failure {
+// placementFailure returns the failure of a request that was not assigned a target.
+func (s *Server) placementFailure(ctx context.Context, pr *proxyRequest, f *resultcode.Failure, outcome resultcode.Outcome) *resultcode.Failure {
 	if ctx.Err() != nil {
-		return s.expired(ctx, j, outcome)
+		return s.contextFailure(ctx, pr, outcome)
 	}
-	return truthful(f, outcome)
+	return correctOutcome(f, outcome)
 }
 
-// callerLeft tells whether the request has ended because its caller left.
-func callerLeft(ctx context.Context, j *job) bool {
-	return errors.Is(ctx.Err(), context.Canceled) || j.in.Context().Err() != nil
+// callerGone reports whether the request ended because its caller disconnected.
+func callerGone(ctx context.Context, pr *proxyRequest) bool {
+	return errors.Is(ctx.Err(), context.Canceled) || pr.inbound.Context().Err() != nil
 }
 
-// expired tells a caller that left from one whose time is up.
-func (s *Server) expired(ctx context.Context, j *job, outcome resultcode.Outcome) *resultcode.Failure {
-	if callerLeft(ctx, j) {
+// contextFailure returns the failure of a request whose context has ended: the caller
+// disconnected or the deadline passed.
+func (s *Server) contextFailure(ctx context.Context, pr *proxyRequest, outcome resultcode.Outcome) *resultcode.Failure {
+	if callerGone(ctx, pr) {
 		return resultcode.Fail(resultcode.CallerGone, "")
 	}
 	if outcome == resultcode.NotRun {
-		return resultcode.Fail(resultcode.DeadlineUnmet, "the time is up after %s", time.Since(j.arrived).Round(time.Millisecond))
+		return resultcode.Fail(resultcode.DeadlineUnmet, "the time is up after %s", time.Since(pr.arrived).Round(time.Millisecond))
 	}
-	return resultcode.Fail(resultcode.TargetStalled, "the time is up after %s", time.Since(j.arrived).Round(time.Millisecond))
+	return resultcode.Fail(resultcode.TargetStalled, "the time is up after %s", time.Since(pr.arrived).Round(time.Millisecond))
 }
--- a/internal/gateway/shed_test.go
+++ b/internal/gateway/shed_test.go
@@ -20,58 +20,58 @@
 	"github.com/savorystall/savorystall/internal/telemetry"
 )
 
-// countingPlacer refuses every place and counts what is asked of it.
-type countingPlacer struct {
-	places, finishes int
-	// place, where set, takes the refusal's place.
-	place  func() control.Placement
-	wanted map[ident.Workspace]float64
+// fakePlacer refuses to place requests and counts the calls.
+type fakePlacer struct {
+	placeCalls, finishCalls int
+	// placeFunc, if set, provides the placement instead.
+	placeFunc func() control.Placement
+	shedCost  map[ident.Workspace]float64
 }
 
-func (p *countingPlacer) Place(context.Context, booking.Request) control.Placement {
-	p.places++
-	if p.place != nil {
-		return p.place()
+func (p *fakePlacer) Place(context.Context, booking.Request) control.Placement {
+	p.placeCalls++
+	if p.placeFunc != nil {
+		return p.placeFunc()
 	}
 	return control.Placement{Failure: resultcode.Fail(resultcode.FleetFull, "")}
 }
-func (p *countingPlacer) First(ident.Request, time.Duration)   {}
-func (p *countingPlacer) Finish(ident.Request, booking.Result) { p.finishes++ }
-func (p *countingPlacer) Wanted(_ ident.Service, w ident.Workspace, cost float64) {
-	p.wanted[w] += cost
+func (p *fakePlacer) FirstByte(ident.Request, time.Duration) {}
+func (p *fakePlacer) Finish(ident.Request, booking.Result)   { p.finishCalls++ }
+func (p *fakePlacer) RecordShed(_ ident.Service, w ident.Workspace, cost float64) {
+	p.shedCost[w] += cost
 }
 
-// plainDialect knows the key and the size of a prompt.
-type plainDialect struct{}
+// fakeDialect reads only the key from the headers; the token counts are fixed.
+type fakeDialect struct{}
 
-func (plainDialect) Call(h http.Header) Call {
-	return Call{Key: h.Get("Key"), PromptTokens: 1000, OutputTokens: 50}
+func (fakeDialect) ParseRequest(h http.Header) RequestInfo {
+	return RequestInfo{Key: h.Get("Key"), PromptTokens: 1000, OutputTokens: 50}
 }
-func (plainDialect) ForTarget(http.Header, Forward) {}
-func (plainDialect) Answer(int, http.Header) Answer { return Answer{} }
+func (fakeDialect) SetTargetHeaders(http.Header, ForwardInfo)   {}
+func (fakeDialect) ParseResponse(int, http.Header) ResponseInfo { return ResponseInfo{} }
 
-// All callers of one workspace reach one daemon, which has no processor time for them.
-// They are told at once to come back at once, which leads them to another daemon. What
-// they ask for counts in their workspace's demand: else it would seem to want nothing,
-// and others would get what it lacks.
-func TestARefusalForWantOfProcessorTime(t *testing.T) {
+// All callers of a workspace reach one daemon that has no processor time for them. They are
+// told to retry at once, which leads them to another daemon. The shed requests count as
+// demand of their workspace: otherwise it would appear to have no demand and its share would
+// go to other workspaces.
+func TestShedRequestsCountAsDemand(t *testing.T) {
 	is := is.New(t)
-	placer := &countingPlacer{wanted: map[ident.Workspace]float64{}}
+	placer := &fakePlacer{shedCost: map[ident.Workspace]float64{}}
 	metrics := telemetry.NewMetrics()
 	t.Cleanup(func() { _ = metrics.Close() })
 	routes := &route.Holder{}
 	table, err := route.NewTable(route.Document{
-		Version: 1, Keyed: true,
-		Routes:     []route.Route{{Name: "r", Host: "h.example", Prefix: "/a/", Services: []route.Split{{Service: "pool", Weight: 1}}, Attempts: 1}},
-		Services:   []route.Service{{Name: "pool", Model: true}},
+		Version: 1, RequireKeys: true,
+		Routes:     []route.Route{{Name: "r", Host: "h.example", Prefix: "/a/", Services: []route.WeightedService{{Service: "pool", Weight: 1}}, MaxAttempts: 1}},
+		Services:   []route.Service{{Name: "pool", ServesModel: true}},
 		Workspaces: []route.Workspace{{Name: "club", Keys: []string{"key"}}},
 	})
 	is.NoErr(err)
-	is.True(routes.Offer(table))
-	sheds, left := true, false
+	is.True(routes.UpdateIfNewer(table))
+	shouldShed, outOfRotation := true, false
 	s := New(Deps{
-		Routes: routes, Dialect: plainDialect{}, Placer: placer, Metrics: metrics, Log: slog.New(slog.DiscardHandler),
-		Sheds: func(context.Context) bool { return sheds }, Left: func() bool { return left },
+		Routes: routes, Dialect: fakeDialect{}, Placer: placer, Metrics: metrics, Log: slog.New(slog.DiscardHandler),
+		ShouldShed: func(context.Context) bool { return shouldShed }, OutOfRotation: func() bool { return outOfRotation },
 	})
 	send := func(path, key string) http.Header {
 		r := httptest.NewRequest(http.MethodPost, "http://h.example"+path, strings.NewReader("body"))
@@ -83,20 +83,20 @@
 		return w.Header()
 	}
 	is.Equal(send("/a/x", "key").Get("Connection"), "")
-	is.Equal(placer.places, 0)
-	is.Equal(placer.wanted, map[ident.Workspace]float64{"club": 1100})
-	// Of what cannot be told whose it is, or what it is for, nothing counts.
+	is.Equal(placer.placeCalls, 0)
+	is.Equal(placer.shedCost, map[ident.Workspace]float64{"club": 1100})
+	// Requests with an unknown key or route are not counted.
 	send("/a/x", "other")
 	send("/b/x", "key")
-	is.Equal(placer.wanted["club"], 1100.0)
-	left = true
+	is.Equal(placer.shedCost["club"], 1100.0)
+	outOfRotation = true
 	is.Equal(send("/a/x", "key").Get("Connection"), "close")
 }
 
-// A request is read by a daemon that does not keep up, and gets its place when its answer
-// can't be in time any more. Sent on, it would run until after its caller has left. It is
-// sent elsewhere, and its place is given back; a daemon that keeps up serves it late.
-func TestARequestThatWaitedTooLongIsSentElsewhere(t *testing.T) {
+// A daemon that cannot keep up places a request only when its response would already be
+// late. If sent, it would keep running after its caller has disconnected. The daemon must
+// refuse it and release the slot; a daemon that keeps up serves it late.
+func TestOverdueRequestIsRefusedWhileShedding(t *testing.T) {
 	is := is.New(t)
 	metrics := telemetry.NewMetrics()
 	t.Cleanup(func() { _ = metrics.Close() })
@@ -104,21 +104,21 @@
 	is.NoErr(err)
 	table, err := route.NewTable(route.Document{
 		Version:  1,
-		Routes:   []route.Route{{Name: "r", Host: "h.example", Prefix: "/a/", Services: []route.Split{{Service: "app", Weight: 1}}, Attempts: 1, Objective: 10 * time.Millisecond}},
+		Routes:   []route.Route{{Name: "r", Host: "h.example", Prefix: "/a/", Services: []route.WeightedService{{Service: "app", Weight: 1}}, MaxAttempts: 1, Objective: 10 * time.Millisecond}},
 		Services: []route.Service{{Name: "app"}},
 	})
 	is.NoErr(err)
 	routes := &route.Holder{}
-	is.True(routes.Offer(table))
-	placer := &countingPlacer{place: func() control.Placement {
+	is.True(routes.UpdateIfNewer(table))
+	placer := &fakePlacer{placeFunc: func() control.Placement {
 		time.Sleep(30 * time.Millisecond)
 		return control.Placement{Target: "t"}
 	}}
-	busyNow := true
+	shedding := true
 	s := New(Deps{
-		Routes: routes, Dialect: plainDialect{}, Placer: placer, Metrics: metrics, Tracing: tracing, Log: slog.New(slog.DiscardHandler),
-		Gone:  func(context.Context) bool { return false },
-		Sheds: func(context.Context) bool { return false }, Left: func() bool { return false }, Busy: func() bool { return busyNow },
+		Routes: routes, Dialect: fakeDialect{}, Placer: placer, Metrics: metrics, Tracing: tracing, Log: slog.New(slog.DiscardHandler),
+		CallerGone: func(context.Context) bool { return false },
+		ShouldShed: func(context.Context) bool { return false }, OutOfRotation: func() bool { return false }, Shedding: func() bool { return shedding },
 	})
 	send := func() (int, string) {
 		w := httptest.NewRecorder()
@@ -128,32 +128,33 @@
 	code, body := send()
 	is.Equal(code, http.StatusServiceUnavailable)
 	is.True(strings.Contains(body, "daemon_busy"))
-	is.Equal(placer.finishes, 1)
-	busyNow = false
+	is.Equal(placer.finishCalls, 1)
+	shedding = false
 	_, body = send()
-	is.True(strings.Contains(body, "no_target")) // it went on to a target, which is not there
+	is.True(strings.Contains(body, "no_target")) // the attempt was made, but the target is not registered
 }
 
-// A daemon without processor time answers "no such route" by a table that is old.
-func TestADaemonThatMayHaveMissedRoutesDoesNotDenyThem(t *testing.T) {
+// A daemon short of processor time may have an outdated table. It must not reject a route or
+// key as unknown because it has not read the update yet.
+func TestUnknownRouteOrKeyIsBusyWhileRoutesMayBeStale(t *testing.T) {
 	is := is.New(t)
 	metrics := telemetry.NewMetrics()
 	t.Cleanup(func() { _ = metrics.Close() })
 	tracing, err := telemetry.NewTracing(t.Context(), "d", settings.Trace{})
 	is.NoErr(err)
 	table, err := route.NewTable(route.Document{
-		Version: 1, Keyed: true,
-		Routes:     []route.Route{{Name: "r", Host: "h.example", Prefix: "/a/", Services: []route.Split{{Service: "app", Weight: 1}}, Attempts: 1}},
+		Version: 1, RequireKeys: true,
+		Routes:     []route.Route{{Name: "r", Host: "h.example", Prefix: "/a/", Services: []route.WeightedService{{Service: "app", Weight: 1}}, MaxAttempts: 1}},
 		Services:   []route.Service{{Name: "app"}},
 		Workspaces: []route.Workspace{{Name: "club", Keys: []string{"key"}}},
 	})
 	is.NoErr(err)
 	routes := &route.Holder{}
-	is.True(routes.Offer(table))
+	is.True(routes.UpdateIfNewer(table))
 	stale := false
 	s := New(Deps{
-		Routes: routes, Dialect: plainDialect{}, Placer: &countingPlacer{}, Metrics: metrics, Tracing: tracing, Log: slog.New(slog.DiscardHandler),
-		Sheds: func(context.Context) bool { return false }, Stale: func() bool { return stale },
+		Routes: routes, Dialect: fakeDialect{}, Placer: &fakePlacer{}, Metrics: metrics, Tracing: tracing, Log: slog.New(slog.DiscardHandler),
+		ShouldShed: func(context.Context) bool { return false }, RoutesMayBeStale: func() bool { return stale },
 	})
 	send := func(path, key string) *httptest.ResponseRecorder {
 		r := httptest.NewRequest(http.MethodPost, "http://h.example"+path, strings.NewReader("body"))
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -12,82 +12,82 @@
 	"github.com/savorystall/savorystall/internal/targetconn"
 )
 
-func lengthText(n int64) string { return strconv.FormatInt(n, 10) }
+func formatLength(n int64) string { return strconv.FormatInt(n, 10) }
 
-// outputWeight is what a generated token counts against one read; eventTokens is
-// taken for the tokens of one event where the caller stated no size.
+// outputWeight is the cost of a generated token relative to a prompt token; tokensPerEvent
+// is the number of tokens assumed for each event of a stream.
 const (
-	outputWeight = 2
-	eventTokens  = 8
+	outputWeight   = 2
+	tokensPerEvent = 8
 )
 
-// errPartial is the end of a stream in the middle of an event.
-var errPartial = errors.New("the stream ended in the middle of an event")
+// errTruncatedEvent reports that a stream ended within an event.
+var errTruncatedEvent = errors.New("the stream ended in the middle of an event")
 
-// stream passes events on as they come. Only whole events go to the caller: what
-// a target left of one when it stopped is dropped, and a target that goes on
-// begins with it again.
-func (s *Server) stream(ctx context.Context, x *targetconn.Exchange, j *job, r result, began time.Time) result {
-	j.events.restart()
-	before := j.events.count
-	buffer := make([]byte, chunk)
-	flusher := http.NewResponseController(j.w)
+// relayStream relays events as they arrive. Only complete events are sent to the caller: an
+// event that is cut off when a target fails is dropped, and the target that continues the
+// stream sends it again from its start.
+func (s *Server) relayStream(ctx context.Context, x *targetconn.Exchange, pr *proxyRequest, r attemptResult, dispatched time.Time) attemptResult {
+	pr.events.startAttempt()
+	countBefore := pr.events.count
+	buffer := make([]byte, readSize)
+	flusher := http.NewResponseController(pr.w)
 	for {
 		n, err := x.Read(buffer)
-		whole := j.events.take(buffer[:n])
-		if len(whole) > 0 {
-			if r.first == 0 {
-				r.first = time.Since(began)
-				s.Placer.First(j.id, r.first)
+		complete := pr.events.feed(buffer[:n])
+		if len(complete) > 0 {
+			if r.firstByteTime == 0 {
+				r.firstByteTime = time.Since(dispatched)
+				s.Placer.FirstByte(pr.id, r.firstByteTime)
 			}
-			if failure := j.deliver(x, whole, flusher); failure != nil {
+			if failure := pr.writeEvents(x, complete, flusher); failure != nil {
 				r.failure = failure
 				break
 			}
 		}
 		if err == io.EOF {
-			r.failure = j.ended(x)
+			r.failure = pr.finishStream(x)
 			break
 		}
 		if err != nil {
-			r.failure = resultcode.Fail(resultcode.AnswerCut, "").Because(err)
+			r.failure = resultcode.Fail(resultcode.AnswerCut, "").WithCause(err)
 			break
 		}
 	}
-	r.targetFailed = r.failure != nil && r.failure.Code == resultcode.AnswerCut && !callerLeft(ctx, j)
-	if r.first > 0 {
-		r.served = j.cost()
+	r.targetFailed = r.failure != nil && r.failure.Code == resultcode.AnswerCut && !callerGone(ctx, pr)
+	if r.firstByteTime > 0 {
+		r.cost = pr.streamCost()
 	}
-	r.events = j.events.count - before
+	r.eventCount = pr.events.count - countBefore
 	return r
 }
 
-// ended judges a stream whose framing has ended.
-func (j *job) ended(x *targetconn.Exchange) *resultcode.Failure {
-	if j.events.partial() {
-		return resultcode.Fail(resultcode.AnswerCut, "").Because(errPartial)
+// finishStream checks that a stream whose body has ended did not end within an event.
+func (pr *proxyRequest) finishStream(x *targetconn.Exchange) *resultcode.Failure {
+	if pr.events.hasPartialEvent() {
+		return resultcode.Fail(resultcode.AnswerCut, "").WithCause(errTruncatedEvent)
 	}
-	if !j.began {
-		j.begin(x.Response.StatusCode, x.Response.Header, -1)
+	if !pr.responseStarted {
+		pr.writeHeader(x.Response.StatusCode, x.Response.Header, -1)
 	}
 	return nil
 }
 
-// deliver writes whole events to the caller.
-func (j *job) deliver(x *targetconn.Exchange, events []byte, flusher *http.ResponseController) *resultcode.Failure {
-	if !j.began {
-		j.begin(x.Response.StatusCode, x.Response.Header, -1)
+// writeEvents sends complete events to the caller.
+func (pr *proxyRequest) writeEvents(x *targetconn.Exchange, events []byte, flusher *http.ResponseController) *resultcode.Failure {
+	if !pr.responseStarted {
+		pr.writeHeader(x.Response.StatusCode, x.Response.Header, -1)
 	}
-	if _, err := j.w.Write(events); err != nil {
-		return resultcode.Fail(resultcode.CallerGone, "").Because(err)
+	if _, err := pr.w.Write(events); err != nil {
+		return resultcode.Fail(resultcode.CallerGone, "").WithCause(err)
 	}
 	if err := flusher.Flush(); err != nil {
-		return resultcode.Fail(resultcode.CallerGone, "").Because(err)
+		return resultcode.Fail(resultcode.CallerGone, "").WithCause(err)
 	}
 	return nil
 }
 
-// cost is what a stream has received so far.
-func (j *job) cost() float64 {
-	return float64(j.call.PromptTokens + outputWeight*eventTokens*j.events.count)
+// streamCost returns the cost of the part of a stream that has been received so far.
+func (pr *proxyRequest) streamCost() float64 {
+	return float64(pr.info.PromptTokens + outputWeight*tokensPerEvent*pr.events.count)
 }
--- a/internal/ingress/job.go
+++ b/internal/ingress/job.go
@@ -105,7 +105,7 @@
 // runOnce claims unrepeatable requests before they are placed.
 func (s *Server) runOnce(ctx context.Context, j *job) *resultcode.Failure {
 	if j.operation.KeyRequired && j.key == "" {
-		return resultcode.Fail(resultcode.KeyRequired, "operation %s", j.operation.Name)
+		return resultcode.Fail(resultcode.IdempotencyKeyRequired, "operation %s", j.operation.Name)
 	}
 	if !j.operation.Unrepeatable {
 		return s.place(ctx, j, nil)
@@ -113,7 +113,7 @@
 	key := claim.Key{Service: j.name(), Workspace: j.workspace, IdempotencyKey: j.key}
 	decision, err := s.Claims.Claim(ctx, key, j.digest, ident.NewAttempt())
 	if err != nil {
-		return resultcode.Fail(resultcode.CallerGone, "").Because(err)
+		return resultcode.Fail(resultcode.CallerGone, "").WithCause(err)
 	}
 	switch d := decision.(type) {
 	case claim.Refuse:
--- a/internal/ingress/model.go
+++ b/internal/ingress/model.go
@@ -61,7 +61,7 @@
 		return nil, failure
 	}
 	if media, _, err := mime.ParseMediaType(r.Header.Get("Content-Type")); err != nil || media != "application/json" {
-		return nil, resultcode.Fail(resultcode.UnsupportedMedia, "send application/json")
+		return nil, resultcode.Fail(resultcode.UnsupportedMediaType, "send application/json")
 	}
 	body, failure := s.readBody(w, r, maxModelBody)
 	if failure != nil {
@@ -162,7 +162,7 @@
 		}
 		body, err := so.body(streamed)
 		if err != nil {
-			return notRun(resultcode.Fail(resultcode.BadRequest, "").Because(err))
+			return notRun(resultcode.Fail(resultcode.BadRequest, "").WithCause(err))
 		}
 		return s.Runner.Model(ctx, attempt.ModelRequest{
 			Attempt: id, Address: address, Path: path, Header: header, Body: body, Unrepeatable: !j.repeatable(),
--- a/internal/ingress/place.go
+++ b/internal/ingress/place.go
@@ -169,7 +169,7 @@
 	if f, ok := err.(*resultcode.Failure); ok {
 		return f
 	}
-	return resultcode.Fail(resultcode.StoreUnavailable, "").Because(err)
+	return resultcode.Fail(resultcode.StoreUnavailable, "").WithCause(err)
 }
 
 // report tells the scheduler and the metrics how an attempt ended.
--- a/internal/ingress/respond.go
+++ b/internal/ingress/respond.go
@@ -97,13 +97,13 @@
 	}
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
-	if wait := f.Wait(); wait > 0 {
+	if wait := f.RetryDelay(); wait > 0 {
 		header.Set("Retry-After", strconv.Itoa(int(math.Ceil(wait.Seconds()))))
 	}
-	if f.Code.HTTP == http.StatusUnauthorized {
+	if f.Code.HTTPStatus == http.StatusUnauthorized {
 		header.Set("WWW-Authenticate", "Bearer")
 	}
-	w.WriteHeader(f.Code.HTTP)
+	w.WriteHeader(f.Code.HTTPStatus)
 	_, _ = w.Write(append(failureJSON(w.request, f), '\n'))
 }
 
--- a/internal/reference/reference.go
+++ b/internal/reference/reference.go
@@ -28,7 +28,7 @@
 		if c.RetryAfter > 0 {
 			wait = fmt.Sprintf("%.0f s", c.RetryAfter.Seconds())
 		}
-		fmt.Fprintf(&b, "| %d | %s | %d | %s | %s | %s |\n", c.Number, c.Name, c.HTTP, c.Outcome, wait, c.Text)
+		fmt.Fprintf(&b, "| %d | %s | %d | %s | %s | %s |\n", c.Number, c.Name, c.HTTPStatus, c.Outcome, wait, c.Text)
 	}
 	return b.String()
 }
--- a/internal/resultcode/failure.go
+++ b/internal/resultcode/failure.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Failure is a Code as an error, with what is particular to one request.
+// Failure is an error that consists of a Code and details of one request.
 type Failure struct {
 	Code Code
-	// Detail is added to the code's text; it must hold nothing secret.
+	// Detail is appended to the code's text; it must not contain secrets.
 	Detail string
-	// RetryAfter overrides the code's default when it is above zero.
+	// RetryAfter overrides the code's default if it is positive.
 	RetryAfter time.Duration
 	// Cause is the underlying error, for logs only.
 	Cause error
@@ -21,30 +21,30 @@
 	return &Failure{Code: code, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Because returns a copy of f that wraps cause.
-func (f Failure) Because(cause error) *Failure {
+// WithCause returns a copy of f that wraps cause.
+func (f Failure) WithCause(cause error) *Failure {
 	f.Cause = cause
 	return &f
 }
 
 // Error implements error.
 func (f *Failure) Error() string {
-	text := fmt.Sprintf("%d %s: %s", f.Code.Number, f.Code.Name, f.Code.Text)
+	message := fmt.Sprintf("%d %s: %s", f.Code.Number, f.Code.Name, f.Code.Text)
 	if f.Detail != "" {
-		text += ": " + f.Detail
+		message += ": " + f.Detail
 	}
 	if f.Cause != nil {
-		text += ": " + f.Cause.Error()
+		message += ": " + f.Cause.Error()
 	}
-	return text
+	return message
 }
 
 // Unwrap returns the underlying error.
 func (f *Failure) Unwrap() error { return f.Cause }
 
-// Wait returns how long the caller should wait before another try; zero means
-// that nothing can be said.
-func (f *Failure) Wait() time.Duration {
+// RetryDelay returns how long the caller should wait before it retries; zero means
+// unspecified.
+func (f *Failure) RetryDelay() time.Duration {
 	if f.RetryAfter > 0 {
 		return f.RetryAfter
 	}
--- a/internal/route/holder.go
+++ b/internal/route/holder.go
@@ -2,27 +2,27 @@
 
 import "sync/atomic"
 
-// Holder keeps the table in force. Traffic reads it without a lock.
+// Holder holds the active table. Current takes no lock.
 type Holder struct {
 	table atomic.Pointer[Table]
 }
 
-// Current returns the table in force, nil before the first one.
+// Current returns the active table, or nil before the first update.
 func (h *Holder) Current() *Table { return h.table.Load() }
 
-// Offer puts a table in force if its version is higher than the present one,
-// and tells whether it did.
+// UpdateIfNewer makes t the active table if its version is higher than the current one, and
+// reports whether it did.
 //
-// It guards against going back: a slow answer of the store, or a second reader,
-// may bring an older document after a newer one, and a key or a route that was
-// taken away would work again for a while.
-func (h *Holder) Offer(t *Table) bool {
+// A slow response of the store, or a second reader, may deliver an older document after a
+// newer one. Without the check, keys and routes that were removed would work again for a
+// while.
+func (h *Holder) UpdateIfNewer(t *Table) bool {
 	for {
-		present := h.table.Load()
-		if present != nil && t.Version <= present.Version {
+		current := h.table.Load()
+		if current != nil && t.Version <= current.Version {
 			return false
 		}
-		if h.table.CompareAndSwap(present, t) {
+		if h.table.CompareAndSwap(current, t) {
 			return true
 		}
 	}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,8 +1,8 @@
-// Package route holds the routes of a fleet: which service runs a request, what
-// may be repeated, how long it may take and which workspace it belongs to. A
-// Table is one version of that, immutable once it was built; a Holder keeps the
-// newest one. The package has no network, and no package of a platform is known
-// to it: an adapter decodes a platform's document into a Document.
+// Package route holds the routes of a fleet: which service runs a request, whether it may be
+// retried, how long it may take and which workspace it belongs to. A Table is one immutable
+// version of the routes; a Holder keeps the newest one. The package does no I/O and does not
+// depend on any platform's package: an adapter decodes the platform's document into a
+// Document.
 package route
 
 import (
@@ -15,115 +15,114 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-// Repeat says how often a request may be run.
-type Repeat string
+// RetryMode determines whether a request may be run more than once.
+type RetryMode string
 
-// What may be repeated.
+// Retry modes.
 const (
 	// Repeatable requests may be run more than once.
-	Repeatable Repeat = "repeatable"
-	// Once is a request that may be run at most once.
-	Once Repeat = "once"
-	// Stream is a series of events. It may be run again only where the route is
-	// resumable, from the event after the last one that was delivered.
-	Stream Repeat = "stream"
+	Repeatable RetryMode = "repeatable"
+	// AtMostOnce requests must not be run more than once.
+	AtMostOnce RetryMode = "once"
+	// Stream requests are answered by an event stream. One may be run again only if the
+	// route is resumable, starting after the last event that was delivered.
+	Stream RetryMode = "stream"
 )
 
-// Split is one of the services that share a route's requests.
-type Split struct {
+// WeightedService is one of the services among which a route divides its requests.
+type WeightedService struct {
 	Service ident.Service
-	// Weight is the service's part of the requests, in any unit.
+	// Weight is proportional to the service's share of the requests.
 	Weight float64
 }
 
-// Route leads the requests of a host whose path begins with a prefix to
-// services.
+// Route maps the requests to a host whose path has a given prefix to services.
 type Route struct {
-	// Name is the operator's, unique in a document.
+	// Name is chosen by the operator and unique within a document.
 	Name string
-	// Host is compared without case and without a port.
+	// Host is compared case-insensitively and without a port.
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
-	// Services share the requests; at least one has a weight above zero.
-	Services []Split
-	// Repeat says how often a request may be run.
-	Repeat Repeat
-	// Resumable tells that a stream may go on at another target.
+	// Services receive the requests; at least one has a positive weight.
+	Services []WeightedService
+	// Retry determines whether a request may be run more than once.
+	Retry RetryMode
+	// Resumable reports whether a stream may be continued at another target.
 	Resumable bool
-	// Attempts bounds the targets that one request is sent to; at least one.
-	Attempts int
-	// Timeout bounds the whole request; zero means no bound.
+	// MaxAttempts bounds the number of targets that one request is sent to; at least 1.
+	MaxAttempts int
+	// Timeout bounds the total time of a request; zero selects the gateway's default.
 	Timeout time.Duration
-	// Objective is the time to the answer, of a stream to its first event,
-	// within which the answer is worth most; zero means none.
+	// Objective is the latency objective for the response, or for the first event of a
+	// stream; a later response is worth less. Zero means none.
 	Objective time.Duration
-	// Pause is the longest wanted pause between the events of a stream.
-	Pause time.Duration
-	// Rank orders routes by importance, zero first.
-	Rank int
-	// Public routes need no key.
+	// MaxEventInterval is the longest acceptable time between two events of a stream.
+	MaxEventInterval time.Duration
+	// Priority orders routes by importance; 0 is the most important.
+	Priority int
+	// Public reports whether the route can be used without a key.
 	Public bool
-	// Prefixed tells that the requests state the parts of their prompts.
-	Prefixed bool
+	// HasPromptParts reports whether requests list the parts of their prompts.
+	HasPromptParts bool
 }
 
-// Repeatable tells whether a request may be run again after it may have run.
+// Repeatable reports whether a request that may have run may be run again.
 func (r *Route) Repeatable() bool {
-	return r.Repeat == Repeatable || r.Repeat == Stream && r.Resumable
+	return r.Retry == Repeatable || r.Retry == Stream && r.Resumable
 }
 
-// Service is a service that routes lead to.
+// Service is a service to which routes send requests.
 type Service struct {
 	Name ident.Service
-	// Connections bounds the connections to one target of all callers together;
-	// zero means no bound.
-	Connections int
-	// Model tells that the targets are model engines.
-	Model bool
-	// Slots is how many requests one target runs at once; zero: not stated.
+	// MaxConnections bounds the connections of all callers together to one target; zero
+	// means no bound.
+	MaxConnections int
+	// ServesModel reports that the targets are inference engines.
+	ServesModel bool
+	// Slots is how many requests one target runs concurrently; zero if not stated.
 	Slots int
-	// Memory is what one engine keeps, in tokens; zero: not stated.
+	// Memory is how many tokens one engine can hold; zero if not stated.
 	Memory int
-	// Fetch is the time to copy one token that another engine keeps; zero: engines
-	// do not copy from each other.
-	Fetch time.Duration
+	// FetchPerToken is the time to copy one cached token from another engine; zero means
+	// that engines do not copy from each other.
+	FetchPerToken time.Duration
 }
 
 // Workspace is a customer and its keys.
 type Workspace struct {
 	Name ident.Workspace
 	Keys []string
-	// Rank takes the place of the route's where Ranked is set.
-	Rank   int
-	Ranked bool
+	// Priority replaces that of the route if HasPriority is set.
+	Priority    int
+	HasPriority bool
 }
 
-// Limits bound what callers may send. Zero fields bound nothing.
+// Limits bounds what callers may send. A zero field sets no bound.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	// HeaderTimeout bounds the arrival of the headers, IdleTimeout how long a
-	// connection may be unused.
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
+	// HeaderTimeout bounds the time to receive the headers, IdleTimeout how long a
+	// connection may be idle.
 	HeaderTimeout, IdleTimeout time.Duration
-	// TokensPerSecond is what all engines together give, each token read counted
-	// once and each token generated twice; zero: not stated.
+	// TokensPerSecond is the total throughput of all engines, with prompt tokens counted
+	// once and generated tokens twice; zero if not stated.
 	TokensPerSecond float64
 }
 
-// Document is a whole configuration of routes.
+// Document is a complete route configuration.
 type Document struct {
 	// Version orders documents; a higher one replaces a lower one.
 	Version    uint64
 	Routes     []Route
 	Services   []Service
 	Workspaces []Workspace
-	// Keyed tells that requests to routes that are not public need a key.
-	Keyed  bool
-	Limits Limits
+	// RequireKeys reports whether requests to routes that are not public need a key.
+	RequireKeys bool
+	Limits      Limits
 }
 
-// Table is a document in a form that answers questions quickly. It is immutable.
+// Table is a document indexed for lookups. It is immutable.
 type Table struct {
 	Document
 	hosts    map[string][]*Route
@@ -131,8 +130,8 @@
 	keys     map[string]*Workspace
 }
 
-// NewTable checks a document and builds its table. The error names the first
-// field that is wrong.
+// NewTable validates a document and builds its table. The error describes the first invalid
+// field.
 func NewTable(d Document) (*Table, error) {
 	t := &Table{
 		Document: d,
@@ -145,7 +144,7 @@
 	}
 	for i := range d.Routes {
 		r := &d.Routes[i]
-		if err := t.check(r); err != nil {
+		if err := t.validate(r); err != nil {
 			return nil, merry.Prependf(err, "route %q", r.Name)
 		}
 		host := strings.ToLower(r.Host)
@@ -159,12 +158,12 @@
 	return t, nil
 }
 
-func (t *Table) check(r *Route) error {
+func (t *Table) validate(r *Route) error {
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		return merry.Errorf("prefix %q does not begin and end with a slash", r.Prefix)
 	}
-	if r.Attempts < 1 {
-		return merry.Errorf("attempts is %d, at least 1 is needed", r.Attempts)
+	if r.MaxAttempts < 1 {
+		return merry.Errorf("attempts is %d, at least 1 is needed", r.MaxAttempts)
 	}
 	total := 0.0
 	for _, s := range r.Services {
@@ -179,8 +178,8 @@
 	return nil
 }
 
-// Find returns the route of a host with the longest prefix that begins the
-// path, as the caller escaped it.
+// Find returns the route of the host with the longest prefix that matches the path. The path
+// is compared as the caller escaped it.
 func (t *Table) Find(host, path string) (*Route, bool) {
 	var best *Route
 	for _, r := range t.hosts[hostName(host)] {
@@ -191,7 +190,7 @@
 	return best, best != nil
 }
 
-// hostName cuts the port off and ignores case.
+// hostName removes the port from a host and converts it to lower case.
 func hostName(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -199,60 +198,59 @@
 	return strings.ToLower(host)
 }
 
-// Service returns a service of the document.
+// Service returns the service with the given name.
 func (t *Table) Service(name ident.Service) (*Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// Anonymous is the workspace of requests that need no key.
+// Anonymous is the workspace of requests that need no key and have no known one.
 const Anonymous ident.Workspace = "public"
 
-// Identify returns the workspace of a request. A public route, and a document
-// without keys, take requests of anybody; a known key then still tells whose it
-// is.
+// Identify returns the workspace of a request. Public routes, and documents that require no
+// keys, accept requests from anyone; a known key still identifies its workspace.
 func (t *Table) Identify(r *Route, key string) (ident.Workspace, *resultcode.Failure) {
 	if w, ok := t.keys[key]; ok && key != "" {
 		return w.Name, nil
 	}
-	if r.Public || !t.Keyed {
+	if r.Public || !t.RequireKeys {
 		return Anonymous, nil
 	}
 	return "", resultcode.Fail(resultcode.Unauthenticated, "")
 }
 
-// Rank returns how important the requests of a workspace on a route are.
-func (t *Table) Rank(r *Route, key string) int {
-	if w, ok := t.keys[key]; ok && w.Ranked {
-		return w.Rank
+// Priority returns the priority of the requests of a workspace on a route.
+func (t *Table) Priority(r *Route, key string) int {
+	if w, ok := t.keys[key]; ok && w.HasPriority {
+		return w.Priority
 	}
-	return r.Rank
+	return r.Priority
 }
 
-// Choose draws the service of one request by the weights of a route. Random is
-// in [0,1). A service without a usable target is passed over where another has
-// one, since a request sent there could only be refused.
+// Choose selects the service of one request at random by weight; random is in [0,1). A
+// service without a usable target is skipped if another one has a usable target, since a
+// request sent to it could only be refused.
 func (r *Route) Choose(random float64, usable func(ident.Service) bool) ident.Service {
-	if s, ok := r.draw(random, usable); ok {
+	if s, ok := r.pickWeighted(random, usable); ok {
 		return s
 	}
-	s, _ := r.draw(random, func(ident.Service) bool { return true })
+	s, _ := r.pickWeighted(random, func(ident.Service) bool { return true })
 	return s
 }
 
-func (r *Route) draw(random float64, usable func(ident.Service) bool) (ident.Service, bool) {
+func (r *Route) pickWeighted(random float64, usable func(ident.Service) bool) (ident.Service, bool) {
 	total := 0.0
 	for _, s := range r.Services {
 		if usable(s.Service) {
 			total += s.Weight
 		}
 	}
-	left := random * total
+	remaining := random * total
 	for _, s := range r.Services {
 		if !usable(s.Service) || s.Weight == 0 {
 			continue
 		}
-		if left -= s.Weight; left < 0 {
+		if remaining -= s.Weight; remaining < 0 {
 			return s.Service, true
 		}
 	}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -11,21 +11,23 @@
 	"github.com/savorystall/savorystall/internal/route"
 )
 
-func one(service ident.Service) []route.Split { return []route.Split{{Service: service, Weight: 1}} }
+func singleService(service ident.Service) []route.WeightedService {
+	return []route.WeightedService{{Service: service, Weight: 1}}
+}
 
-func table(t *testing.T, d route.Document) *route.Table {
+func mustTable(t *testing.T, d route.Document) *route.Table {
 	t.Helper()
 	built, err := route.NewTable(d)
 	is.New(t).NoErr(err)
 	return built
 }
 
-func TestFindTakesTheLongestPrefixOfTheHost(t *testing.T) {
-	tab := table(t, route.Document{Routes: []route.Route{
-		{Name: "all", Host: "a.example", Prefix: "/", Services: one("s"), Attempts: 1},
-		{Name: "files", Host: "a.example", Prefix: "/files/", Services: one("s"), Attempts: 1},
-		{Name: "deep", Host: "a.example", Prefix: "/files/deep/", Services: one("s"), Attempts: 1},
-		{Name: "other", Host: "b.example", Prefix: "/files/", Services: one("s"), Attempts: 1},
+func TestFindPrefersLongestPrefix(t *testing.T) {
+	tab := mustTable(t, route.Document{Routes: []route.Route{
+		{Name: "all", Host: "a.example", Prefix: "/", Services: singleService("s"), MaxAttempts: 1},
+		{Name: "files", Host: "a.example", Prefix: "/files/", Services: singleService("s"), MaxAttempts: 1},
+		{Name: "deep", Host: "a.example", Prefix: "/files/deep/", Services: singleService("s"), MaxAttempts: 1},
+		{Name: "other", Host: "b.example", Prefix: "/files/", Services: singleService("s"), MaxAttempts: 1},
 	}})
 	for _, c := range []struct{ host, path, want string }{
 		{"a.example", "/files/x", "files"},
@@ -36,7 +38,7 @@
 		{"b.example", "/files/x", "other"},
 		{"b.example", "/x", ""},
 		{"c.example", "/files/x", ""},
-		{"a.example", "/files%2Fx", "all"}, // the path is judged as it was sent
+		{"a.example", "/files%2Fx", "all"}, // the path is not unescaped
 	} {
 		got := ""
 		if r, ok := tab.Find(c.host, c.path); ok {
@@ -50,33 +52,33 @@
 
 func TestIdentify(t *testing.T) {
 	is := is.New(t)
-	tab := table(t, route.Document{Keyed: true, Workspaces: []route.Workspace{{Name: "club", Keys: []string{"k1", "k2"}, Rank: 0, Ranked: true}}})
-	keyed, public := &route.Route{Rank: 3}, &route.Route{Public: true}
+	tab := mustTable(t, route.Document{RequireKeys: true, Workspaces: []route.Workspace{{Name: "club", Keys: []string{"k1", "k2"}, Priority: 0, HasPriority: true}}})
+	keyed, public := &route.Route{Priority: 3}, &route.Route{Public: true}
 	ws, failure := tab.Identify(keyed, "k2")
 	is.True(failure == nil)
 	is.Equal(ws, ident.Workspace("club"))
-	is.Equal(tab.Rank(keyed, "k2"), 0) // the workspace's goes first
-	is.Equal(tab.Rank(keyed, ""), 3)
+	is.Equal(tab.Priority(keyed, "k2"), 0) // that of the workspace overrides that of the route
+	is.Equal(tab.Priority(keyed, ""), 3)
 	for _, key := range []string{"", "k3"} {
 		_, failure = tab.Identify(keyed, key)
-		is.Equal(failure.Code.HTTP, http.StatusUnauthorized)
+		is.Equal(failure.Code.HTTPStatus, http.StatusUnauthorized)
 		ws, failure = tab.Identify(public, key)
 		is.True(failure == nil)
 		is.Equal(ws, route.Anonymous)
 	}
 }
 
-// An empty key in a document must not let in everybody who sends none.
-func TestAnEmptyKeyIsNobodys(t *testing.T) {
+// An empty key in a document must not admit requests without a key.
+func TestEmptyKeyInDocumentAdmitsNobody(t *testing.T) {
 	is := is.New(t)
-	tab := table(t, route.Document{Keyed: true, Workspaces: []route.Workspace{{Name: "club", Keys: []string{""}}}})
+	tab := mustTable(t, route.Document{RequireKeys: true, Workspaces: []route.Workspace{{Name: "club", Keys: []string{""}}}})
 	_, failure := tab.Identify(&route.Route{}, "")
-	is.Equal(failure.Code.HTTP, http.StatusUnauthorized)
+	is.Equal(failure.Code.HTTPStatus, http.StatusUnauthorized)
 }
 
 func TestChooseByWeightAmongUsableServices(t *testing.T) {
 	is := is.New(t)
-	r := &route.Route{Services: []route.Split{{"a", 90}, {"b", 10}, {"none", 0}}}
+	r := &route.Route{Services: []route.WeightedService{{"a", 90}, {"b", 10}, {"none", 0}}}
 	all := func(ident.Service) bool { return true }
 	is.Equal(r.Choose(0, all), ident.Service("a"))
 	is.Equal(r.Choose(0.89, all), ident.Service("a"))
@@ -84,17 +86,17 @@
 	is.Equal(r.Choose(0.999999, all), ident.Service("b"))
 	onlyB := func(s ident.Service) bool { return s == "b" }
 	is.Equal(r.Choose(0, onlyB), ident.Service("b"))
-	is.Equal(r.Choose(0.2, func(ident.Service) bool { return false }), ident.Service("a")) // to be refused under its name
+	is.Equal(r.Choose(0.2, func(ident.Service) bool { return false }), ident.Service("a")) // refused in the name of this service
 }
 
-func TestNewTableNamesWhatIsWrong(t *testing.T) {
+func TestNewTableRejectsInvalidRoutes(t *testing.T) {
 	for _, r := range []route.Route{
-		{Name: "x", Prefix: "files/", Services: one("s"), Attempts: 1},
-		{Name: "x", Prefix: "/files", Services: one("s"), Attempts: 1},
-		{Name: "x", Prefix: "/files/", Services: one("s")},
-		{Name: "x", Prefix: "/files/", Attempts: 1},
-		{Name: "x", Prefix: "/files/", Services: []route.Split{{"s", 0}}, Attempts: 1},
-		{Name: "x", Prefix: "/files/", Services: []route.Split{{"s", 2}, {"t", -1}}, Attempts: 1},
+		{Name: "x", Prefix: "files/", Services: singleService("s"), MaxAttempts: 1},
+		{Name: "x", Prefix: "/files", Services: singleService("s"), MaxAttempts: 1},
+		{Name: "x", Prefix: "/files/", Services: singleService("s")},
+		{Name: "x", Prefix: "/files/", MaxAttempts: 1},
+		{Name: "x", Prefix: "/files/", Services: []route.WeightedService{{"s", 0}}, MaxAttempts: 1},
+		{Name: "x", Prefix: "/files/", Services: []route.WeightedService{{"s", 2}, {"t", -1}}, MaxAttempts: 1},
 	} {
 		if _, err := route.NewTable(route.Document{Routes: []route.Route{r}}); err == nil {
 			t.Errorf("no error for %+v", r)
@@ -102,9 +104,10 @@
 	}
 }
 
-// A slow reader brings version 3 after version 5 is in force: a key that was taken
-// away in 4 would work again. Whatever the order, the version in force only grows.
-func TestHolderNeverGoesBack(t *testing.T) {
+// If a slow reader delivered version 3 while version 5 is active, a key that was removed in
+// version 4 would work again. The active version must never decrease, in whatever order
+// versions arrive.
+func TestHolderVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var h route.Holder
 		highest := uint64(0)
@@ -113,8 +116,8 @@
 			if err != nil {
 				rt.Fatal(err)
 			}
-			if took := h.Offer(tab); took != (version > highest) {
-				rt.Fatalf("version %d after %d: took %v", version, highest, took)
+			if updated := h.UpdateIfNewer(tab); updated != (version > highest) {
+				rt.Fatalf("version %d after %d: took %v", version, highest, updated)
 			}
 			highest = max(highest, version)
 			if h.Current().Version != highest {
--- a/internal/scheduler/limits_test.go
+++ b/internal/scheduler/limits_test.go
@@ -233,7 +233,7 @@
 	is.True(f.expect(t, "uneven", 20*time.Second, 430, 520))
 	is.True(f.maxInFlight <= 18)
 	is.Equal(len(f.refused), 1)
-	is.True(f.refused[resultcode.ConcurrencyFull.Number] > 0)
+	is.True(f.refused[resultcode.ConcurrencyLimited.Number] > 0)
 
 	f.maxInFlight = 0
 	f.setRequestRates(0, 0, 60)
