--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -166,7 +166,7 @@
 		usageError  *usageError
 		invalid     *document.Invalid
 		conflict    *config.EditConflict
-		taken       *config.ModelTaken
+		taken       *config.ModelConflict
 		unknown     *platform.Unknown
 		unavailable *platform.Unavailable
 		notInForce  *notInForce
@@ -178,7 +178,7 @@
 		return ExitInvalid
 	case errors.As(err, &conflict):
 		return ExitConflict
-	case errors.Is(err, config.ErrNoService):
+	case errors.Is(err, config.ErrNotFound):
 		return ExitNotFound
 	case errors.As(err, &unknown):
 		return ExitUnknown
@@ -204,15 +204,15 @@
 }
 
 func conflictHint(c *config.EditConflict) string {
-	if c.Present.Revision == 0 {
+	if c.Current.Revision == 0 {
 		return "Apply the document as a new service with --base 0."
 	}
 	hint := c.Diff
-	if c.Present.Note != "" {
-		hint += "Note of that change: " + c.Present.Note + "\n"
+	if c.Current.Note != "" {
+		hint += "Note of that change: " + c.Current.Note + "\n"
 	}
 	return hint + fmt.Sprintf("Take that change into your document (savorystall service get %s), and apply it again with --base %d.",
-		c.Present.Service, c.PresentBase())
+		c.Current.Service, c.CurrentBase())
 }
 
 // platform returns the client of the platform's services.
--- a/internal/cli/service.go
+++ b/internal/cli/service.go
@@ -150,7 +150,7 @@
 		return a.print(record, nil)
 	}
 	if record.Deleted {
-		return merry.Prependf(config.ErrNoService, "service %s was deleted by %s at revision %d", record.Service, record.Author, record.Revision)
+		return merry.Prependf(config.ErrNotFound, "service %s was deleted by %s at revision %d", record.Service, record.Author, record.Revision)
 	}
 	_, err = fmt.Fprintf(a.system.Output, "%s%d\n%s", basePrefix, record.Revision, record.Text)
 	return err
@@ -165,7 +165,7 @@
 	if revision == 0 {
 		return editor.Get(ctx, name)
 	}
-	return editor.At(ctx, name, revision)
+	return editor.GetRevision(ctx, name, revision)
 }
 
 type serviceCheck struct {
@@ -259,7 +259,7 @@
 		return err
 	}
 	if len(records) == 0 {
-		return config.ErrNoService
+		return config.ErrNotFound
 	}
 	t := newTable("REVISION", "CHANGED", "AUTHOR", "CHANGE", "NOTE")
 	for _, r := range records {
@@ -356,8 +356,8 @@
 	}
 	revision, err := editor.Delete(ctx, c.Positional.Name, c.Base, c.Note)
 	var conflict *config.EditConflict
-	if errors.As(err, &conflict) && conflict.Present.Revision == 0 {
-		return config.ErrNoService // nobody went first: there never was one
+	if errors.As(err, &conflict) && conflict.Current.Revision == 0 {
+		return config.ErrNotFound // nobody went first: there never was one
 	}
 	if err != nil {
 		return err
--- a/internal/config/archive.go
+++ b/internal/config/archive.go
@@ -19,36 +19,40 @@
 )
 
 const (
-	// archiveObject holds the last archive. It is replaced as a whole; an older
-	// body that comes back by a late put is harmless, because a Store takes only
-	// higher revisions and the table's head says what is missing.
+	// archiveObject is the object that holds the latest archive. Each write
+	// replaces it entirely. A delayed put that restores an older body is
+	// harmless: a Store applies only higher revisions, and the head row in the
+	// table shows which changes are missing.
 	archiveObject = "config/archive"
-	// archiveKey is the row by which daemons take turns in writing archives.
+	// archiveKey is the table row through which daemons coordinate which of
+	// them writes the next archive.
 	archiveKey = "config/archive"
-	// archiveBytes bounds an unpacked archive.
-	archiveBytes = 256 << 20
+	// maxArchiveBytes limits the size of a decompressed archive.
+	maxArchiveBytes = 256 << 20
 
-	// DefaultArchivePeriod is the least time between two archives.
+	// DefaultArchivePeriod is the minimum time between two archives.
 	DefaultArchivePeriod = 10 * time.Minute
-	archiveTimeout       = 30 * time.Second
+	archiveWriteTimeout  = 30 * time.Second
 )
 
-// archive is a copy of all entries at one revision.
+// archive is a copy of all entries at a single revision.
 type archive struct {
 	Revision uint64  `json:"revision"`
 	Entries  []Entry `json:"entries"`
 }
 
-// archiveTurn is the value of the archive row.
-type archiveTurn struct {
-	Revision uint64    `json:"revision"`
-	At       time.Time `json:"at"`
+// lastArchive is the value of the archive row. It describes the archive that was
+// started last.
+type lastArchive struct {
+	Revision  uint64    `json:"revision"`
+	StartedAt time.Time `json:"at"`
 }
 
 func (a archive) encode() []byte {
 	var b bytes.Buffer
 	z := gzip.NewWriter(&b)
-	// Neither can fail: the buffer takes every write and the types encode.
+	// Neither call can fail: writes to a bytes.Buffer succeed and every field
+	// type can be encoded.
 	_ = json.NewEncoder(z).Encode(a)
 	_ = z.Close()
 	return b.Bytes()
@@ -58,27 +62,27 @@
 	var a archive
 	z, err := gzip.NewReader(bytes.NewReader(body))
 	if err != nil {
-		return a, merry.Prepend(err, "archive")
+		return a, merry.Prepend(err, "decode archive")
 	}
-	err = json.NewDecoder(io.LimitReader(z, archiveBytes)).Decode(&a)
-	return a, merry.Prepend(err, "archive")
+	err = json.NewDecoder(io.LimitReader(z, maxArchiveBytes)).Decode(&a)
+	return a, merry.Prepend(err, "decode archive")
 }
 
-// readArchive returns the last archive; an empty one where there is none.
+// readArchive returns the latest archive, or an empty one if none exists.
 func readArchive(ctx context.Context, objects platform.Objects) (archive, error) {
 	body, err := objects.GetObject(ctx, archiveObject)
 	if errors.Is(err, platform.ErrAbsent) {
 		return archive{}, nil
 	}
 	if err != nil {
-		return archive{}, merry.Prepend(err, "archive")
+		return archive{}, merry.Prepend(err, "read archive")
 	}
 	return decodeArchive(body)
 }
 
-// LoadArchive puts the last archive in force, as far as it is newer than what
-// is in force. What it lacks comes from the table or from peers. No archive is
-// no error.
+// LoadArchive applies the entries of the latest archive that are newer than
+// those in the store. Later changes have to come from the table or from peers.
+// A missing archive is not an error.
 func LoadArchive(ctx context.Context, objects platform.Objects, store *Store) error {
 	a, err := readArchive(ctx, objects)
 	if err != nil {
@@ -94,10 +98,10 @@
 	Table   platform.Table
 	Objects platform.Objects
 	Store   *Store
-	// Period is the least time between two archives; default 10m. At 13,000
-	// changes a day an archive then misses some 90.
+	// Period is the minimum time between two archives; default 10m. At 13,000
+	// changes a day, an archive then lacks about 90 changes.
 	Period time.Duration
-	// Clock defaults to the real one.
+	// Clock defaults to clock.Real.
 	Clock clock.Clock
 	// Random returns a number in [0,1); default math/rand/v2.
 	Random func() float64
@@ -106,7 +110,7 @@
 }
 
 // Archiver writes archives. Every daemon runs one; a row of the table decides
-// whose turn it is.
+// which daemon writes next.
 type Archiver struct{ config ArchiverConfig }
 
 // NewArchiver returns an Archiver; Run starts it.
@@ -126,9 +130,9 @@
 	return &Archiver{config: c}
 }
 
-// Run looks from time to time whether an archive is due, until ctx ends. The
-// looks are spread over twice the period: 360 daemons then look about every
-// two seconds, and seldom two of them at once.
+// Run checks at random intervals whether an archive is due, until ctx is done.
+// The intervals are spread over twice the period: with 360 daemons, there is a
+// check about every two seconds, and two checks rarely coincide.
 func (a *Archiver) Run(ctx context.Context) error {
 	for {
 		wait := time.Duration(2 * a.config.Random() * float64(a.config.Period))
@@ -137,38 +141,39 @@
 			return nil
 		case <-a.config.Clock.After(wait):
 		}
-		a.look(ctx)
+		a.archiveIfDue(ctx)
 	}
 }
 
-func (a *Archiver) look(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, archiveTimeout)
+func (a *Archiver) archiveIfDue(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, archiveWriteTimeout)
 	defer cancel()
-	wrote, err := a.Archive(ctx)
+	written, err := a.Archive(ctx)
 	if err != nil {
 		event.SnapshotFailed.Log(a.config.Logger, "error", err)
 	}
-	if wrote {
+	if written {
 		event.SnapshotWritten.Log(a.config.Logger, "revision", a.config.Store.Head())
 	}
 }
 
-// Archive writes an archive if one is due and no other daemon has taken the
-// turn. The turn is taken before the object is written, so that one daemon
-// writes; if it dies in between, the older archive stays for one more period.
-func (a *Archiver) Archive(ctx context.Context) (wrote bool, err error) {
-	all := a.config.Store.archive()
-	taken, err := a.takeTurn(ctx, all.Revision)
-	if err != nil || !taken {
+// Archive writes an archive if one is due and no other daemon has acquired the
+// turn. The turn is acquired before the object is written, so that only one
+// daemon writes. If that daemon crashes in between, the previous archive stays
+// for one more period.
+func (a *Archiver) Archive(ctx context.Context) (written bool, err error) {
+	current := a.config.Store.exportArchive()
+	acquired, err := a.acquireTurn(ctx, current.Revision)
+	if err != nil || !acquired {
 		return false, err
 	}
-	if err := a.config.Objects.PutObject(ctx, archiveObject, all.encode()); err != nil {
+	if err := a.config.Objects.PutObject(ctx, archiveObject, current.encode()); err != nil {
 		return false, err
 	}
 	return true, nil
 }
 
-func (a *Archiver) takeTurn(ctx context.Context, revision uint64) (bool, error) {
+func (a *Archiver) acquireTurn(ctx context.Context, revision uint64) (bool, error) {
 	rows, err := a.config.Table.Get(ctx, archiveKey)
 	if err != nil {
 		return false, err
@@ -177,18 +182,18 @@
 	if len(rows) > 0 {
 		row = rows[0]
 	}
-	last, err := decodeIfPresent[archiveTurn](row)
+	last, err := decodeIfPresent[lastArchive](row)
 	if err != nil {
 		return false, err
 	}
 	now := a.config.Clock.Now()
-	if revision <= last.Revision || now.Sub(last.At) < a.config.Period {
+	if revision <= last.Revision || now.Sub(last.StartedAt) < a.config.Period {
 		return false, nil
 	}
 	_, err = a.config.Table.Commit(ctx, platform.Transaction{
 		Operation:  platform.NewOperation(),
 		Conditions: []platform.Condition{{Key: archiveKey, Revision: row.Revision}},
-		Puts:       []platform.Put{{Key: archiveKey, Value: encode(archiveTurn{Revision: revision, At: now})}},
+		Puts:       []platform.Put{{Key: archiveKey, Value: encode(lastArchive{Revision: revision, StartedAt: now})}},
 	})
 	var conflict *platform.Conflict
 	if errors.As(err, &conflict) {
@@ -197,9 +202,9 @@
 	return err == nil, err
 }
 
-// archive returns a copy of everything in force. The head is read with the
-// entries, so that it covers no change that they lack.
-func (s *Store) archive() archive {
+// exportArchive returns a copy of all active entries. The head is read under
+// the same lock as the entries, so that it covers no change that they lack.
+func (s *Store) exportArchive() archive {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := archive{Revision: s.head}
--- a/internal/config/catchup.go
+++ b/internal/config/catchup.go
@@ -1,40 +1,42 @@
 package config
 
-// Since returns the entries above a head, and the head up to which they are
-// complete. Both are of one moment: a head that is read later covers changes
-// that the entries lack.
-func (s *Store) Since(after uint64) (entries []Entry, head uint64) {
-	all := s.archive()
-	for _, e := range all.Entries {
+// EntriesAfter returns the entries with revisions above a given head, and the
+// head up to which they are complete. Both are read atomically: a head that is
+// read later could cover changes that the entries lack.
+func (s *Store) EntriesAfter(after uint64) (entries []Entry, head uint64) {
+	current := s.exportArchive()
+	for _, e := range current.Entries {
 		if e.Revision > after {
 			entries = append(entries, e)
 		}
 	}
-	return entries, all.Revision
+	return entries, current.Revision
 }
 
-// CatchUp puts in force what a peer has in force, and raises Head to the peer's.
-// Entries must be all of the peer's above a Head that this Store had before.
-// It serves a daemon that cannot read the table.
+// CatchUp applies a peer's active entries and advances Head to the peer's head.
+// Entries must hold all of the peer's entries above an earlier Head of this
+// Store. It lets a daemon that cannot read the table receive changes.
 //
-// It guards against a peer that was restarted without state between telling
-// its head and giving its entries: the head would be raised without the
-// documents, and this daemon would take itself for up to date. The change that
-// made a head belongs to one service, whose entry has that revision or a later
-// one; without such an entry the head stays. Whatever else a peer may lack is
-// found by the next poll of the table, which checks the digest.
-func (s *Store) CatchUp(entries []Entry, head uint64) (accepted bool, err error) {
-	accepted, err = s.OfferAll(entries)
-	if s.newest() >= head {
-		s.raiseHead(head)
+// The head is not advanced if the peer restarted without state between
+// announcing its head and sending its entries; otherwise this daemon would
+// consider itself up to date without having the documents. The change that
+// produced a head belongs to one service, whose entry has that revision or a
+// later one, so the head stays where it is unless such an entry is present. Any
+// other entry that a peer lacks is found by the next poll of the table, which
+// compares the digest.
+func (s *Store) CatchUp(entries []Entry, head uint64) (changed bool, err error) {
+	changed, err = s.ApplyNewer(entries)
+	if s.newestRevision() >= head {
+		s.advanceHead(head)
 	}
-	return accepted, err
+	return changed, err
 }
 
-// newest returns the highest revision that was offered.
-func (s *Store) newest() uint64 {
+// newestRevision returns the highest revision passed to the Store so far,
+// including those of rejected documents.
+func (s *Store) newestRevision() uint64 {
 	var newest uint64
-	for _, revision := range s.seen() {
+	for _, revision := range s.seenRevisions() {
 		newest = max(newest, revision)
 	}
 	return newest
--- a/internal/config/delta.go
+++ b/internal/config/delta.go
@@ -9,102 +9,104 @@
 )
 
 const (
-	// deltaChain and deltaAge bound the deltas that follow a whole text: their
-	// number, and so what an operator's look at an old revision reads, and their
-	// age, because a delta is worth nothing once its whole text has expired.
-	deltaChain = 256
-	deltaAge   = 15 * 24 * time.Hour
-	// deltaGain is how many times smaller than the text a delta must be.
-	deltaGain = 2
+	// maxDeltaChain and maxDeltaChainAge limit the chain of deltas that follows
+	// a full text. The length determines how many rows are read to reconstruct
+	// an old revision. The age is limited because a delta is useless once the
+	// full text that it builds on has expired.
+	maxDeltaChain    = 256
+	maxDeltaChainAge = 15 * 24 * time.Hour
+	// minDeltaRatio is the minimum ratio of the size of the text to the size of
+	// a delta; larger deltas are stored as full texts.
+	minDeltaRatio = 2
 
-	// historyTTL is how long each change can be looked at and returned to. At
-	// 13,000 changes a day of one line in 57 KB, with a whole text each 256
-	// changes, 30 days are about 175 MB of the table.
+	// historyTTL is how long each change can be viewed and rolled back to. At
+	// 13,000 one-line changes a day to documents of 57 KB, with a full text
+	// every 256 changes, 30 days take about 175 MB of the table.
 	historyTTL = 30 * 24 * time.Hour
-	// wholeTTL lets a whole text outlive the deltas that lead from it.
-	wholeTTL = historyTTL + deltaAge
+	// fullTextTTL lets a full text outlive the deltas that build on it.
+	fullTextTTL = historyTTL + maxDeltaChainAge
 )
 
-// Chain tells where a revision stands in the history.
-type Chain struct {
-	// Whole is the last revision whose history row holds the whole text, made
-	// at the time At.
-	Whole uint64    `json:"whole"`
-	At    time.Time `json:"at"`
-	// Deltas is how many deltas lead from it to this revision.
+// ChainPosition is the position of a revision in a chain of deltas.
+type ChainPosition struct {
+	// FullRevision is the latest revision whose history row holds the full
+	// text. It was written at FullAt.
+	FullRevision uint64    `json:"whole"`
+	FullAt       time.Time `json:"at"`
+	// Deltas is the number of deltas from FullRevision to this revision.
 	Deltas int `json:"deltas"`
 }
 
-// Delta describes a text by the text before it: its first Head and last Tail
-// bytes are kept, and Middle stands between them.
+// Delta encodes a text relative to its predecessor: the first Prefix and the
+// last Suffix bytes of the predecessor are kept, with Replacement in between.
 //
-// It answers 13,000 changes a day, most of them of one line, of documents of
-// tens of kilobytes: whole texts would cost each daemon more than its 4 KB a
-// second of control traffic.
+// Deltas keep control traffic within its limit of 4 KB a second for each
+// daemon. With 13,000 changes a day, most of them of one line in documents of
+// tens of kilobytes, full texts would exceed it.
 type Delta struct {
-	Head   int    `json:"head"`
-	Tail   int    `json:"tail"`
-	Middle string `json:"middle"`
-	// Sum is the xxhash of the resulting text.
-	Sum digest `json:"sum"`
+	Prefix      int    `json:"head"`
+	Suffix      int    `json:"tail"`
+	Replacement string `json:"middle"`
+	// Checksum is the xxhash of the resulting text.
+	Checksum digest `json:"sum"`
 }
 
 func newDelta(from, to string) *Delta {
 	limit := min(len(from), len(to))
-	head := 0
-	for head < limit && from[head] == to[head] {
-		head++
+	prefix := 0
+	for prefix < limit && from[prefix] == to[prefix] {
+		prefix++
 	}
-	tail := 0
-	for tail < limit-head && from[len(from)-1-tail] == to[len(to)-1-tail] {
-		tail++
+	suffix := 0
+	for suffix < limit-prefix && from[len(from)-1-suffix] == to[len(to)-1-suffix] {
+		suffix++
 	}
-	middle := to[head : len(to)-tail]
-	if !utf8.ValidString(middle) {
-		return nil // A cut within a character does not survive the JSON encoding.
+	replacement := to[prefix : len(to)-suffix]
+	if !utf8.ValidString(replacement) {
+		return nil // A partial UTF-8 sequence does not survive the JSON encoding.
 	}
-	return &Delta{Head: head, Tail: tail, Middle: middle, Sum: sumOf(to)}
+	return &Delta{Prefix: prefix, Suffix: suffix, Replacement: replacement, Checksum: checksum(to)}
 }
 
-func sumOf(text string) digest { return digest(xxhash.Sum64String(text)) }
+func checksum(text string) digest { return digest(xxhash.Sum64String(text)) }
 
-// apply returns the text that follows from. The error tells that the delta
-// belongs to another text.
+// apply returns the text that results from applying the delta to from. It
+// fails if the delta was computed against another text.
 func (d *Delta) apply(from string) (string, error) {
-	if d.Head < 0 || d.Tail < 0 || d.Head+d.Tail > len(from) {
+	if d.Prefix < 0 || d.Suffix < 0 || d.Prefix+d.Suffix > len(from) {
 		return "", merry.New("the delta does not fit the text")
 	}
-	text := from[:d.Head] + d.Middle + from[len(from)-d.Tail:]
-	if sumOf(text) != d.Sum {
+	text := from[:d.Prefix] + d.Replacement + from[len(from)-d.Suffix:]
+	if checksum(text) != d.Checksum {
 		return "", merry.New("the delta belongs to another text")
 	}
 	return text, nil
 }
 
-// historyRow returns the record as its history row holds it, and the record's
-// own place in the history: a delta to the record before it where that is much
-// smaller than the text.
-func (r Record) historyRow(before Record) (row Record, ttl time.Duration) {
-	delta := r.deltaTo(before)
+// historyRow returns the record as stored in its history row, with its position
+// in the chain, and the TTL of that row. The row holds a delta to the previous
+// record if that is much smaller than the full text.
+func (r Record) historyRow(previous Record) (row Record, ttl time.Duration) {
+	delta := r.deltaFrom(previous)
 	if delta == nil {
-		r.Chain = Chain{Whole: r.Revision, At: r.At}
-		return r, wholeTTL
+		r.Chain = ChainPosition{FullRevision: r.Revision, FullAt: r.At}
+		return r, fullTextTTL
 	}
-	r.Chain = before.Chain
+	r.Chain = previous.Chain
 	r.Chain.Deltas++
 	r.Text, r.Delta = "", delta
 	return r, historyTTL
 }
 
-func (r Record) deltaTo(before Record) *Delta {
-	if r.Deleted || before.Revision == 0 || before.Deleted {
+func (r Record) deltaFrom(previous Record) *Delta {
+	if r.Deleted || previous.Revision == 0 || previous.Deleted {
 		return nil
 	}
-	if before.Chain.Deltas >= deltaChain || r.At.Sub(before.Chain.At) > deltaAge {
+	if previous.Chain.Deltas >= maxDeltaChain || r.At.Sub(previous.Chain.FullAt) > maxDeltaChainAge {
 		return nil
 	}
-	delta := newDelta(before.Text, r.Text)
-	if delta == nil || len(delta.Middle)*deltaGain > len(r.Text) {
+	delta := newDelta(previous.Text, r.Text)
+	if delta == nil || len(delta.Replacement)*minDeltaRatio > len(r.Text) {
 		return nil
 	}
 	return delta
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -6,30 +6,30 @@
 )
 
 const (
-	// diffContext is how many unchanged lines surround a change.
-	diffContext = 3
-	// diffCells bounds the table of the comparison (about 32 MB). Larger
-	// differences are shown as one block.
-	diffCells = 4 << 20
+	// diffContextLines is the number of unchanged lines around a change.
+	diffContextLines = 3
+	// maxDiffCells limits the table used to compute the longest common
+	// subsequence (about 32 MB). Larger differences are shown as one block.
+	maxDiffCells = 4 << 20
 )
 
-// Diff returns a unified diff between the documents of two records; it is
-// empty where they are equal.
+// Diff returns a unified diff between the documents of two records, or an empty
+// string if they are equal.
 func Diff(from, to Record) string {
-	edits := compare(splitLines(from.Text), splitLines(to.Text))
-	hunks := group(edits)
+	edits := diffLines(splitLines(from.Text), splitLines(to.Text))
+	hunks := groupHunks(edits)
 	if len(hunks) == 0 {
 		return ""
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "--- %s\n+++ %s\n", from.title(), to.title())
+	fmt.Fprintf(&b, "--- %s\n+++ %s\n", from.label(), to.label())
 	for _, h := range hunks {
 		h.write(&b)
 	}
 	return b.String()
 }
 
-func (r Record) title() string {
+func (r Record) label() string {
 	if r.Service == "" {
 		return "(none)"
 	}
@@ -50,23 +50,23 @@
 	return strings.Split(text, "\n")
 }
 
-// editLine is one line of the comparison. From and to count the lines that
-// come before it in either text.
-type editLine struct {
-	sign     byte
+// diffLine is one line of a diff. The fields from and to are the numbers of
+// lines that precede it in the old and in the new text.
+type diffLine struct {
+	op       byte
 	text     string
 	from, to int
 }
 
-// compare returns the lines of both texts with their signs ' ', '-' and '+'.
-func compare(a, b []string) []editLine {
-	head := commonPrefix(a, b)
-	tail := commonSuffix(a[head:], b[head:])
-	w := editWriter{}
-	w.keep(a[:head])
-	w.middle(a[head:len(a)-tail], b[head:len(b)-tail])
-	w.keep(a[len(a)-tail:])
-	return w.lines
+// diffLines returns the lines of both texts, marked with ' ', '-' or '+'.
+func diffLines(a, b []string) []diffLine {
+	prefix := commonPrefix(a, b)
+	suffix := commonSuffix(a[prefix:], b[prefix:])
+	d := diffBuilder{}
+	d.addUnchanged(a[:prefix])
+	d.addChanged(a[prefix:len(a)-suffix], b[prefix:len(b)-suffix])
+	d.addUnchanged(a[len(a)-suffix:])
+	return d.lines
 }
 
 func commonPrefix(a, b []string) int {
@@ -85,34 +85,35 @@
 	return n
 }
 
-type editWriter struct {
-	lines    []editLine
+type diffBuilder struct {
+	lines    []diffLine
 	from, to int
 }
 
-func (w *editWriter) add(sign byte, text string) {
-	w.lines = append(w.lines, editLine{sign: sign, text: text, from: w.from, to: w.to})
-	if sign != '+' {
-		w.from++
+func (d *diffBuilder) add(op byte, text string) {
+	d.lines = append(d.lines, diffLine{op: op, text: text, from: d.from, to: d.to})
+	if op != '+' {
+		d.from++
 	}
-	if sign != '-' {
-		w.to++
+	if op != '-' {
+		d.to++
 	}
 }
 
-func (w *editWriter) all(sign byte, texts []string) {
+func (d *diffBuilder) addAll(op byte, texts []string) {
 	for _, text := range texts {
-		w.add(sign, text)
+		d.add(op, text)
 	}
 }
 
-func (w *editWriter) keep(texts []string) { w.all(' ', texts) }
+func (d *diffBuilder) addUnchanged(texts []string) { d.addAll(' ', texts) }
 
-// middle follows a longest common subsequence of a and b.
-func (w *editWriter) middle(a, b []string) {
-	if (len(a)+1)*(len(b)+1) > diffCells {
-		w.all('-', a)
-		w.all('+', b)
+// addChanged adds the lines of a and b, aligned along a longest common
+// subsequence.
+func (d *diffBuilder) addChanged(a, b []string) {
+	if (len(a)+1)*(len(b)+1) > maxDiffCells {
+		d.addAll('-', a)
+		d.addAll('+', b)
 		return
 	}
 	common := commonLengths(a, b)
@@ -120,23 +121,23 @@
 	for i < len(a) && j < len(b) {
 		switch {
 		case a[i] == b[j]:
-			w.add(' ', a[i])
+			d.add(' ', a[i])
 			i++
 			j++
 		case common[i+1][j] >= common[i][j+1]:
-			w.add('-', a[i])
+			d.add('-', a[i])
 			i++
 		default:
-			w.add('+', b[j])
+			d.add('+', b[j])
 			j++
 		}
 	}
-	w.all('-', a[i:])
-	w.all('+', b[j:])
+	d.addAll('-', a[i:])
+	d.addAll('+', b[j:])
 }
 
-// commonLengths returns, for each pair of suffixes, the length of their
-// longest common subsequence.
+// commonLengths returns the length of the longest common subsequence for each
+// pair of suffixes of a and b.
 func commonLengths(a, b []string) [][]int32 {
 	table := make([][]int32, len(a)+1)
 	for i := range table {
@@ -154,25 +155,25 @@
 	return table
 }
 
-// hunk is a run of lines around changes.
-type hunk []editLine
+// hunk is a sequence of changed lines with the surrounding context.
+type hunk []diffLine
 
-func group(lines []editLine) []hunk {
+func groupHunks(lines []diffLine) []hunk {
 	var hunks []hunk
-	start, end := 0, 0 // the lines of the hunk being built
+	start, end := 0, 0 // bounds of the hunk being built
 	for i, line := range lines {
-		if line.sign == ' ' {
+		if line.op == ' ' {
 			continue
 		}
-		from := max(i-diffContext, 0)
-		if end > 0 && from > end {
+		contextStart := max(i-diffContextLines, 0)
+		if end > 0 && contextStart > end {
 			hunks = append(hunks, lines[start:end])
 			end = 0
 		}
 		if end == 0 {
-			start = from
+			start = contextStart
 		}
-		end = min(i+diffContext+1, len(lines))
+		end = min(i+diffContextLines+1, len(lines))
 	}
 	if end > 0 {
 		hunks = append(hunks, lines[start:end])
@@ -181,26 +182,26 @@
 }
 
 func (h hunk) write(b *strings.Builder) {
-	var from, to int
+	var fromCount, toCount int
 	for _, line := range h {
-		if line.sign != '+' {
-			from++
+		if line.op != '+' {
+			fromCount++
 		}
-		if line.sign != '-' {
-			to++
+		if line.op != '-' {
+			toCount++
 		}
 	}
-	fmt.Fprintf(b, "@@ -%s +%s @@\n", span(h[0].from, from), span(h[0].to, to))
+	fmt.Fprintf(b, "@@ -%s +%s @@\n", hunkRange(h[0].from, fromCount), hunkRange(h[0].to, toCount))
 	for _, line := range h {
-		fmt.Fprintf(b, "%c%s\n", line.sign, line.text)
+		fmt.Fprintf(b, "%c%s\n", line.op, line.text)
 	}
 }
 
-// span is the place of a hunk: the first line counts from 1, but an empty span
-// names the line before it.
-func span(before, count int) string {
+// hunkRange formats the range of a hunk in one of the texts. Lines are numbered
+// from 1; an empty range refers to the line before it.
+func hunkRange(preceding, count int) string {
 	if count == 0 {
-		return fmt.Sprintf("%d,0", before)
+		return fmt.Sprintf("%d,0", preceding)
 	}
-	return fmt.Sprintf("%d,%d", before+1, count)
+	return fmt.Sprintf("%d,%d", preceding+1, count)
 }
--- a/internal/config/editor.go
+++ b/internal/config/editor.go
@@ -17,53 +17,54 @@
 )
 
 const (
-	// applyAttempts bounds how often a change is tried again because a change
-	// of another service went first. Each round some change goes through.
-	applyAttempts = 16
-	// applyPause is the longest wait before another try.
-	applyPause = 100 * time.Millisecond
+	// maxApplyAttempts limits how often a change is attempted when concurrent
+	// changes of other services conflict with it. In each round at least one of
+	// the competing changes succeeds.
+	maxApplyAttempts = 16
+	// maxRetryDelay is the maximum delay before another attempt.
+	maxRetryDelay = 100 * time.Millisecond
 )
 
-// EditConflict is the error of a change that was based on another revision
-// than the present one: another operator's change went first.
+// EditConflict reports that a change was based on a revision other than the
+// current one, because another operator changed the service in the meantime.
 type EditConflict struct {
 	// Base is the revision that the change was based on.
 	Base uint64
-	// Present is the record in force; its Revision is zero where the service
-	// does not exist.
-	Present Record
-	// Diff leads from the base to the present document, as a unified diff.
+	// Current is the current record; its Revision is zero if the service does
+	// not exist.
+	Current Record
+	// Diff is a unified diff from the base to the current document.
 	Diff string
 }
 
 // Error implements error.
 func (c *EditConflict) Error() string {
-	if c.Present.Revision == 0 {
+	if c.Current.Revision == 0 {
 		return fmt.Sprintf("conflict: the change is based on revision %d, but the service does not exist", c.Base)
 	}
-	if c.Present.Deleted {
+	if c.Current.Deleted {
 		return fmt.Sprintf("conflict: the change is based on revision %d, but %s deleted service %s at revision %d at %s",
-			c.Base, c.Present.Author, c.Present.Service, c.Present.Revision, c.Present.At.UTC().Format(time.RFC3339))
+			c.Base, c.Current.Author, c.Current.Service, c.Current.Revision, c.Current.At.UTC().Format(time.RFC3339))
 	}
 	return fmt.Sprintf("conflict: the change of service %s is based on revision %d, but %s changed it to revision %d at %s",
-		c.Present.Service, c.Base, c.Present.Author, c.Present.Revision, c.Present.At.UTC().Format(time.RFC3339))
+		c.Current.Service, c.Base, c.Current.Author, c.Current.Revision, c.Current.At.UTC().Format(time.RFC3339))
 }
 
-// PresentBase returns the base that a change must name now.
-func (c *EditConflict) PresentBase() uint64 { return c.Present.base() }
+// CurrentBase returns the base that a new change must specify.
+func (c *EditConflict) CurrentBase() uint64 { return c.Current.base() }
 
-// ErrNoService is the error of a service or revision that the table does not
-// hold.
-var ErrNoService = merry.Sentinel("the table holds no such service or revision")
+// ErrNotFound reports that the table does not contain the service or revision.
+var ErrNotFound = merry.Sentinel("the table holds no such service or revision")
 
-// ModelTaken is the error of a document that names another service's model.
-type ModelTaken struct {
+// ModelConflict reports that a document names a model that another service
+// owns.
+type ModelConflict struct {
 	Model string
 	Owner ident.Service
 }
 
 // Error implements error.
-func (m *ModelTaken) Error() string {
+func (m *ModelConflict) Error() string {
 	return fmt.Sprintf("model %s belongs to service %s", m.Model, m.Owner)
 }
 
@@ -71,17 +72,18 @@
 type Editor struct {
 	// Table is the platform's table.
 	Table platform.Table
-	// Author is stored with each change, such as a login name.
+	// Author is stored with each change, for example a login name.
 	Author string
-	// Clock defaults to the real one.
+	// Clock defaults to clock.Real.
 	Clock clock.Clock
 }
 
-// Apply checks a document and writes it as the successor of base, the revision
-// that the operator has seen; zero means that the service is new or deleted.
-// It returns the new revision. The error is a *document.Invalid, *EditConflict,
-// *ModelTaken, *platform.Unavailable (nothing was written) or
-// *platform.Unknown (see History).
+// Apply validates a document and writes it as the successor of base, the
+// revision that the operator has read; zero means that the service is new or
+// deleted. It returns the new revision. The error is a *document.Invalid,
+// *EditConflict, *ModelConflict, *platform.Unavailable (nothing was written) or
+// *platform.Unknown (the change may have been written; History shows whether it
+// was).
 func (e *Editor) Apply(ctx context.Context, text []byte, base uint64, note string) (uint64, error) {
 	d, err := document.Parse(text)
 	if err != nil {
@@ -90,13 +92,13 @@
 	return e.write(ctx, edit{service: d.Service, models: d.Models, text: text, base: base, note: note})
 }
 
-// Delete ends a service. Its entry stays in the table as deleted, because a
-// daemon or snapshot that still holds the document must see a higher revision.
+// Delete removes a service. Its row stays in the table as a tombstone, because
+// a daemon or archive that still holds the document must see a higher revision.
 func (e *Editor) Delete(ctx context.Context, service ident.Service, base uint64, note string) (uint64, error) {
 	return e.write(ctx, edit{service: service, deleted: true, base: base, note: note})
 }
 
-// edit is one intended change.
+// edit is a requested change.
 type edit struct {
 	service ident.Service
 	models  []string
@@ -106,7 +108,7 @@
 	note    string
 }
 
-func (e *Editor) timing() clock.Clock {
+func (e *Editor) clockOrDefault() clock.Clock {
 	if e.Clock == nil {
 		return clock.Real
 	}
@@ -115,51 +117,54 @@
 
 func (e *Editor) write(ctx context.Context, change edit) (uint64, error) {
 	var err error
-	for range applyAttempts {
+	for range maxApplyAttempts {
 		var revision uint64
-		revision, err = e.try(ctx, change)
+		revision, err = e.tryWrite(ctx, change)
 		var conflict *platform.Conflict
 		if !errors.As(err, &conflict) {
 			return revision, err
 		}
-		// Either another service's change went first, or one of this service;
-		// the next try reads the table anew and tells them apart.
-		pause := rand.N(applyPause)
+		// Another change, of this service or of a different one, was committed
+		// first. The next attempt rereads the table and distinguishes the two.
+		delay := rand.N(maxRetryDelay)
 		select {
 		case <-ctx.Done():
 			return 0, &platform.Unavailable{Cause: ctx.Err()}
-		case <-e.timing().After(pause):
+		case <-e.clockOrDefault().After(delay):
 		}
 	}
-	return 0, merry.Prependf(err, "gave up after %d tries against other changes", applyAttempts)
+	return 0, merry.Prependf(err, "gave up after %d tries against other changes", maxApplyAttempts)
 }
 
-// try writes the change on what the table holds now. A *platform.Conflict
-// tells that the table has moved on and nothing was written.
-func (e *Editor) try(ctx context.Context, change edit) (uint64, error) {
-	now, err := e.read(ctx, change)
+// tryWrite attempts to write the change on top of the current state of the
+// table. A *platform.Conflict means that the table has changed since it was
+// read and that nothing was written.
+func (e *Editor) tryWrite(ctx context.Context, change edit) (uint64, error) {
+	state, err := e.readState(ctx, change)
 	if err != nil {
 		return 0, err
 	}
-	if now.present.base() != change.base {
-		return 0, e.conflict(ctx, change, now.present)
+	if state.current.base() != change.base {
+		return 0, e.newConflict(ctx, change, state.current)
 	}
 	if change.deleted && change.base == 0 {
-		return 0, ErrNoService
+		return 0, ErrNotFound
 	}
-	tx, revision := now.transaction(change, e.record(change))
+	tx, revision := state.transaction(change, e.newRecord(change))
 	if _, err = e.Table.Commit(ctx, tx); err != nil {
-		return 0, settle(err)
+		return 0, resolveSuperseded(err)
 	}
 	return revision, nil
 }
 
-// settle decides a superseded write. The client repeated the commit because an
-// answer was lost, and found conditions that do not hold and no row of ours
-// among them. Had the first copy taken effect, the history row, which nobody
-// changes, would be among them. So nothing was written, and no late copy can
-// take effect either, because the head's revision never comes back.
-func settle(err error) error {
+// resolveSuperseded converts a superseded write to a conflict. The client
+// retried the commit because a response was lost; conditions of the retry
+// failed, and none of the conflicting rows came from this commit. If the first
+// request had been executed, its history row, which is never modified, would be
+// among the conflicting rows. So nothing was written, and a delayed copy of the
+// request cannot be executed either, because the head row never returns to the
+// revision that its condition names.
+func resolveSuperseded(err error) error {
 	var superseded *platform.Superseded
 	if !errors.As(err, &superseded) {
 		return err
@@ -167,44 +172,44 @@
 	return &platform.Conflict{Rows: superseded.Rows}
 }
 
-func (e *Editor) record(change edit) Record {
+func (e *Editor) newRecord(change edit) Record {
 	return Record{
 		Service: change.service,
 		Deleted: change.deleted,
 		Author:  e.Author,
 		Note:    change.note,
-		At:      e.timing().Now().UTC(),
+		At:      e.clockOrDefault().Now().UTC(),
 		Text:    string(change.text),
 	}
 }
 
-// conflict describes the change that went first. A text equal to the present
-// one is no conflict for people, but it is still refused: the operator has to
-// see that someone else acted.
-func (e *Editor) conflict(ctx context.Context, change edit, present Record) error {
-	c := &EditConflict{Base: change.base, Present: present}
-	base, err := e.At(ctx, change.service, change.base)
+// newConflict describes the change that was committed first. An edit with the
+// same text as the current document is rejected as well, because the operator
+// has to know that someone else made a change.
+func (e *Editor) newConflict(ctx context.Context, change edit, current Record) error {
+	c := &EditConflict{Base: change.base, Current: current}
+	base, err := e.GetRevision(ctx, change.service, change.base)
 	if err != nil {
 		base = Record{Text: string(change.text)}
 	}
-	c.Diff = Diff(base, present)
+	c.Diff = Diff(base, current)
 	return c
 }
 
-// tableState is what one change depends on.
-type tableState struct {
-	head    head
-	recent  recent
-	present Record
-	// rows are the table's rows by key; absent rows have revision zero.
+// editState is the part of the table that a change depends on.
+type editState struct {
+	head    headRow
+	recent  recentList
+	current Record
+	// rows maps keys to rows; the revision of a missing row is zero.
 	rows map[string]platform.Row
-	// dropped are the models that the present document has and the new one
-	// has not.
-	dropped []string
+	// removedModels lists the models of the current document that the new one
+	// does not contain.
+	removedModels []string
 }
 
-// base is the revision that an edit on top of the record must name: a deleted
-// service is created anew with zero, as if it had never been.
+// base returns the revision that an edit of the record must be based on. It is
+// zero for a deleted service, which is created again as if it were new.
 func (r Record) base() uint64 {
 	if r.Deleted {
 		return 0
@@ -212,8 +217,8 @@
 	return r.Revision
 }
 
-func (e *Editor) read(ctx context.Context, change edit) (tableState, error) {
-	state := tableState{rows: map[string]platform.Row{}}
+func (e *Editor) readState(ctx context.Context, change edit) (editState, error) {
+	state := editState{rows: map[string]platform.Row{}}
 	keys := []string{headKey, recentKey, serviceKey(change.service)}
 	for _, model := range change.models {
 		keys = append(keys, modelKey(model))
@@ -222,63 +227,63 @@
 		return state, err
 	}
 	var err error
-	if state.head, err = decodeIfPresent[head](state.rows[headKey]); err != nil {
+	if state.head, err = decodeIfPresent[headRow](state.rows[headKey]); err != nil {
 		return state, err
 	}
-	if state.recent, err = decodeIfPresent[recent](state.rows[recentKey]); err != nil {
+	if state.recent, err = decodeIfPresent[recentList](state.rows[recentKey]); err != nil {
 		return state, err
 	}
-	if state.present, err = decodeIfPresent[Record](state.rows[serviceKey(change.service)]); err != nil {
+	if state.current, err = decodeIfPresent[Record](state.rows[serviceKey(change.service)]); err != nil {
 		return state, err
 	}
-	if err := state.checkModels(change); err != nil {
+	if err := state.checkModelOwners(change); err != nil {
 		return state, err
 	}
-	return state, e.readDropped(ctx, &state, change)
+	return state, e.readRemovedModels(ctx, &state, change)
 }
 
-func (e *Editor) readRows(ctx context.Context, into map[string]platform.Row, keys []string) error {
+func (e *Editor) readRows(ctx context.Context, dst map[string]platform.Row, keys []string) error {
 	rows, err := e.Table.Get(ctx, keys...)
 	for _, row := range rows {
-		into[row.Key] = row
+		dst[row.Key] = row
 	}
 	return err
 }
 
 func decodeIfPresent[T any](row platform.Row) (T, error) {
 	if row.Revision == 0 {
-		var none T
-		return none, nil
+		var zero T
+		return zero, nil
 	}
 	return decode[T](row)
 }
 
-func (t tableState) checkModels(change edit) error {
+func (s editState) checkModelOwners(change edit) error {
 	for _, model := range change.models {
-		row := t.rows[modelKey(model)]
+		row := s.rows[modelKey(model)]
 		if owner := ident.Service(row.Value); row.Revision != 0 && owner != change.service {
-			return &ModelTaken{Model: model, Owner: owner}
+			return &ModelConflict{Model: model, Owner: owner}
 		}
 	}
 	return nil
 }
 
-func (e *Editor) readDropped(ctx context.Context, state *tableState, change edit) error {
-	if state.present.Text == "" {
+func (e *Editor) readRemovedModels(ctx context.Context, state *editState, change edit) error {
+	if state.current.Text == "" {
 		return nil
 	}
-	old, err := document.Parse([]byte(state.present.Text))
+	previous, err := document.Parse([]byte(state.current.Text))
 	if err != nil {
-		return nil // Written by another release; its model rows stay.
+		return nil // Written by another release; keep its model rows.
 	}
-	kept := map[string]bool{}
+	retained := map[string]bool{}
 	for _, model := range change.models {
-		kept[model] = true
+		retained[model] = true
 	}
 	var keys []string
-	for _, model := range old.Models {
-		if !kept[model] {
-			state.dropped = append(state.dropped, model)
+	for _, model := range previous.Models {
+		if !retained[model] {
+			state.removedModels = append(state.removedModels, model)
 			keys = append(keys, modelKey(model))
 		}
 	}
@@ -288,27 +293,28 @@
 	return e.readRows(ctx, state.rows, keys)
 }
 
-// transaction builds the change. Its conditions cover every row that it
-// writes, so that it can take effect once only and a repeat is safe.
-func (t tableState) transaction(change edit, record Record) (platform.Transaction, uint64) {
-	next := t.head.next(change.service, t.present.Revision)
-	record.Revision, record.Previous = next.Revision, t.present.Revision
-	history, ttl := record.historyRow(t.present)
+// transaction builds the transaction of a change and returns it with the new
+// revision. Its conditions cover every row that it writes, so that it can be
+// committed only once and is safe to retry.
+func (s editState) transaction(change edit, record Record) (platform.Transaction, uint64) {
+	next := s.head.next(change.service, s.current.Revision)
+	record.Revision, record.Previous = next.Revision, s.current.Revision
+	history, ttl := record.historyRow(s.current)
 	record.Chain = history.Chain
-	w := txBuilder{rows: t.rows, tx: platform.Transaction{Operation: platform.NewOperation()}}
-	w.put(headKey, encode(next), 0)
-	w.put(recentKey, encode(t.recent.next(change.service, next.Revision)), 0)
-	w.put(serviceKey(change.service), encode(record), 0)
-	w.put(historyKey(change.service, next.Revision), encode(history), ttl)
+	b := txBuilder{rows: s.rows, tx: platform.Transaction{Operation: platform.NewOperation()}}
+	b.put(headKey, encode(next), 0)
+	b.put(recentKey, encode(s.recent.next(change.service, next.Revision)), 0)
+	b.put(serviceKey(change.service), encode(record), 0)
+	b.put(historyKey(change.service, next.Revision), encode(history), ttl)
 	for _, model := range change.models {
-		if !bytes.Equal(t.rows[modelKey(model)].Value, []byte(change.service)) {
-			w.put(modelKey(model), []byte(change.service), 0)
+		if !bytes.Equal(s.rows[modelKey(model)].Value, []byte(change.service)) {
+			b.put(modelKey(model), []byte(change.service), 0)
 		}
 	}
-	for _, model := range t.dropped {
-		w.remove(modelKey(model))
+	for _, model := range s.removedModels {
+		b.remove(modelKey(model))
 	}
-	return w.tx, next.Revision
+	return b.tx, next.Revision
 }
 
 type txBuilder struct {
@@ -316,16 +322,16 @@
 	tx   platform.Transaction
 }
 
-func (w *txBuilder) require(key string) {
-	w.tx.Conditions = append(w.tx.Conditions, platform.Condition{Key: key, Revision: w.rows[key].Revision})
+func (b *txBuilder) requireUnchanged(key string) {
+	b.tx.Conditions = append(b.tx.Conditions, platform.Condition{Key: key, Revision: b.rows[key].Revision})
 }
 
-func (w *txBuilder) put(key string, value []byte, ttl time.Duration) {
-	w.require(key)
-	w.tx.Puts = append(w.tx.Puts, platform.Put{Key: key, Value: value, TTL: ttl})
+func (b *txBuilder) put(key string, value []byte, ttl time.Duration) {
+	b.requireUnchanged(key)
+	b.tx.Puts = append(b.tx.Puts, platform.Put{Key: key, Value: value, TTL: ttl})
 }
 
-func (w *txBuilder) remove(key string) {
-	w.require(key)
-	w.tx.Deletes = append(w.tx.Deletes, key)
+func (b *txBuilder) remove(key string) {
+	b.requireUnchanged(key)
+	b.tx.Deletes = append(b.tx.Deletes, key)
 }
--- a/internal/config/fetch.go
+++ b/internal/config/fetch.go
@@ -11,27 +11,27 @@
 	"github.com/savorystall/savorystall/internal/platform"
 )
 
-// takeRecent takes the listed changes, as deltas where the document before
-// each is in force here, else as whole documents.
-func (w *Watcher) takeRecent(ctx context.Context) error {
+// fetchRecent reads the changes listed in the row of recent changes: as deltas
+// if the preceding revision is active, otherwise as full documents.
+func (w *Watcher) fetchRecent(ctx context.Context) error {
 	rows, err := w.get(ctx, recentKey)
 	if err != nil || len(rows) == 0 {
 		return err
 	}
-	listed, err := decode[recent](rows[0])
+	changes, err := decode[recentList](rows[0])
 	if err != nil {
 		return err
 	}
-	if err := w.takeDeltas(ctx, w.missing(listed)); err != nil {
+	if err := w.fetchDeltas(ctx, w.missingChanges(changes)); err != nil {
 		return err
 	}
-	return w.takeWhole(ctx, w.missing(listed))
+	return w.fetchDocuments(ctx, w.missingChanges(changes))
 }
 
-func (w *Watcher) missing(listed recent) []change {
-	seen := w.config.Store.seen()
-	var missing []change
-	for _, c := range listed {
+func (w *Watcher) missingChanges(changes recentList) []changeRef {
+	seen := w.config.Store.seenRevisions()
+	var missing []changeRef
+	for _, c := range changes {
 		if c.Revision > seen[c.Service] {
 			missing = append(missing, c)
 		}
@@ -39,7 +39,7 @@
 	return missing
 }
 
-func (w *Watcher) takeDeltas(ctx context.Context, missing []change) error {
+func (w *Watcher) fetchDeltas(ctx context.Context, missing []changeRef) error {
 	var keys []string
 	for _, c := range missing {
 		keys = append(keys, historyKey(c.Service, c.Revision))
@@ -48,28 +48,28 @@
 	if err != nil {
 		return err
 	}
-	var whole []Record
+	var complete []Record
 	for _, r := range records {
 		if r.Delta == nil {
-			whole = append(whole, r)
+			complete = append(complete, r)
 			continue
 		}
-		// A delta to another revision than the one in force is no use; then
-		// the whole document is read.
-		present, ok := w.config.Store.entry(r.Service)
-		if !ok || present.Revision != r.Previous {
+		// A delta can be applied only to the revision it was computed against.
+		// If that is not the active one, the full document is read later.
+		current, ok := w.config.Store.entry(r.Service)
+		if !ok || current.Revision != r.Previous {
 			continue
 		}
-		if text, err := r.Delta.apply(string(present.Text)); err == nil {
+		if text, err := r.Delta.apply(string(current.Text)); err == nil {
 			r.Text = text
-			whole = append(whole, r)
+			complete = append(complete, r)
 		}
 	}
-	w.offer(whole)
+	w.applyRecords(complete)
 	return nil
 }
 
-func (w *Watcher) takeWhole(ctx context.Context, missing []change) error {
+func (w *Watcher) fetchDocuments(ctx context.Context, missing []changeRef) error {
 	var keys []string
 	for _, c := range missing {
 		keys = append(keys, serviceKey(c.Service))
@@ -78,32 +78,32 @@
 	if err != nil {
 		return err
 	}
-	w.offer(records)
+	w.applyRecords(records)
 	return nil
 }
 
 func (w *Watcher) get(ctx context.Context, keys ...string) ([]platform.Row, error) {
-	return boundedTable{w.config.Table, w.readTimeout()}.Get(ctx, keys...)
+	return timeoutTable{w.config.Table, w.readTimeout()}.Get(ctx, keys...)
 }
 
-// boundedTable bounds each read of a table.
-type boundedTable struct {
+// timeoutTable applies a timeout to each read of a table.
+type timeoutTable struct {
 	platform.Table
 	timeout time.Duration
 }
 
 // Get implements platform.Table.
-func (b boundedTable) Get(ctx context.Context, keys ...string) ([]platform.Row, error) {
-	ctx, cancel := context.WithTimeout(ctx, b.timeout)
+func (t timeoutTable) Get(ctx context.Context, keys ...string) ([]platform.Row, error) {
+	ctx, cancel := context.WithTimeout(ctx, t.timeout)
 	defer cancel()
-	return b.Table.Get(ctx, keys...)
+	return t.Table.Get(ctx, keys...)
 }
 
 // Scan implements platform.Table.
-func (b boundedTable) Scan(ctx context.Context, prefix, after string, limit int) ([]platform.Row, error) {
-	ctx, cancel := context.WithTimeout(ctx, b.timeout)
+func (t timeoutTable) Scan(ctx context.Context, prefix, after string, limit int) ([]platform.Row, error) {
+	ctx, cancel := context.WithTimeout(ctx, t.timeout)
 	defer cancel()
-	return b.Table.Scan(ctx, prefix, after, limit)
+	return t.Table.Scan(ctx, prefix, after, limit)
 }
 
 func (w *Watcher) getRecords(ctx context.Context, keys []string) ([]Record, error) {
@@ -112,7 +112,7 @@
 	}
 	rows, err := w.get(ctx, keys...)
 	if err != nil {
-		return nil, merry.Prepend(err, "changed documents")
+		return nil, merry.Prepend(err, "read changed documents")
 	}
 	records := make([]Record, 0, len(rows))
 	for _, row := range rows {
@@ -125,17 +125,17 @@
 	return records, nil
 }
 
-func (w *Watcher) takeAll(ctx context.Context) error {
+func (w *Watcher) fetchAll(ctx context.Context) error {
 	w.metrics.scans.Inc(1)
-	records, err := scanRecords(ctx, boundedTable{w.config.Table, w.readTimeout()}, servicePrefix)
+	records, err := scanRecords(ctx, timeoutTable{w.config.Table, w.readTimeout()}, servicePrefix)
 	if err != nil {
-		return merry.Prepend(err, "all documents")
+		return merry.Prepend(err, "read all documents")
 	}
-	w.offer(records)
+	w.applyRecords(records)
 	return nil
 }
 
-func (w *Watcher) offer(records []Record) {
+func (w *Watcher) applyRecords(records []Record) {
 	if len(records) == 0 {
 		return
 	}
@@ -145,7 +145,7 @@
 	for i, r := range records {
 		entries[i] = r.Entry()
 	}
-	if _, err := w.config.Store.OfferAll(entries); err != nil {
+	if _, err := w.config.Store.ApplyNewer(entries); err != nil {
 		event.ConfigInvalid.Log(w.config.Logger, "error", err)
 	}
 	w.logChanges(before, w.config.Store.Revisions())
--- a/internal/config/fixture_test.go
+++ b/internal/config/fixture_test.go
@@ -13,10 +13,11 @@
 	platformstandin "github.com/savorystall/savorystall/internal/standin/platform"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLogger = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// text returns a valid document of a plain service whose weight is given.
-func text(service string, weight int) []byte {
+// plainDocument returns a valid document of a plain service whose workspace has
+// the given weight.
+func plainDocument(service string, weight int) []byte {
 	return fmt.Appendf(nil, `service: %s
 kind: plain
 workspaces:
@@ -31,7 +32,7 @@
 `, service, weight, document.HashKey(service+"-key"))
 }
 
-func modelText(service, model string) []byte {
+func modelDocument(service, model string) []byte {
 	return fmt.Appendf(nil, `service: %s
 kind: model
 models: [%s]
@@ -42,29 +43,29 @@
 `, service, model, document.HashKey(service+"-key"))
 }
 
-// bench is one platform with a client of it.
-type bench struct {
+// testEnv is a simulated platform with a client.
+type testEnv struct {
 	server *platformstandin.Server
 	client *platform.Client
 	url    string
 }
 
-func newBench(t testing.TB) *bench { return newLimitedBench(t, platformstandin.Config{}) }
+func newTestEnv(t testing.TB) *testEnv { return newTestEnvWithConfig(t, platformstandin.Config{}) }
 
-func newLimitedBench(t testing.TB, c platformstandin.Config) *bench {
+func newTestEnvWithConfig(t testing.TB, c platformstandin.Config) *testEnv {
 	server := platformstandin.New(c)
 	listener := httptest.NewServer(server)
 	t.Cleanup(listener.Close)
 	t.Cleanup(server.Wait)
-	client := platform.NewClient(platform.ClientConfig{URL: listener.URL, Logger: quiet})
+	client := platform.NewClient(platform.ClientConfig{URL: listener.URL, Logger: discardLogger})
 	t.Cleanup(client.Close)
-	return &bench{server: server, client: client, url: listener.URL}
+	return &testEnv{server: server, client: client, url: listener.URL}
 }
 
-func (b *bench) editor(author string) *config.Editor {
-	return &config.Editor{Table: b.client, Author: author}
+func (env *testEnv) editor(author string) *config.Editor {
+	return &config.Editor{Table: env.client, Author: author}
 }
 
-func (b *bench) watcher(store *config.Store) *config.Watcher {
-	return config.NewWatcher(config.WatcherConfig{Table: b.client, Store: store, Logger: quiet})
+func (env *testEnv) watcher(store *config.Store) *config.Watcher {
+	return config.NewWatcher(config.WatcherConfig{Table: env.client, Store: store, Logger: discardLogger})
 }
--- a/internal/config/scale_test.go
+++ b/internal/config/scale_test.go
@@ -15,36 +15,37 @@
 	"github.com/savorystall/savorystall/internal/platform"
 )
 
-// The size to design for.
+// Planned size of a fleet, for which the package is designed.
 const (
-	planDaemons    = 360
-	planModels     = 18
-	planWorkspaces = 6200
-	planEngines    = 3100
+	plannedDaemons    = 360
+	plannedModels     = 18
+	plannedWorkspaces = 6200
+	plannedEngines    = 3100
 )
 
-// planDocument returns one model's service with its part of the workspaces and
-// engines, about 60 KB.
-func planDocument(model, weight int) []byte {
+// plannedDocument returns the document of one model's service with its share of
+// the workspaces and engines, about 60 KB.
+func plannedDocument(model, weight int) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "service: model-%d\nkind: model\nmodels: [model-%d]\nworkspaces:\n", model, model)
-	for w := range planWorkspaces / planModels {
+	for w := range plannedWorkspaces / plannedModels {
 		fmt.Fprintf(&b, "  - {name: workspace-%d-%d, weight: %d, keys: [%q]}\n", model, w, weight+w, document.HashKey(fmt.Sprint(model, w)))
 	}
 	b.WriteString("targets:\n")
-	for e := range planEngines / planModels {
+	for e := range plannedEngines / plannedModels {
 		fmt.Fprintf(&b, "  - {name: engine-%d, zone: zone-%d, address: \"10.%d.%d.1:9000\", slots: 50}\n", e, e%14, model, e)
 	}
 	return b.Bytes()
 }
 
-// fill writes the documents of the plan and returns their revisions.
-func (b *bench) fill(tb testing.TB) []uint64 {
+// applyPlannedDocuments applies the documents of all planned models and returns
+// their revisions.
+func (env *testEnv) applyPlannedDocuments(tb testing.TB) []uint64 {
 	tb.Helper()
-	revisions := make([]uint64, planModels)
-	for model := range planModels {
+	revisions := make([]uint64, plannedModels)
+	for model := range plannedModels {
 		var err error
-		revisions[model], err = b.editor("ana").Apply(tb.Context(), planDocument(model, 1), 0, "")
+		revisions[model], err = env.editor("ana").Apply(tb.Context(), plannedDocument(model, 1), 0, "")
 		if err != nil {
 			tb.Fatal(err)
 		}
@@ -53,7 +54,7 @@
 }
 
 func BenchmarkParsePlanDocument(b *testing.B) {
-	text := planDocument(0, 1)
+	text := plannedDocument(0, 1)
 	b.SetBytes(int64(len(text)))
 	b.ReportAllocs()
 	for b.Loop() {
@@ -63,16 +64,16 @@
 	}
 }
 
-// BenchmarkStart measures a daemon's way to the configuration of the plan: from
-// the archive with one read of the head row, or from the table alone.
+// BenchmarkStart measures how a daemon loads a configuration of the planned size:
+// from the archive with one read of the head row, or from the table alone.
 func BenchmarkStart(b *testing.B) {
-	bench := newBench(b)
-	bench.fill(b)
+	env := newTestEnv(b)
+	env.applyPlannedDocuments(b)
 	writer := config.NewStore()
-	if err := bench.watcher(writer).Poll(b.Context()); err != nil {
+	if err := env.watcher(writer).Poll(b.Context()); err != nil {
 		b.Fatal(err)
 	}
-	archiver := config.NewArchiver(config.ArchiverConfig{Table: bench.client, Objects: bench.client, Store: writer, Logger: quiet})
+	archiver := config.NewArchiver(config.ArchiverConfig{Table: env.client, Objects: env.client, Store: writer, Logger: discardLogger})
 	if _, err := archiver.Archive(b.Context()); err != nil {
 		b.Fatal(err)
 	}
@@ -81,14 +82,14 @@
 		for b.Loop() {
 			store := config.NewStore()
 			if fromArchive {
-				if err := config.LoadArchive(b.Context(), bench.client, store); err != nil {
+				if err := config.LoadArchive(b.Context(), env.client, store); err != nil {
 					b.Fatal(err)
 				}
 			}
-			if err := bench.watcher(store).Poll(b.Context()); err != nil {
+			if err := env.watcher(store).Poll(b.Context()); err != nil {
 				b.Fatal(err)
 			}
-			if len(store.Snapshot().Services()) != planModels {
+			if len(store.Snapshot().Services()) != plannedModels {
 				b.Fatal("services are missing")
 			}
 		}
@@ -97,16 +98,16 @@
 	b.Run("table", func(b *testing.B) { start(b, false) })
 }
 
-// BenchmarkMemory reports the heap that the configuration of the plan holds.
+// BenchmarkMemory reports the heap size of a configuration of the planned size.
 func BenchmarkMemory(b *testing.B) {
-	bench := newBench(b)
-	bench.fill(b)
+	env := newTestEnv(b)
+	env.applyPlannedDocuments(b)
 	for b.Loop() {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		store := config.NewStore()
-		if err := bench.watcher(store).Poll(b.Context()); err != nil {
+		if err := env.watcher(store).Poll(b.Context()); err != nil {
 			b.Fatal(err)
 		}
 		runtime.GC()
@@ -116,7 +117,7 @@
 	}
 }
 
-// countingConn counts the bytes of a connection in both directions.
+// countingConn counts the bytes transferred over a connection in both directions.
 type countingConn struct {
 	net.Conn
 	total *atomic.Int64
@@ -134,26 +135,27 @@
 	return n, err
 }
 
-// countingClient returns a client of its own connections and their bytes.
-func (b *bench) countingClient(tb testing.TB) (*platform.Client, *atomic.Int64) {
+// countingClient returns a client with its own connections and the counter of
+// their bytes.
+func (env *testEnv) countingClient(tb testing.TB) (*platform.Client, *atomic.Int64) {
 	var total atomic.Int64
 	var dialer net.Dialer
 	transport := &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dialer.DialContext(ctx, network, address)
 		return countingConn{Conn: conn, total: &total}, err
 	}}
-	client := platform.NewClient(platform.ClientConfig{URL: b.url, HTTP: &http.Client{Transport: transport}, Logger: quiet})
+	client := platform.NewClient(platform.ClientConfig{URL: env.url, HTTP: &http.Client{Transport: transport}, Logger: discardLogger})
 	tb.Cleanup(client.Close)
 	return client, &total
 }
 
-// BenchmarkPoll reports the bytes that one poll without a change takes, with
-// the headers of HTTP.
+// BenchmarkPoll reports the bytes transferred by a poll that finds no change,
+// including HTTP headers.
 func BenchmarkPoll(b *testing.B) {
-	bench := newBench(b)
-	bench.fill(b)
-	client, total := bench.countingClient(b)
-	watcher := config.NewWatcher(config.WatcherConfig{Table: client, Store: config.NewStore(), Logger: quiet})
+	env := newTestEnv(b)
+	env.applyPlannedDocuments(b)
+	client, total := env.countingClient(b)
+	watcher := config.NewWatcher(config.WatcherConfig{Table: client, Store: config.NewStore(), Logger: discardLogger})
 	poll := func() {
 		if err := watcher.Poll(b.Context()); err != nil {
 			b.Fatal(err)
@@ -167,22 +169,22 @@
 	b.ReportMetric(float64(total.Load()-before)/float64(b.N), "B/poll")
 }
 
-// BenchmarkChange reports the bytes and the time that one daemon spends on one
-// change of a document of the plan's size: of one line (read as a delta) and
-// of every line (read as a whole).
+// BenchmarkChange reports the bytes and the time that one daemon needs for a
+// change of a document of the planned size: of one line, which is read as a
+// delta, and of every line, which is read as a full document.
 func BenchmarkChange(b *testing.B) {
 	edits := map[string]func(text []byte, n int) []byte{
 		"one line": func(text []byte, n int) []byte {
 			return bytes.Replace(text, []byte("slots: 50"), fmt.Appendf(nil, "slots: 5%d", n%9+1), 1)
 		},
-		"every line": func(_ []byte, n int) []byte { return planDocument(0, n+2) },
+		"every line": func(_ []byte, n int) []byte { return plannedDocument(0, n+2) },
 	}
 	for name, edit := range edits {
 		b.Run(name, func(b *testing.B) {
-			bench := newBench(b)
-			revision := bench.fill(b)[0]
-			client, total := bench.countingClient(b)
-			watcher := config.NewWatcher(config.WatcherConfig{Table: client, Store: config.NewStore(), Logger: quiet})
+			env := newTestEnv(b)
+			revision := env.applyPlannedDocuments(b)[0]
+			client, total := env.countingClient(b)
+			watcher := config.NewWatcher(config.WatcherConfig{Table: client, Store: config.NewStore(), Logger: discardLogger})
 			if err := watcher.Poll(b.Context()); err != nil {
 				b.Fatal(err)
 			}
@@ -191,7 +193,7 @@
 				b.StopTimer()
 				n++
 				var err error
-				if revision, err = bench.editor("ana").Apply(b.Context(), edit(planDocument(0, 1), n), revision, ""); err != nil {
+				if revision, err = env.editor("ana").Apply(b.Context(), edit(plannedDocument(0, 1), n), revision, ""); err != nil {
 					b.Fatal(err)
 				}
 				b.StartTimer()
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -8,7 +8,7 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// Snapshot is the configuration in force at one moment. It is immutable.
+// Snapshot is the active configuration at one point in time. It is immutable.
 type Snapshot struct {
 	services []*Service
 	byName   map[ident.Service]*Service
@@ -25,26 +25,27 @@
 	for _, service := range services {
 		s.byName[service.Document.Service] = service
 		for _, model := range service.Document.Models {
-			s.claimModel(model, service)
+			s.assignModel(model, service)
 		}
 	}
 	return s
 }
 
-// claimModel gives a model to the service that took it last. The table holds
-// one owner of a model at each revision, but on a daemon that lags the old
-// owner's document can still name a model that has moved.
-func (s *Snapshot) claimModel(model string, service *Service) {
-	other, taken := s.byModel[model]
-	if !taken || service.Revision > other.Revision {
+// assignModel assigns a model to the service with the highest revision that
+// names it. The table has one owner of a model at each revision, but on a daemon
+// that lags behind, the document of the previous owner can still name a model
+// that has moved to another service.
+func (s *Snapshot) assignModel(model string, service *Service) {
+	other, assigned := s.byModel[model]
+	if !assigned || service.Revision > other.Revision {
 		s.byModel[model] = service
 	}
 }
 
-// Services returns the services by name. The slice must not be changed.
+// Services returns the services sorted by name. The slice must not be modified.
 func (s *Snapshot) Services() []*Service { return s.services }
 
-// Service returns the service of the given name.
+// Service returns the service with the given name.
 func (s *Snapshot) Service(name ident.Service) (*Service, bool) {
 	service, ok := s.byName[name]
 	return service, ok
@@ -56,8 +57,8 @@
 	return service, ok
 }
 
-// KnownKey tells whether any service knows the bearer key. It separates a key
-// that nobody issued (401) from one of another service (403).
+// KnownKey reports whether any service accepts the bearer key. It distinguishes
+// a key that was never issued (401) from a key of another service (403).
 func (s *Snapshot) KnownKey(bearer string) bool {
 	digest := document.DigestKey(bearer)
 	for _, service := range s.services {
@@ -68,16 +69,16 @@
 	return false
 }
 
-// Service is one service in force. It is immutable.
+// Service is an active service. It is immutable.
 type Service struct {
 	Document *document.Document
 	// Revision is the configuration revision of the document.
 	Revision uint64
 
-	keys       map[document.KeyDigest]keyOwner
-	named      map[string]*document.Operation
-	standard   *document.Operation
-	operations []pathOperation
+	keyOwners        map[document.KeyDigest]keyOwner
+	operationsByName map[string]*document.Operation
+	defaultOperation *document.Operation
+	pathOperations   []pathOperation
 }
 
 type keyOwner struct {
@@ -92,58 +93,58 @@
 
 func newService(d *document.Document, revision uint64) *Service {
 	s := &Service{
-		Document: d,
-		Revision: revision,
-		keys:     make(map[document.KeyDigest]keyOwner, len(d.Workspaces)),
-		named:    make(map[string]*document.Operation, len(d.Operations)),
+		Document:         d,
+		Revision:         revision,
+		keyOwners:        make(map[document.KeyDigest]keyOwner, len(d.Workspaces)),
+		operationsByName: make(map[string]*document.Operation, len(d.Operations)),
 	}
 	for _, w := range d.Workspaces {
 		for _, key := range w.Keys {
-			digest, _ := document.ParseKey(key) // Parse has checked the form.
-			s.keys[digest] = keyOwner{digest: digest, workspace: w.Name}
+			digest, _ := document.ParseKey(key) // Validated by document.Parse.
+			s.keyOwners[digest] = keyOwner{digest: digest, workspace: w.Name}
 		}
 	}
 	for i := range d.Operations {
 		s.addOperation(&d.Operations[i])
 	}
-	sort.SliceStable(s.operations, func(i, j int) bool {
-		return s.operations[i].pattern.MoreSpecific(s.operations[j].pattern)
+	sort.SliceStable(s.pathOperations, func(i, j int) bool {
+		return s.pathOperations[i].pattern.MoreSpecific(s.pathOperations[j].pattern)
 	})
 	return s
 }
 
 func (s *Service) addOperation(o *document.Operation) {
-	s.named[o.Name] = o
+	s.operationsByName[o.Name] = o
 	if o.Default {
-		s.standard = o
+		s.defaultOperation = o
 	}
 	if o.Path == "" {
 		return
 	}
-	if pattern, err := document.ParsePattern(o.Path); err == nil { // Parse has checked it.
-		s.operations = append(s.operations, pathOperation{pattern: pattern, operation: o})
+	if pattern, err := document.ParsePattern(o.Path); err == nil { // Validated by document.Parse.
+		s.pathOperations = append(s.pathOperations, pathOperation{pattern: pattern, operation: o})
 	}
 }
 
-// Authenticate returns the workspace that a bearer key belongs to. How long it
-// takes tells nothing about the keys: the map is searched by the digest of
-// what the caller sent, and the digests are compared in constant time.
+// Authenticate returns the workspace that a bearer key belongs to. Its timing
+// reveals nothing about the keys: the map lookup uses the digest of what the
+// caller sent, and the digests are compared in constant time.
 func (s *Service) Authenticate(bearer string) (ident.Workspace, bool) {
 	return s.authenticate(document.DigestKey(bearer))
 }
 
 func (s *Service) authenticate(digest document.KeyDigest) (ident.Workspace, bool) {
-	owner := s.keys[digest]
+	owner := s.keyOwners[digest]
 	if subtle.ConstantTimeCompare(owner.digest[:], digest[:]) != 1 {
 		return "", false
 	}
 	return owner.workspace, true
 }
 
-// Operation returns the operation of a plain service for a method and the
-// decoded path of a URL: the most specific pattern that matches.
+// Operation returns the operation of a plain service for a method and a decoded
+// URL path. If several patterns match, the most specific one applies.
 func (s *Service) Operation(method, path string) (*document.Operation, bool) {
-	for _, o := range s.operations {
+	for _, o := range s.pathOperations {
 		if o.operation.Method == method && o.pattern.Match(path) {
 			return o.operation, true
 		}
@@ -151,12 +152,12 @@
 	return nil, false
 }
 
-// Methods returns the methods that are allowed on a path of a plain service,
-// in order; none means that no operation has the path.
-func (s *Service) Methods(path string) []string {
+// AllowedMethods returns the methods that are allowed on a path of a plain
+// service, sorted. It is empty if no operation matches the path.
+func (s *Service) AllowedMethods(path string) []string {
 	var methods []string
 	seen := map[string]bool{}
-	for _, o := range s.operations {
+	for _, o := range s.pathOperations {
 		if method := o.operation.Method; !seen[method] && o.pattern.Match(path) {
 			seen[method] = true
 			methods = append(methods, method)
@@ -166,12 +167,12 @@
 	return methods
 }
 
-// NamedOperation returns the operation of a name. The empty name stands for
-// the default one, which only model services have.
+// NamedOperation returns the operation with the given name. An empty name
+// selects the default operation, which only model services have.
 func (s *Service) NamedOperation(name string) (*document.Operation, bool) {
 	if name == "" {
-		return s.standard, s.standard != nil
+		return s.defaultOperation, s.defaultOperation != nil
 	}
-	o, ok := s.named[name]
+	o, ok := s.operationsByName[name]
 	return o, ok
 }
--- a/internal/config/start.go
+++ b/internal/config/start.go
@@ -7,8 +7,9 @@
 	"github.com/savorystall/savorystall/internal/event"
 )
 
-// readArchive gets the archive ready. It spares the table when many daemons
-// start at once, and serves a daemon that starts while the table is out.
+// readArchive reads the archive, which is applied later. It reduces the load on
+// the table when many daemons start at the same time, and allows a daemon to
+// start while the table is unavailable.
 func (w *Watcher) readArchive(ctx context.Context) {
 	if w.config.Objects == nil {
 		return
@@ -25,34 +26,37 @@
 	}
 }
 
-// useArchive puts the archive in force. It is called with the table's head at
-// hand, so that what the archive lacks follows at once, or when the grace is
-// over. Earlier, a restarted daemon would serve documents of ten minutes ago
-// though a peer or the table could have told it the present ones.
-func (w *Watcher) useArchive() {
+// applyArchive applies the archive. It is called either once the head row was
+// read, so that the changes that the archive lacks follow immediately, or when
+// ArchiveGrace has expired. If it were called earlier, a restarted daemon would
+// serve documents that are up to ten minutes old although a peer or the table
+// could provide the current ones.
+func (w *Watcher) applyArchive() {
 	if w.archive == nil {
 		return
 	}
-	if _, err := w.config.Store.OfferAll(w.archive.Entries); err != nil {
+	if _, err := w.config.Store.ApplyNewer(w.archive.Entries); err != nil {
 		event.ConfigInvalid.Log(w.config.Logger, "error", err)
 	}
 }
 
-// fallBack puts the archive in force while the table cannot be read.
-func (w *Watcher) fallBack() {
-	waited := w.config.Clock.Now().Sub(w.started)
-	if w.archive == nil || waited < w.config.ArchiveGrace {
+// fallBackToArchive applies the archive if the table could not be read within
+// ArchiveGrace.
+func (w *Watcher) fallBackToArchive() {
+	elapsed := w.config.Clock.Now().Sub(w.started)
+	if w.archive == nil || elapsed < w.config.ArchiveGrace {
 		return
 	}
 	if w.config.Store.Head() == 0 {
-		w.useArchive()
-		w.config.Store.raiseHead(w.archive.Revision)
+		w.applyArchive()
+		w.config.Store.advanceHead(w.archive.Revision)
 		event.ArchiveInForce.Log(w.config.Logger, "revision", w.archive.Revision)
 	}
 	w.archive = nil
 }
 
-// readTimeout is shorter while the archive waits for the table's answer.
+// readTimeout returns the timeout of a table read, which is limited to
+// ArchiveGrace until the archive is applied or discarded.
 func (w *Watcher) readTimeout() time.Duration {
 	if w.archive != nil {
 		return min(w.config.Timeout, w.config.ArchiveGrace)
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -12,20 +12,21 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// Store holds the configuration that is in force on one daemon. Readers take a
-// Snapshot without a lock. A Store is safe for concurrent use.
+// Store holds the active configuration of one daemon. Readers get a Snapshot
+// without locking. A Store is safe for concurrent use.
 type Store struct {
-	mu      sync.Mutex
-	entries map[ident.Service]Entry
-	parsed  map[ident.Service]*Service
-	// refused holds the highest revision of a service whose text is not valid
-	// for this release.
-	refused map[ident.Service]uint64
-	// head is the revision up to which every change is known to be included.
+	mu       sync.Mutex
+	entries  map[ident.Service]Entry
+	services map[ident.Service]*Service
+	// rejected maps each service to its highest revision whose text is not
+	// valid for this release.
+	rejected map[ident.Service]uint64
+	// head is the revision up to which all changes are known to be included.
 	head uint64
-	// proven is the head up to which the table's digest has shown that nothing
-	// is missing. Peers and archives raise head, but only the table proves it.
-	proven   uint64
+	// verified is the head up to which the digest of the table has confirmed
+	// that no change is missing. Peers and archives advance head, but only the
+	// table verifies it.
+	verified uint64
 	changed  chan struct{}
 	snapshot atomic.Pointer[Snapshot]
 }
@@ -33,63 +34,63 @@
 // NewStore returns an empty Store.
 func NewStore() *Store {
 	s := &Store{
-		entries: map[ident.Service]Entry{},
-		parsed:  map[ident.Service]*Service{},
-		refused: map[ident.Service]uint64{},
-		changed: make(chan struct{}),
+		entries:  map[ident.Service]Entry{},
+		services: map[ident.Service]*Service{},
+		rejected: map[ident.Service]uint64{},
+		changed:  make(chan struct{}),
 	}
 	s.snapshot.Store(newSnapshot(nil))
 	return s
 }
 
-// OfferAll puts each entry in force whose revision is higher than the one in
-// force for its service, builds one snapshot, and tells whether any was taken.
+// ApplyNewer applies each entry whose revision is higher than the active one of
+// its service, builds one snapshot, and reports whether any entry was applied.
 //
-// It guards against reverting: a stale read of the table, a peer that lags or
-// an old snapshot offers an older entry, which would show as a service that
-// returns to an earlier document or comes back after its deletion. The rule
-// holds because the comparison and the change are one step under the lock, and
-// because entries are replaced but never removed.
+// It never reverts a service. Stale reads of the table, lagging peers and old
+// archives supply older entries; applying them would return a service to an
+// earlier document or bring it back after its deletion. This cannot happen
+// because the comparison and the update are one step under the lock, and because
+// entries are replaced but never removed.
 //
-// The error tells of the first entry that is higher but whose text is not valid
-// (written past Apply, or by a newer release). The entry in force stays then, and
-// the others are not hindered.
-func (s *Store) OfferAll(entries []Entry) (accepted bool, err error) {
+// The error describes the first entry that has a higher revision but an invalid
+// text (written without Apply, or by a newer release). The active entry of that
+// service is then kept, and the other entries are still applied.
+func (s *Store) ApplyNewer(entries []Entry) (changed bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range entries {
-		took, offerErr := s.take(e)
-		accepted = accepted || took
-		if offerErr != nil && err == nil {
-			err = offerErr
+		applied, entryErr := s.apply(e)
+		changed = changed || applied
+		if entryErr != nil && err == nil {
+			err = entryErr
 		}
 	}
-	if accepted {
+	if changed {
 		s.publish()
 	}
-	return accepted, err
+	return changed, err
 }
 
-func (s *Store) take(e Entry) (bool, error) {
+func (s *Store) apply(e Entry) (bool, error) {
 	if e.Revision <= s.entries[e.Service].Revision {
 		return false, nil
 	}
 	service, err := e.compile()
 	if err != nil {
-		s.refused[e.Service] = max(s.refused[e.Service], e.Revision)
+		s.rejected[e.Service] = max(s.rejected[e.Service], e.Revision)
 		return false, err
 	}
 	e.Text = bytes.Clone(e.Text)
 	s.entries[e.Service] = e
 	if service == nil {
-		delete(s.parsed, e.Service)
+		delete(s.services, e.Service)
 	} else {
-		s.parsed[e.Service] = service
+		s.services[e.Service] = service
 	}
 	return true, nil
 }
 
-// compile parses the entry's document; a deletion has none.
+// compile parses the document of the entry. It returns nil for a deletion.
 func (e Entry) compile() (*Service, error) {
 	if e.Deleted {
 		return nil, nil
@@ -99,30 +100,30 @@
 		return nil, merry.Prependf(err, "service %s at revision %d", e.Service, e.Revision)
 	}
 	if d.Service != e.Service {
-		return nil, merry.Errorf("the entry of service %s at revision %d holds the document of %s", e.Service, e.Revision, d.Service)
+		return nil, merry.Errorf("entry of service %s at revision %d contains the document of service %s", e.Service, e.Revision, d.Service)
 	}
 	return newService(d, e.Revision), nil
 }
 
 func (s *Store) publish() {
-	services := make([]*Service, 0, len(s.parsed))
-	for _, service := range s.parsed {
+	services := make([]*Service, 0, len(s.services))
+	for _, service := range s.services {
 		services = append(services, service)
 	}
 	s.snapshot.Store(newSnapshot(services))
-	s.signal()
+	s.notifyChanged()
 }
 
-func (s *Store) signal() {
+func (s *Store) notifyChanged() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Snapshot returns the configuration in force. It never blocks.
+// Snapshot returns the active configuration. It never blocks.
 func (s *Store) Snapshot() *Snapshot { return s.snapshot.Load() }
 
-// Entries returns the entries in force by service, deletions included, for
-// peers that catch up. The texts must not be changed.
+// Entries returns the active entries sorted by service, including deletions, for
+// peers that catch up. The texts must not be modified.
 func (s *Store) Entries() []Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,8 +142,8 @@
 	return e, ok
 }
 
-// Revisions returns the revision in force for each service, deletions
-// included. Peers compare it with theirs and ask only for what is missing.
+// Revisions returns the active revision of each service, including deletions.
+// Peers compare it with theirs and request only the missing entries.
 func (s *Store) Revisions() map[ident.Service]uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,52 +154,53 @@
 	return revisions
 }
 
-// Head returns the revision up to which every change is known to be in force
-// here; zero until the table or a whole snapshot of it was read once.
+// Head returns the revision up to which all changes are known to be included in
+// this Store. It is zero until the table, an archive or the entries of a peer
+// have been read.
 func (s *Store) Head() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.head
 }
 
-// seen returns the highest revision offered for each service, refused texts
-// included.
-func (s *Store) seen() map[ident.Service]uint64 {
+// seenRevisions returns the highest revision of each service passed to the
+// Store so far, including those with rejected texts.
+func (s *Store) seenRevisions() map[ident.Service]uint64 {
 	revisions := s.Revisions()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for name, revision := range s.refused {
+	for name, revision := range s.rejected {
 		revisions[name] = max(revisions[name], revision)
 	}
 	return revisions
 }
 
-// raiseHead notes that every change up to head has been offered.
-func (s *Store) raiseHead(head uint64) {
+// advanceHead records that all changes up to head have been passed to the Store.
+func (s *Store) advanceHead(head uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if head > s.head {
 		s.head = head
-		s.signal()
+		s.notifyChanged()
 	}
 }
 
-// prove notes that the table's digest agrees at head.
-func (s *Store) prove(head uint64) {
-	s.raiseHead(head)
+// markVerified records that the digest of the table matches at head.
+func (s *Store) markVerified(head uint64) {
+	s.advanceHead(head)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.proven = max(s.proven, head)
+	s.verified = max(s.verified, head)
 }
 
-func (s *Store) provenHead() uint64 {
+func (s *Store) verifiedHead() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.proven
+	return s.verified
 }
 
-// Changed returns a channel that is closed at the next change of the entries
-// or of Head. Take the channel first, then read.
+// Changed returns a channel that is closed at the next change of the entries or
+// of Head. Get the channel before reading, so that no change is missed.
 func (s *Store) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/config/watcher.go
+++ b/internal/config/watcher.go
@@ -19,41 +19,45 @@
 	DefaultPollInterval = time.Second
 	DefaultReadTimeout  = 10 * time.Second
 	DefaultArchiveGrace = 3 * time.Second
-	// archiveReadTimeout bounds the read of the archive at the start.
+	// archiveReadTimeout limits the read of the archive at startup.
 	archiveReadTimeout = 2 * time.Second
-	// pollJitter spreads polls by this part of the interval to either side, so
-	// that daemons started together do not read together.
+	// pollJitter is the maximum deviation of a poll interval in either
+	// direction, as a fraction of the interval. It keeps daemons that started
+	// at the same time from polling at the same time.
 	pollJitter = 0.2
-	// behindPolls is how many polls in a row may find the table behind what is
-	// in force before it is logged: more than any stale read lasts.
-	behindPolls = 30
+	// behindPollThreshold is the number of consecutive polls that find the
+	// table older than the active configuration before this is logged. It
+	// exceeds the duration of any stale read.
+	behindPollThreshold = 30
 )
 
 // WatcherConfig configures a Watcher.
 type WatcherConfig struct {
 	// Table is the platform's table; required.
 	Table platform.Table
-	// Store takes what is read; required.
+	// Store receives the documents; required.
 	Store *Store
 	// Interval is the mean time between two reads of the head row; default 1s.
-	// 360 daemons then do 360 reads a second of the table's 2,000.
+	// 360 daemons then use 360 of the 2,000 reads a second that the table
+	// serves.
 	Interval time.Duration
-	// Timeout bounds one read with all its tries; default 10s. It bounds each
-	// read by itself, because a poll that was cut short in a slow table would
-	// begin anew each time and never get to the documents.
+	// Timeout limits one read including its retries; default 10s. It applies to
+	// each read rather than to a whole poll, because on a slow table a poll that
+	// timed out would start over each time and never reach the documents.
 	Timeout time.Duration
-	// Objects holds the archive to start from; nil starts from the table alone.
+	// Objects is the object store with the archive to start from. If nil, the
+	// daemon starts from the table alone.
 	Objects platform.Objects
 	// ArchiveGrace is how long a daemon that cannot read the table waits for
-	// its peers before it puts the archive in force; default 3s.
+	// its peers before it applies the archive; default 3s.
 	ArchiveGrace time.Duration
-	// Clock defaults to the real one.
+	// Clock defaults to clock.Real.
 	Clock clock.Clock
 	// Random returns a number in [0,1); default math/rand/v2.
 	Random func() float64
 	// Logger defaults to slog.Default.
 	Logger *slog.Logger
-	// Scope takes the metrics; default none.
+	// Scope receives the metrics; by default they are discarded.
 	Scope tally.Scope
 }
 
@@ -81,17 +85,18 @@
 	}
 }
 
-// Watcher keeps a Store up to date with the table. Nothing on the path of a
-// request waits for it: a daemon that cannot read serves what is in force.
+// Watcher keeps a Store up to date with the table. Request processing never
+// waits for it: a daemon that cannot read the table keeps using its active
+// configuration.
 type Watcher struct {
 	config  WatcherConfig
 	metrics watcherMetrics
 	failing bool
-	// archive is held until the table's head was read or the grace is over.
+	// archive is kept until the head row was read or ArchiveGrace has expired.
 	archive *archive
 	started time.Time
-	// behind counts the polls in a row that found an older head than what is in
-	// force.
+	// behind counts the consecutive polls that found a head older than the
+	// active configuration.
 	behind int
 }
 
@@ -113,7 +118,7 @@
 	}}
 }
 
-// Run polls until ctx ends and then returns nil.
+// Run polls until ctx is done and then returns nil.
 func (w *Watcher) Run(ctx context.Context) error {
 	w.started = w.config.Clock.Now()
 	w.readArchive(ctx)
@@ -122,28 +127,29 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-w.config.Clock.After(w.wait()):
+		case <-w.config.Clock.After(w.nextDelay()):
 		}
 	}
 }
 
-func (w *Watcher) wait() time.Duration {
-	spread := 1 + pollJitter*(2*w.config.Random()-1)
-	return time.Duration(float64(w.config.Interval) * spread)
+func (w *Watcher) nextDelay() time.Duration {
+	factor := 1 + pollJitter*(2*w.config.Random()-1)
+	return time.Duration(float64(w.config.Interval) * factor)
 }
 
 func (w *Watcher) pollOnce(ctx context.Context) {
 	w.metrics.polls.Inc(1)
 	err := w.Poll(ctx)
 	if err != nil {
-		w.fallBack()
+		w.fallBackToArchive()
 	}
 	w.metrics.revision.Update(float64(w.config.Store.Head()))
-	w.note(err)
+	w.recordResult(err)
 }
 
-// note logs the begin and the end of an outage, not each failure in it.
-func (w *Watcher) note(err error) {
+// recordResult counts failures. It logs the start and the end of an outage, not
+// each failure during it.
+func (w *Watcher) recordResult(err error) {
 	if err != nil {
 		w.metrics.failures.Inc(1)
 	}
@@ -157,64 +163,65 @@
 	}
 }
 
-// Poll reads the head row once and takes what has changed.
+// Poll reads the head row once and applies any changes.
 func (w *Watcher) Poll(ctx context.Context) error {
 	rows, err := w.get(ctx, headKey)
 	if err != nil {
-		return merry.Prepend(err, "head row")
+		return merry.Prepend(err, "read head row")
 	}
 	if len(rows) == 0 {
 		return nil
 	}
-	latest, err := decode[head](rows[0])
+	latest, err := decode[headRow](rows[0])
 	if err != nil {
 		return err
 	}
-	w.useArchive()
+	w.applyArchive()
 	w.archive = nil
-	if latest.Revision <= w.config.Store.provenHead() || w.complete(latest) {
+	if latest.Revision <= w.config.Store.verifiedHead() || w.upToDate(latest) {
 		return nil
 	}
 	return w.catchUp(ctx, latest)
 }
 
-// catchUp takes the listed changes, and reads all documents where these do not
-// suffice. The head's digest decides: a read that was stale or lost leaves the
-// digests unequal and Head where it was, so that the next poll tries again.
-func (w *Watcher) catchUp(ctx context.Context, latest head) error {
-	if w.config.Store.newest() > 0 {
-		if err := w.takeRecent(ctx); err != nil {
+// catchUp applies the recent changes, and reads all documents if these are not
+// sufficient. The digest of the head row decides: after a stale or failed read
+// the digests differ and Head stays unchanged, so that the next poll retries.
+func (w *Watcher) catchUp(ctx context.Context, latest headRow) error {
+	if w.config.Store.newestRevision() > 0 {
+		if err := w.fetchRecent(ctx); err != nil {
 			return err
 		}
-		if w.complete(latest) {
+		if w.upToDate(latest) {
 			return nil
 		}
 	}
-	if err := w.takeAll(ctx); err != nil {
+	if err := w.fetchAll(ctx); err != nil {
 		return err
 	}
-	if !w.complete(latest) {
+	if !w.upToDate(latest) {
 		event.ConfigIncomplete.Log(w.config.Logger, "revision", latest.Revision)
 	}
 	return nil
 }
 
-// complete tells whether nothing is to be read: the Store has seen every change
-// up to the head, which is then proven, or it has seen later ones. These come
-// from a peer or from a later state of the table, and the next head will tell.
-func (w *Watcher) complete(latest head) bool {
-	seen := w.config.Store.seen()
-	if digestOf(seen) == latest.Digest {
-		w.config.Store.prove(latest.Revision)
+// upToDate reports whether no documents have to be read: either the Store has
+// seen every change up to latest, which is then marked as verified, or it has
+// seen later changes. Those come from a peer or from a later state of the table
+// and are checked against the next head.
+func (w *Watcher) upToDate(latest headRow) bool {
+	seen := w.config.Store.seenRevisions()
+	if digestRevisions(seen) == latest.Digest {
+		w.config.Store.markVerified(latest.Revision)
 		w.behind = 0
 		return true
 	}
-	if w.config.Store.newest() <= latest.Revision {
+	if w.config.Store.newestRevision() <= latest.Revision {
 		return false
 	}
 	w.behind++
-	if w.behind == behindPolls {
-		event.ConfigBehind.Log(w.config.Logger, "table", latest.Revision, "in_force", w.config.Store.newest())
+	if w.behind == behindPollThreshold {
+		event.ConfigBehind.Log(w.config.Logger, "table", latest.Revision, "in_force", w.config.Store.newestRevision())
 	}
 	return true
 }
--- a/internal/ingress/plain.go
+++ b/internal/ingress/plain.go
@@ -51,7 +51,7 @@
 	}
 	op, ok := service.Operation(r.Method, decoded)
 	if !ok {
-		if len(service.Methods(decoded)) > 0 {
+		if len(service.AllowedMethods(decoded)) > 0 {
 			return nil, resultcode.Fail(resultcode.MethodNotAllowed, "%s", r.Method)
 		}
 		return nil, resultcode.Fail(resultcode.UnknownOperation, "%s %s", r.Method, decoded)
--- a/test/configuration/configuration_test.go
+++ b/test/configuration/configuration_test.go
@@ -105,7 +105,7 @@
 	for weight := 1; ctx.Err() == nil; weight++ {
 		service := services[rng.IntN(len(services))]
 		record, err := editor.Get(ctx, service)
-		if err != nil && !errors.Is(err, config.ErrNoService) {
+		if err != nil && !errors.Is(err, config.ErrNotFound) {
 			continue
 		}
 		base := record.Revision
@@ -241,7 +241,7 @@
 	took := o.s.await(want, o.s.daemons...)
 	t.Logf("all daemons have %v, %s after the last fault", want, took)
 	for revision, service := range o.accepted {
-		record, err := editor.At(t.Context(), service, revision)
+		record, err := editor.GetRevision(t.Context(), service, revision)
 		is.NoErr(err)
 		is.Equal(record.Service, service)
 	}
