--- a/internal/daemon/site.go
+++ b/internal/daemon/site.go
@@ -119,7 +119,7 @@
 		}
 	}
 	s.p.Gateway.SetTargets(targets)
-	s.p.Pool.Retain(addresses)
+	s.p.Pool.CloseIdleExcept(addresses)
 	if v.table == nil {
 		return
 	}
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -64,21 +64,21 @@
 		connections = max(1, pr.service.MaxConnections/max(1, s.Config.ConnectionShare))
 	}
 	return targetconn.Request{
-		Method: pr.inbound.Method, Target: requestTarget(pr.inbound), Host: pr.inbound.Host, Header: endToEndHeaders(pr.inbound.Header), Body: pr.body,
-		Complete: func(h http.Header) {
+		Method: pr.inbound.Method, RequestTarget: requestTarget(pr.inbound), Host: pr.inbound.Host, Header: endToEndHeaders(pr.inbound.Header), Body: pr.body,
+		SetHeaders: func(h http.Header) {
 			s.Dialect.SetTargetHeaders(h, ForwardInfo{
 				Identity: entry.Identity, Workspace: pr.workspace,
 				Remaining: time.Until(pr.deadline), LastEventID: pr.events.lastID, PrefixSource: s.prefixSource(pr, entry),
 			})
 		},
-		Connections: connections,
-		Mine: func(status int, h http.Header) bool {
+		MaxConnections: connections,
+		MatchesResponse: func(status int, h http.Header) bool {
 			echoed := s.Dialect.ParseResponse(status, h)
 			return echoed.AttemptID == pr.info.AttemptID || echoed.AttemptID == "" && !echoed.Signed
 		},
-		Abandoned: func() bool { return time.Since(dispatched) > callerCheckTTL && s.CallerGone(ctx) },
-		Watch:     s.watchCaller(ctx, pr),
-		Foreign:   func() { event.AnswerForeign.Log(s.Log, "target", entry.Identity, "request", pr.info.AttemptID) },
+		CallerGone:  func() bool { return time.Since(dispatched) > callerCheckTTL && s.CallerGone(ctx) },
+		WatchCaller: s.watchCaller(ctx, pr),
+		OnMismatch:  func() { event.AnswerForeign.Log(s.Log, "target", entry.Identity, "request", pr.info.AttemptID) },
 	}
 }
 
@@ -113,14 +113,14 @@
 
 // exchangeFailure returns the result of an exchange that got no response.
 func (s *Server) exchangeFailure(entry registry.Entry, err error) attemptResult {
-	var unsent *targetconn.Unsent
-	if errors.Is(err, targetconn.ErrAbandoned) {
+	var unsent *targetconn.UnsentError
+	if errors.Is(err, targetconn.ErrCallerGone) {
 		return attemptResult{failure: resultcode.Fail(resultcode.CallerGone, "")}
 	}
 	if errors.As(err, &unsent) {
 		return attemptResult{
 			failure:      resultcode.Fail(resultcode.TargetRefused, "target %s", entry.Identity).WithCause(err),
-			targetFailed: !errors.Is(err, targetconn.ErrFull) && !errors.Is(err, context.Canceled),
+			targetFailed: !errors.Is(err, targetconn.ErrConnectionLimit) && !errors.Is(err, context.Canceled),
 		}
 	}
 	canceled := errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)
--- a/internal/ingress/continue.go
+++ b/internal/ingress/continue.go
@@ -10,15 +10,17 @@
 	"github.com/savorystall/savorystall/internal/document"
 )
 
-// stoppable ends the context with attempt.ErrPreempted when stopped is closed.
-func stoppable(ctx context.Context, stopped <-chan struct{}) (context.Context, func()) {
-	if stopped == nil {
+// withPreemption returns a context that is canceled with the cause
+// attempt.ErrPreempted when preempted is closed. The returned function releases
+// its resources.
+func withPreemption(ctx context.Context, preempted <-chan struct{}) (context.Context, func()) {
+	if preempted == nil {
 		return ctx, func() {}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	go func() {
 		select {
-		case <-stopped:
+		case <-preempted:
 			cancel(attempt.ErrPreempted)
 		case <-ctx.Done():
 		}
@@ -26,37 +28,39 @@
 	return ctx, func() { cancel(nil) }
 }
 
-// preemptible tells whether a request can be stopped and go on by another
-// attempt. What was generated is handed to the next engine as text, so that
-// there must be one answer, and nothing in it but text.
-func (j *job) preemptible(parsed modelRequest) bool {
+// allowsPreemption reports whether the request can be stopped and resumed by
+// another attempt. The output generated so far is passed to the next engine as
+// text, so the response must have a single choice that consists of text only.
+func (j *job) allowsPreemption(parsed modelRequest) bool {
 	return j.service.Document.Preemption && j.operation.Class != document.Interactive && j.repeatable() &&
 		parsed.Choices <= 1 && len(parsed.Tools) == 0 && len(parsed.Functions) == 0
 }
 
-// soFar is what the attempts of one request have delivered, and charged. It is
-// used by the request's own goroutine.
-type soFar struct {
-	// keep asks for the text, which only a request that can be stopped needs.
-	keep bool
-	// text and tokens are of the attempts that were stopped.
-	text   strings.Builder
-	tokens uint64
-	// latest is the text of the present attempt.
-	latest strings.Builder
-	// prompt is what the prompt costs as far as it is known, charged what was
-	// charged for it.
-	prompt, charged float64
+// resumeState accumulates the output and the charged cost of the attempts of one
+// request. It is used only by the goroutine of that request.
+type resumeState struct {
+	// keepText enables the recording of output, which only preemptible requests
+	// need.
+	keepText bool
+	// preemptedText and preemptedTokens are the output of the preempted attempts.
+	preemptedText   strings.Builder
+	preemptedTokens uint64
+	// currentText is the output of the current attempt.
+	currentText strings.Builder
+	// promptCost is the best known cost of the prompt, chargedPromptCost the part
+	// of it that was charged already.
+	promptCost, chargedPromptCost float64
 }
 
-// begin prepares the next attempt and tells whether it goes on with an answer.
-func (s *soFar) begin() (continues bool) {
-	s.latest.Reset()
-	return s.tokens > 0
+// beginAttempt prepares the next attempt and reports whether it continues the
+// output of a preempted one.
+func (s *resumeState) beginAttempt() (continues bool) {
+	s.currentText.Reset()
+	return s.preemptedTokens > 0
 }
 
-// textChunk is the text of a chunk. Only it is parsed, since each chunk of a
-// request that can be stopped is.
+// textChunk holds the text of a chunk. No other field is decoded, to limit the
+// overhead: every chunk of a preemptible request is parsed.
 type textChunk struct {
 	Choices []struct {
 		Text  string `json:"text"`
@@ -66,8 +70,8 @@
 	} `json:"choices"`
 }
 
-func (s *soFar) take(chunk attempt.Chunk) error {
-	if !s.keep {
+func (s *resumeState) addChunk(chunk attempt.Chunk) error {
+	if !s.keepText {
 		return nil
 	}
 	var parsed textChunk
@@ -75,58 +79,63 @@
 		return err
 	}
 	for _, c := range parsed.Choices {
-		s.latest.WriteString(c.Text)
-		s.latest.WriteString(c.Delta.Content)
+		s.currentText.WriteString(c.Text)
+		s.currentText.WriteString(c.Delta.Content)
 	}
 	return nil
 }
 
-// end notes how an attempt ended and returns what it has delivered, in tokens.
-// The prompt counts once: that it is read again after a stop is no service to
-// the workspace.
-func (s *soFar) end(result attempt.Result) float64 {
+// endAttempt records the result of an attempt and returns the cost to charge for
+// it, in tokens. The prompt is charged once: processing it again after a
+// preemption provides nothing to the workspace.
+func (s *resumeState) endAttempt(result attempt.Result) float64 {
 	if result.PromptTokens > 0 {
-		s.prompt = float64(result.PromptTokens)
+		s.promptCost = float64(result.PromptTokens)
 	}
 	if result.Preempted && result.Tokens == 0 {
 		return 0
 	}
-	served := s.cost(result.Tokens)
+	served := s.attemptCost(result.Tokens)
 	switch {
 	case result.Preempted:
-		s.charged = s.prompt
-		s.tokens += uint64(result.Tokens)
-		s.text.WriteString(s.latest.String())
-	case s.tokens > 0:
-		s.charged = s.prompt
+		s.chargedPromptCost = s.promptCost
+		s.preemptedTokens += uint64(result.Tokens)
+		s.preemptedText.WriteString(s.currentText.String())
+	case s.preemptedTokens > 0:
+		s.chargedPromptCost = s.promptCost
 	}
 	return served
 }
 
-// cost is what is charged for so many tokens of the present attempt.
-func (s *soFar) cost(tokens int) float64 { return max(0, s.prompt-s.charged) + float64(tokens) }
+// attemptCost returns the charge for the given number of output tokens of the
+// current attempt.
+func (s *resumeState) attemptCost(tokens int) float64 {
+	return max(0, s.promptCost-s.chargedPromptCost) + float64(tokens)
+}
 
-// reread is how many tokens an engine reads to go on.
-func (s *soFar) reread() int64 {
-	if s.tokens == 0 {
+// reprocessedTokens returns the number of tokens that an engine must process
+// again to resume the request.
+func (s *resumeState) reprocessedTokens() int64 {
+	if s.preemptedTokens == 0 {
 		return 0
 	}
-	return int64(s.prompt) + int64(s.tokens)
+	return int64(s.promptCost) + int64(s.preemptedTokens)
 }
 
-// body adds the answer so far to the body of a request.
-func (s *soFar) body(body []byte) ([]byte, error) {
-	if s.tokens == 0 {
+// resumeBody adds the output of the preempted attempts to a request body.
+func (s *resumeState) resumeBody(body []byte) ([]byte, error) {
+	if s.preemptedTokens == 0 {
 		return body, nil
 	}
-	text, err := json.Marshal(s.text.String())
+	text, err := json.Marshal(s.preemptedText.String())
 	if err != nil {
 		return nil, err
 	}
 	return withField(body, "answer", text)
 }
 
-// withField sets a field and leaves every other as it came.
+// withField sets a field of a JSON object and preserves the encoding of all
+// other fields.
 func withField(body []byte, name string, value json.RawMessage) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
@@ -136,31 +145,32 @@
 	return json.Marshal(fields)
 }
 
-// pauseHeartbeat is below the idle timeouts usual at proxies.
-const pauseHeartbeat = 5 * time.Second
+// heartbeatInterval is shorter than the usual idle timeouts of proxies.
+const heartbeatInterval = 5 * time.Second
 
-// keepAlive writes comments to a caller whose stream has begun and is paused, so
-// that nothing on the way takes it for dead. The end must be called before
-// anything else is written.
-func (j *job) keepAlive(every time.Duration) (end func()) {
-	if !j.streams || !j.w.began {
+// startHeartbeat periodically writes SSE comments to a caller whose stream has
+// started and is paused, so that no intermediary closes the connection as idle.
+// The returned function must be called before anything else is written.
+func (j *job) startHeartbeat(interval time.Duration) (stop func()) {
+	if !j.streaming || !j.w.wroteHeader {
 		return func() {}
 	}
-	stop, done := make(chan struct{}), make(chan struct{})
+	quit, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
-		ticker := time.NewTicker(every)
+		ticker := time.NewTicker(interval)
 		defer ticker.Stop()
 		for {
 			select {
-			case <-stop:
+			case <-quit:
 				return
 			case <-ticker.C:
-				// A caller that has left shows in the request's context.
+				// A write error is ignored: if the caller has disconnected, the
+				// request's context is canceled.
 				_, _ = j.w.Write([]byte(": paused\n\n"))
 				j.w.Flush()
 			}
 		}
 	}()
-	return func() { close(stop); <-done }
+	return func() { close(quit); <-done }
 }
--- a/internal/ingress/estimate.go
+++ b/internal/ingress/estimate.go
@@ -6,30 +6,31 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// estimateKey is the grain at which costs are remembered.
+// estimateKey identifies the operation whose costs are averaged.
 type estimateKey struct {
 	service   ident.Service
 	operation string
 }
 
-// estimates remembers the mean true cost of each operation. An estimate only
-// decides what is charged at dispatch; the true cost corrects it at the end, so
-// a false one gains nobody anything.
-type estimates struct {
+// costEstimator keeps a moving average of the actual cost of each operation. An
+// estimate only determines the charge at dispatch. The actual cost replaces it
+// when the request ends, so that no workspace gains from a wrong estimate.
+type costEstimator struct {
 	mu    sync.Mutex
 	means map[estimateKey]float64
 }
 
-// estimateGain is the weight of the newest cost: about the last twenty requests
-// count, which follows a change of workload within one burst.
-const estimateGain = 0.05
+// estimateWeight is the weight of the newest cost in the moving average. The
+// average covers about the last twenty requests, which follows a change of
+// workload within one burst.
+const estimateWeight = 0.05
 
-func newEstimates() *estimates {
-	return &estimates{means: map[estimateKey]float64{}}
+func newCostEstimator() *costEstimator {
+	return &costEstimator{means: map[estimateKey]float64{}}
 }
 
-// mean returns the remembered mean, or otherwise the fallback.
-func (e *estimates) mean(key estimateKey, fallback float64) float64 {
+// mean returns the average cost of an operation, or fallback if none was observed.
+func (e *costEstimator) mean(key estimateKey, fallback float64) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if m, ok := e.means[key]; ok {
@@ -38,12 +39,12 @@
 	return fallback
 }
 
-func (e *estimates) observe(key estimateKey, cost float64) {
+func (e *costEstimator) observe(key estimateKey, cost float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	m, ok := e.means[key]
 	if !ok {
 		m = cost
 	}
-	e.means[key] = m + estimateGain*(cost-m)
+	e.means[key] = m + estimateWeight*(cost-m)
 }
--- a/internal/ingress/identify.go
+++ b/internal/ingress/identify.go
@@ -15,8 +15,8 @@
 
 const bearerPrefix = "Bearer "
 
-// bearer returns the caller's key.
-func bearer(r *http.Request) (string, *resultcode.Failure) {
+// bearerToken returns the API key from the Authorization header.
+func bearerToken(r *http.Request) (string, *resultcode.Failure) {
 	value := r.Header.Get("Authorization")
 	if len(value) <= len(bearerPrefix) || !strings.EqualFold(value[:len(bearerPrefix)], bearerPrefix) {
 		return "", resultcode.Fail(resultcode.Unauthenticated, "send Authorization: Bearer and a key")
@@ -24,9 +24,10 @@
 	return strings.TrimSpace(value[len(bearerPrefix):]), nil
 }
 
-// identify tells which workspace of the service a key belongs to. A key of
-// another service is forbidden, a key that nobody issued is unauthenticated.
-func identify(snapshot *config.Snapshot, service *config.Service, key string) (ident.Workspace, *resultcode.Failure) {
+// authenticate returns the workspace of the service to which the key belongs. It
+// fails with Forbidden for a key of another service and with Unauthenticated for
+// an unknown key.
+func authenticate(snapshot *config.Snapshot, service *config.Service, key string) (ident.Workspace, *resultcode.Failure) {
 	if ws, ok := service.Authenticate(key); ok {
 		return ws, nil
 	}
@@ -36,15 +37,16 @@
 	return "", resultcode.Fail(resultcode.Unauthenticated, "")
 }
 
-// readBody reads a whole body within a size and a time. The request is held
-// back until its body is complete, so that a slow caller holds no slot of a
-// target.
+// readBody reads the complete body, subject to a size limit and a timeout. A
+// request is not scheduled until its body is complete, so that a slow caller does
+// not occupy a slot of a target.
 func (s *Server) readBody(w *response, r *http.Request, limit int64) ([]byte, *resultcode.Failure) {
 	if r.ContentLength > limit {
 		return nil, resultcode.Fail(resultcode.BodyTooLarge, "the limit is %d bytes", limit)
 	}
 	control := http.NewResponseController(w.ResponseWriter)
-	// A writer without deadlines (a test's recorder) is not bounded in time.
+	// If the writer does not support deadlines, as the recorder in tests, there is
+	// no timeout.
 	_ = control.SetReadDeadline(time.Now().Add(s.Config.BodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w.ResponseWriter, r.Body, limit))
 	var tooLarge *http.MaxBytesError
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -1,6 +1,7 @@
-// Package ingress serves callers: it authenticates them, bounds and classifies
-// their requests, lets the scheduler place them, runs them on the target and
-// hands back the answer. It decides nothing about shares or targets.
+// Package ingress serves callers: it authenticates them, validates and classifies
+// their requests, submits them to the scheduler, runs them on the assigned target
+// and returns the response. Shares and the choice of targets are left to the
+// scheduler.
 package ingress
 
 import (
@@ -23,34 +24,34 @@
 
 // Headers that callers may send.
 const (
-	// HeaderOperation names the operation of a model service's document.
+	// HeaderOperation selects an operation from the document of a model service.
 	HeaderOperation = "X-Savorystall-Operation"
-	// HeaderIdempotencyKey makes a repeat of an unrepeatable request safe.
+	// HeaderIdempotencyKey makes it safe to retry a non-idempotent request.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderRequest carries the request id in every answer.
-	HeaderRequest = "X-Savorystall-Request"
+	// HeaderRequestID carries the request ID in every response.
+	HeaderRequestID = "X-Savorystall-Request"
 )
 
-// Placer is the scheduler as the ingress sees it.
+// Placer is the part of the scheduler that the ingress uses.
 type Placer interface {
-	Place(ctx context.Context, r scheduler.Request, again bool) control.Assignment
+	Place(ctx context.Context, r scheduler.Request, requeue bool) control.Assignment
 	Progress(id ident.Request, served float64)
 	Finish(id ident.Request, result scheduler.Result)
 	TargetHealth(service ident.Service, target ident.Target, health scheduler.Health)
 }
 
-// Claims guards unrepeatable requests.
+// Claims ensures that a non-idempotent request runs at most once.
 type Claims interface {
 	Claim(ctx context.Context, key claim.Key, digest []byte, id ident.Attempt) (claim.Decision, error)
 }
 
-// Config bounds what callers may send.
+// Config holds the limits for requests of callers.
 type Config struct {
-	// BodyTimeout bounds the arrival of a body.
+	// BodyTimeout limits the time to receive a request body.
 	BodyTimeout time.Duration
 }
 
-// Deps are what the ingress works with.
+// Deps holds the dependencies of a Server.
 type Deps struct {
 	Config  Config
 	Store   *config.Store
@@ -65,33 +66,33 @@
 // Server is the HTTP handler for callers.
 type Server struct {
 	Deps
-	estimates *estimates
-	retries   *retries
-	router    *mux.Router
+	costs         *costEstimator
+	retryPolicies *retryPolicies
+	router        *mux.Router
 }
 
-// NewServer returns the handler.
+// NewServer returns a Server with its routes registered.
 func NewServer(deps Deps) *Server {
-	s := &Server{Deps: deps, estimates: newEstimates(), retries: newRetries(), router: mux.NewRouter()}
+	s := &Server{Deps: deps, costs: newCostEstimator(), retryPolicies: newRetryPolicies(), router: mux.NewRouter()}
 	s.router.UseEncodedPath()
 	s.router.SkipClean(true)
-	s.router.HandleFunc("/v1/completions", s.model).Methods(http.MethodPost)
-	s.router.HandleFunc("/v1/chat/completions", s.model).Methods(http.MethodPost)
-	s.router.HandleFunc("/v1/models", s.models).Methods(http.MethodGet)
-	s.router.PathPrefix("/services/{service}").HandlerFunc(s.plain)
-	s.router.NotFoundHandler = s.refuseAll(resultcode.NotFound)
-	s.router.MethodNotAllowedHandler = s.refuseAll(resultcode.MethodNotAllowed)
+	s.router.HandleFunc("/v1/completions", s.handleModel).Methods(http.MethodPost)
+	s.router.HandleFunc("/v1/chat/completions", s.handleModel).Methods(http.MethodPost)
+	s.router.HandleFunc("/v1/models", s.handleModelList).Methods(http.MethodGet)
+	s.router.PathPrefix("/services/{service}").HandlerFunc(s.handlePlain)
+	s.router.NotFoundHandler = s.failureHandler(resultcode.NotFound)
+	s.router.MethodNotAllowedHandler = s.failureHandler(resultcode.MethodNotAllowed)
 	return s
 }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	defer s.recover(w, r)
+	defer s.recoverPanic(w, r)
 	s.router.ServeHTTP(w, r)
 }
 
-func (s *Server) refuseAll(code resultcode.Code) http.Handler {
+func (s *Server) failureHandler(code resultcode.Code) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.answerFailure(newResponse(w, ident.NewRequest()), "", resultcode.Fail(code, "%s %s", r.Method, r.URL.Path))
+		s.writeFailure(newResponse(w, ident.NewRequest()), "", resultcode.Fail(code, "%s %s", r.Method, r.URL.Path))
 	})
 }
--- a/internal/ingress/job.go
+++ b/internal/ingress/job.go
@@ -20,60 +20,63 @@
 	"github.com/savorystall/savorystall/internal/telemetry"
 )
 
-// job is an accepted request on its way through the scheduler and to a target.
+// job is an accepted request that is being scheduled or run.
 type job struct {
 	w         *response
 	service   *config.Service
 	workspace ident.Workspace
 	operation *document.Operation
-	// cost is the estimate in units of the service.
-	cost     float64
-	method   string
-	prefix   uint64
-	arrived  time.Time
-	deadline time.Time
-	// key is the caller's Idempotency-Key, digest covers what it stands for.
-	key    string
-	digest []byte
-	// attempt runs one attempt.
-	attempt func(ctx context.Context, id ident.Attempt, address string) attempt.Result
-	// finish writes what is left to write after a complete answer.
-	finish func()
-	// served returns the true cost of an attempt.
-	served func(attempt.Result) float64
-	// stoppable tells that the request can be stopped and go on later, streams
-	// that its caller reads a stream.
-	stoppable, streams bool
-	// stops counts how often it was stopped, earlier is the cost of the attempts
-	// that were, and reread returns the tokens that the next one reads again.
-	stops   int
-	earlier float64
-	reread  func() int64
+	// cost is the estimated cost in units of the service.
+	cost       float64
+	method     string
+	prefixHash uint64
+	arrived    time.Time
+	deadline   time.Time
+	// idempotencyKey is the caller's Idempotency-Key, digest the fingerprint of the
+	// request that the key identifies.
+	idempotencyKey string
+	digest         []byte
+	// runAttempt runs one attempt on the target at address.
+	runAttempt func(ctx context.Context, id ident.Attempt, address string) attempt.Result
+	// completeResponse writes what remains to be written after a successful attempt.
+	completeResponse func()
+	// servedCost returns the actual cost of an attempt.
+	servedCost func(attempt.Result) float64
+	// preemptible reports whether the request can be stopped and resumed later,
+	// streaming whether the caller asked for a stream.
+	preemptible, streaming bool
+	// preemptions counts how often the request was preempted, priorServed is the
+	// cost of the preempted attempts, and reprocessedTokens returns the number of
+	// tokens that the next attempt must process again.
+	preemptions       int
+	priorServed       float64
+	reprocessedTokens func() int64
 }
 
-func (j *job) name() ident.Service { return j.service.Document.Service }
+func (j *job) serviceName() ident.Service { return j.service.Document.Service }
 
-func (j *job) grain() estimateKey {
-	return estimateKey{service: j.name(), operation: j.operation.Name}
+func (j *job) estimateKey() estimateKey {
+	return estimateKey{service: j.serviceName(), operation: j.operation.Name}
 }
 
-// newJob fills in what follows from the document.
+// newJob returns a job with the fields that follow from the request and the
+// service document.
 func (s *Server) newJob(w *response, r *http.Request, service *config.Service, ws ident.Workspace, op *document.Operation) *job {
 	now := time.Now()
 	deadline := op.Deadline
 	if deadline == 0 {
 		deadline = service.Document.Limits.Deadline
 	}
-	j := &job{w: w, service: service, workspace: ws, operation: op, arrived: now, method: r.Method, key: r.Header.Get(HeaderIdempotencyKey)}
+	j := &job{w: w, service: service, workspace: ws, operation: op, arrived: now, method: r.Method, idempotencyKey: r.Header.Get(HeaderIdempotencyKey)}
 	if deadline > 0 {
 		j.deadline = now.Add(deadline)
 	}
 	return j
 }
 
-// digestOf covers everything that must be equal for two requests with one
-// Idempotency-Key to be the same request.
-func digestOf(r *http.Request, operation string, body []byte) []byte {
+// requestDigest returns a digest of everything that must be equal for two
+// requests with the same Idempotency-Key to count as the same request.
+func requestDigest(r *http.Request, operation string, body []byte) []byte {
 	h := sha256.New()
 	for _, part := range []string{r.Method, r.URL.RequestURI(), operation} {
 		h.Write([]byte(part))
@@ -83,34 +86,34 @@
 	return h.Sum(nil)
 }
 
-// run brings a job to its end: the whole answer, or one final failure.
+// run processes a job until its response is complete or it has failed finally.
 func (s *Server) run(r *http.Request, j *job) {
 	ctx := s.Tracing.Propagator.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	ctx, span := s.Tracing.Start(ctx, telemetry.SpanIngress, trace.WithSpanKind(trace.SpanKindServer), trace.WithAttributes(
-		attribute.String("service", string(j.name())),
+		attribute.String("service", string(j.serviceName())),
 		attribute.String("workspace", string(j.workspace)),
-		attribute.String("request", string(j.w.request)),
+		attribute.String("request", string(j.w.requestID)),
 	))
 	defer span.End()
-	failure := s.runOnce(ctx, j)
+	failure := s.claimAndRun(ctx, j)
 	if failure != nil {
 		span.SetAttributes(attribute.Int("code", failure.Code.Number))
-		s.answerFailure(j.w, j.name(), failure)
+		s.writeFailure(j.w, j.serviceName(), failure)
 		return
 	}
-	j.finish()
-	s.Metrics.Request(j.name(), "0")
+	j.completeResponse()
+	s.Metrics.Request(j.serviceName(), "0")
 }
 
-// runOnce claims unrepeatable requests before they are placed.
-func (s *Server) runOnce(ctx context.Context, j *job) *resultcode.Failure {
-	if j.operation.KeyRequired && j.key == "" {
+// claimAndRun runs a job and first claims it if it is non-idempotent.
+func (s *Server) claimAndRun(ctx context.Context, j *job) *resultcode.Failure {
+	if j.operation.KeyRequired && j.idempotencyKey == "" {
 		return resultcode.Fail(resultcode.IdempotencyKeyRequired, "operation %s", j.operation.Name)
 	}
 	if !j.operation.Unrepeatable {
-		return s.place(ctx, j, nil)
+		return s.runAttempts(ctx, j, nil)
 	}
-	key := claim.Key{Service: j.name(), Workspace: j.workspace, IdempotencyKey: j.key}
+	key := claim.Key{Service: j.serviceName(), Workspace: j.workspace, IdempotencyKey: j.idempotencyKey}
 	decision, err := s.Claims.Claim(ctx, key, j.digest, ident.NewAttempt())
 	if err != nil {
 		return resultcode.Fail(resultcode.CallerGone, "").WithCause(err)
@@ -119,18 +122,18 @@
 	case claim.Refuse:
 		return d.Failure
 	case claim.Replay:
-		j.finish = func() { replay(j.w, d.Outcome) }
+		j.completeResponse = func() { writeReplay(j.w, d.Outcome) }
 		return nil
 	case claim.Proceed:
-		return s.runHeld(ctx, j, d.Hold)
+		return s.runClaimed(ctx, j, d.Hold)
 	}
 	return resultcode.Fail(resultcode.StoreUnavailable, "the claim was not decided")
 }
 
-// HeaderReplayed marks the kept answer of an earlier run.
+// HeaderReplayed marks a response that was stored by an earlier run.
 const HeaderReplayed = "X-Savorystall-Replayed"
 
-func replay(w *response, o claim.Outcome) {
+func writeReplay(w *response, o claim.Outcome) {
 	for name, values := range o.Header {
 		w.Header()[name] = values
 	}
@@ -139,54 +142,56 @@
 	_, _ = w.Write(o.Body)
 }
 
-// recordWait bounds how long the handler waits until the outcome is in the
-// table; the write goes on after it.
-const recordWait = 2 * time.Second
+// outcomeWriteTimeout limits how long the handler waits until the outcome is in
+// the table. The write continues after the timeout.
+const outcomeWriteTimeout = 2 * time.Second
 
-// runHeld runs a claimed request. It goes on when its caller leaves: the
-// caller's repeat then gets the outcome, where a canceled run would leave one
-// that nobody knows.
-func (s *Server) runHeld(ctx context.Context, j *job, hold *claim.Hold) *resultcode.Failure {
+// runClaimed runs a claimed request. The run continues if the caller disconnects,
+// so that a retry of the caller gets the outcome; canceling the run would leave
+// its outcome unknown.
+func (s *Server) runClaimed(ctx context.Context, j *job, hold *claim.Hold) *resultcode.Failure {
 	defer hold.Close()
-	j.w.record = &record{}
-	held := context.WithoutCancel(ctx)
-	failure := s.place(held, j, hold)
+	j.w.recorded = &recordedBody{}
+	detached := context.WithoutCancel(ctx)
+	failure := s.runAttempts(detached, j, hold)
 	outcome := claim.Outcome{Result: resultcode.Ran}
 	if failure != nil {
 		outcome.Result = failure.Code.Outcome
 	}
 	if outcome.Result == resultcode.NotRun {
-		hold.MarkNotRun() // false where it never started, which is as well
+		hold.MarkNotRun() // returns false if the run never started, which is fine
 		if hold.Abandon() {
 			return failure
 		}
 	}
 	if failure == nil {
-		j.finish()
-		j.finish = func() {}
-		outcome.HasResponse = !j.w.record.overflow
+		j.completeResponse()
+		j.completeResponse = func() {}
+		outcome.HasResponse = !j.w.recorded.tooLarge
 		outcome.StatusCode = j.w.status
-		outcome.Header = keptHeader(j.w.Header())
-		outcome.Body = j.w.record.body
+		outcome.Header = storableHeader(j.w.Header())
+		outcome.Body = j.w.recorded.body
 	}
-	wait, cancel := context.WithTimeout(held, recordWait)
+	waitCtx, cancel := context.WithTimeout(detached, outcomeWriteTimeout)
 	defer cancel()
-	// The record goes on being written after the wait; the answer need not.
-	_ = hold.Finish(wait, outcome)
+	// If the wait times out, the write continues in the background; the response
+	// does not depend on it.
+	_ = hold.Finish(waitCtx, outcome)
 	return failure
 }
 
-// keptHeader leaves out what belongs to one connection or one request.
-func keptHeader(h http.Header) http.Header {
-	kept := h.Clone()
-	for _, name := range []string{HeaderRequest, "Date", "Connection", "Transfer-Encoding", "Content-Length"} {
-		kept.Del(name)
+// storableHeader returns a copy of h without the headers that are specific to one
+// connection or request.
+func storableHeader(h http.Header) http.Header {
+	stored := h.Clone()
+	for _, name := range []string{HeaderRequestID, "Date", "Connection", "Transfer-Encoding", "Content-Length"} {
+		stored.Del(name)
 	}
-	return kept
+	return stored
 }
 
-// class maps the document's class to the scheduler's.
-func class(c document.Class) scheduler.Class {
+// schedulerClass maps a class of the document to that of the scheduler.
+func schedulerClass(c document.Class) scheduler.Class {
 	switch c {
 	case document.Interactive:
 		return scheduler.Interactive
--- a/internal/ingress/model.go
+++ b/internal/ingress/model.go
@@ -17,17 +17,18 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-// maxModelBody bounds a body before its service is known.
+// maxModelBody is the body size limit that applies before the service, and thus
+// its own limit, is known.
 const maxModelBody = 32 << 20
 
-// bytesPerToken estimates prompt tokens from bytes. It only decides what is
-// charged until the engine reports the true count.
+// bytesPerToken is the ratio for estimating prompt tokens from bytes. It only
+// affects the charge until the engine reports the actual count.
 const bytesPerToken = 4
 
-// prefixBytes is how much of a prompt its prefix id covers.
+// prefixBytes is the length of the start of a prompt that its prefix hash covers.
 const prefixBytes = 256
 
-// modelRequest is what the ingress reads of a caller's JSON.
+// modelRequest holds the fields of the request JSON that the ingress evaluates.
 type modelRequest struct {
 	Model     string          `json:"model"`
 	Stream    bool            `json:"stream"`
@@ -39,24 +40,24 @@
 	Functions json.RawMessage `json:"functions"`
 }
 
-// model serves completions and chat completions.
-func (s *Server) model(w http.ResponseWriter, r *http.Request) {
-	answer := newResponse(w, ident.NewRequest())
-	j, failure := s.acceptModel(answer, r)
+// handleModel serves completions and chat completions.
+func (s *Server) handleModel(w http.ResponseWriter, r *http.Request) {
+	resp := newResponse(w, ident.NewRequest())
+	j, failure := s.acceptModel(resp, r)
 	if failure != nil {
-		s.answerFailure(answer, "", failure)
+		s.writeFailure(resp, "", failure)
 		return
 	}
 	s.run(r, j)
 }
 
-// acceptModel checks everything that can be checked before a target is needed.
+// acceptModel performs all checks that do not need a target and returns the job.
 func (s *Server) acceptModel(w *response, r *http.Request) (*job, *resultcode.Failure) {
-	key, failure := bearer(r)
+	key, failure := bearerToken(r)
 	if failure != nil {
 		return nil, failure
 	}
-	snapshot, failure := s.admitted(key)
+	snapshot, failure := s.snapshotForKey(key)
 	if failure != nil {
 		return nil, failure
 	}
@@ -68,14 +69,14 @@
 		return nil, failure
 	}
 	var parsed modelRequest
-	if failure := parseModel(body, &parsed); failure != nil {
+	if failure := parseModelRequest(body, &parsed); failure != nil {
 		return nil, failure
 	}
 	service, ok := snapshot.ByModel(parsed.Model)
 	if !ok {
 		return nil, resultcode.Fail(resultcode.UnknownService, "model %q", parsed.Model)
 	}
-	ws, failure := identify(snapshot, service, key)
+	ws, failure := authenticate(snapshot, service, key)
 	if failure != nil {
 		return nil, failure
 	}
@@ -87,18 +88,19 @@
 		return nil, resultcode.Fail(resultcode.UnknownOperation, "operation %q", r.Header.Get(document.OperationHeader))
 	}
 	j := s.newJob(w, r, service, ws, op)
-	j.digest = digestOf(r, op.Name, body)
+	j.digest = requestDigest(r, op.Name, body)
 	if failure := s.prepareModel(j, r, parsed, body); failure != nil {
 		return nil, failure
 	}
 	return j, nil
 }
 
-// admitted returns the configuration in force if it knows the key. Before any
-// configuration is in force, not knowing a key says nothing about it. The head
-// is read first: read after the snapshot, it could already belong to the first
-// configuration, and a right key was called unknown.
-func (s *Server) admitted(key string) (*config.Snapshot, *resultcode.Failure) {
+// snapshotForKey returns the active configuration if it contains the key. Before
+// any configuration is active, it fails with ConfigurationAbsent, because a valid
+// key cannot be told from an unknown one. The head must be read before the
+// snapshot: otherwise it could already belong to the first configuration while
+// the snapshot is still empty, and a valid key would be rejected as unknown.
+func (s *Server) snapshotForKey(key string) (*config.Snapshot, *resultcode.Failure) {
 	head := s.Store.Head()
 	snapshot := s.Store.Snapshot()
 	switch {
@@ -110,10 +112,10 @@
 	return nil, resultcode.Fail(resultcode.Unauthenticated, "")
 }
 
-func parseModel(body []byte, parsed *modelRequest) *resultcode.Failure {
+func parseModelRequest(body []byte, parsed *modelRequest) *resultcode.Failure {
 	if !utf8.Valid(body) {
-		// The decoder would put replacement characters in place of what is wrong, and an
-		// engine that is sent the body as it came might read another prompt, or none.
+		// The decoder would substitute replacement characters for invalid bytes, while the
+		// engine receives the body unchanged and might read a different prompt or fail.
 		return resultcode.Fail(resultcode.BadRequest, "the body is not UTF-8")
 	}
 	if err := json.Unmarshal(body, parsed); err != nil {
@@ -131,44 +133,44 @@
 	return nil
 }
 
-// prepareModel sets up the attempt. The engine is always asked to stream, since
-// only a stream can be resumed at its offset; a caller that wants one piece
-// gets the chunks put together.
+// prepareModel sets the functions and the cost of a model job. The engine is
+// always asked for a stream, because only a stream can be resumed at its offset.
+// For a caller that did not ask for a stream the chunks are joined.
 func (s *Server) prepareModel(j *job, r *http.Request, parsed modelRequest, body []byte) *resultcode.Failure {
-	streamed, err := withStream(body)
+	streamBody, err := withStreaming(body)
 	if err != nil {
 		return resultcode.Fail(resultcode.BadRequest, "the body is not a JSON object")
 	}
 	prompt := append(parsed.Prompt[:len(parsed.Prompt):len(parsed.Prompt)], parsed.Messages...)
-	j.prefix = xxhash.Sum64(prompt[:min(len(prompt), prefixBytes)])
-	output := s.estimates.mean(j.grain(), j.service.Document.Limits.MeanCost)
+	j.prefixHash = xxhash.Sum64(prompt[:min(len(prompt), prefixBytes)])
+	output := s.costs.mean(j.estimateKey(), j.service.Document.Limits.MeanCost)
 	if parsed.MaxTokens > 0 {
 		output = min(output, float64(parsed.MaxTokens))
 	}
-	so := &soFar{prompt: float64(len(prompt)) / bytesPerToken, keep: j.preemptible(parsed)}
-	j.cost = so.prompt + output
-	j.stoppable, j.streams = so.keep, parsed.Stream
-	j.served = so.end
-	j.reread = so.reread
+	resume := &resumeState{promptCost: float64(len(prompt)) / bytesPerToken, keepText: j.allowsPreemption(parsed)}
+	j.cost = resume.promptCost + output
+	j.preemptible, j.streaming = resume.keepText, parsed.Stream
+	j.servedCost = resume.endAttempt
+	j.reprocessedTokens = resume.reprocessedTokens
 	path, header := r.URL.Path, http.Header{"Content-Type": {r.Header.Get("Content-Type")}}
 	limits := j.service.Document.Limits
 	var sink modelSink
-	j.finish = func() { sink.end() }
-	j.attempt = func(ctx context.Context, id ident.Attempt, address string) attempt.Result {
-		if !so.begin() {
-			// What a failed attempt has left in the sink must not become a part of
-			// the next one's answer.
+	j.completeResponse = func() { sink.finish() }
+	j.runAttempt = func(ctx context.Context, id ident.Attempt, address string) attempt.Result {
+		if !resume.beginAttempt() {
+			// The output of a failed attempt must not become part of the response
+			// of the next one.
 			sink = newSink(j.w, path, parsed.Stream)
 		}
-		body, err := so.body(streamed)
+		body, err := resume.resumeBody(streamBody)
 		if err != nil {
-			return notRun(resultcode.Fail(resultcode.BadRequest, "").WithCause(err))
+			return notRunResult(resultcode.Fail(resultcode.BadRequest, "").WithCause(err))
 		}
 		return s.Runner.Model(ctx, attempt.ModelRequest{
 			Attempt: id, Address: address, Path: path, Header: header, Body: body, Unrepeatable: !j.repeatable(),
-			FirstTokenTimeout: limits.FirstByteTimeout, NextTokenTimeout: limits.ProgressTimeout, StartOffset: so.tokens,
-		}, &progress{sink: sink, so: so, report: func(tokens int) {
-			s.Placer.Progress(j.w.request, so.cost(tokens))
+			FirstTokenTimeout: limits.FirstByteTimeout, NextTokenTimeout: limits.ProgressTimeout, StartOffset: resume.preemptedTokens,
+		}, &progressReporter{sink: sink, resume: resume, report: func(tokens int) {
+			s.Placer.Progress(j.w.requestID, resume.attemptCost(tokens))
 		}})
 	}
 	return nil
@@ -176,52 +178,53 @@
 
 func newSink(w *response, path string, stream bool) modelSink {
 	if stream {
-		return &streamer{w: w}
+		return &sseWriter{w: w}
 	}
 	return &collector{w: w, chat: path == "/v1/chat/completions"}
 }
 
-// withStream sets "stream": true and leaves every other field as it came.
-func withStream(body []byte) ([]byte, error) {
+// withStreaming sets "stream": true and preserves all other fields.
+func withStreaming(body []byte) ([]byte, error) {
 	return withField(body, "stream", json.RawMessage("true"))
 }
 
-// reportEvery is how many tokens pass between two reports of progress to the
-// scheduler: about one a second at 67 ms between tokens.
-const reportEvery = 16
-
-// progress passes chunks on and reports the tokens from time to time.
-type progress struct {
-	sink     modelSink
-	so       *soFar
-	report   func(tokens int)
-	tokens   int
-	reported int
+// progressReportTokens is the number of tokens between two progress reports to the
+// scheduler: about one report per second at 67 ms per token.
+const progressReportTokens = 16
+
+// progressReporter forwards chunks to a sink and periodically reports the number
+// of tokens.
+type progressReporter struct {
+	sink         modelSink
+	resume       *resumeState
+	report       func(tokens int)
+	tokens       int
+	lastReported int
 }
 
 // Chunk implements attempt.Sink.
-func (p *progress) Chunk(c attempt.Chunk) error {
+func (p *progressReporter) Chunk(c attempt.Chunk) error {
 	p.tokens += c.Tokens
-	if p.tokens-p.reported >= reportEvery {
-		p.reported = p.tokens
+	if p.tokens-p.lastReported >= progressReportTokens {
+		p.lastReported = p.tokens
 		p.report(p.tokens)
 	}
-	if err := p.so.take(c); err != nil {
+	if err := p.resume.addChunk(c); err != nil {
 		return err
 	}
 	return p.sink.Chunk(c)
 }
 
-// models lists the models that the caller's key may use.
-func (s *Server) models(w http.ResponseWriter, r *http.Request) {
-	answer := newResponse(w, ident.NewRequest())
-	key, failure := bearer(r)
+// handleModelList lists the models that the caller's key may use.
+func (s *Server) handleModelList(w http.ResponseWriter, r *http.Request) {
+	resp := newResponse(w, ident.NewRequest())
+	key, failure := bearerToken(r)
 	var snapshot *config.Snapshot
 	if failure == nil {
-		snapshot, failure = s.admitted(key)
+		snapshot, failure = s.snapshotForKey(key)
 	}
 	if failure != nil {
-		s.answerFailure(answer, "", failure)
+		s.writeFailure(resp, "", failure)
 		return
 	}
 	list := modelList{Object: "list", Data: []modelEntry{}}
@@ -233,13 +236,13 @@
 			list.Data = append(list.Data, modelEntry{ID: name, Object: "model", OwnedBy: string(service.Document.Service)})
 		}
 	}
-	text, _ := json.Marshal(list) // strings cannot fail
-	answer.Header().Set("Content-Type", "application/json")
-	answer.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	_, _ = answer.Write(text)
+	text, _ := json.Marshal(list) // marshaling strings cannot fail
+	resp.Header().Set("Content-Type", "application/json")
+	resp.Header().Set("Content-Length", strconv.Itoa(len(text)))
+	_, _ = resp.Write(text)
 }
 
-// modelList is the answer of GET /v1/models.
+// modelList is the response body of GET /v1/models.
 type modelList struct {
 	Object string       `json:"object"`
 	Data   []modelEntry `json:"data"`
--- a/internal/ingress/model_test.go
+++ b/internal/ingress/model_test.go
@@ -8,14 +8,14 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-// A caller sends a prompt in another encoding. It was taken as valid, and the engine, which
-// reads the bytes as they came, answered another prompt or failed. The caller has to hear of
-// it before anything runs.
-func TestABodyThatIsNotUTF8IsRefused(t *testing.T) {
+// A prompt in another encoding used to be accepted, and the engine, which receives the
+// bytes unchanged, answered a different prompt or failed. Such a request must be rejected
+// before anything runs.
+func TestNonUTF8BodyIsRejected(t *testing.T) {
 	is := is.New(t)
 	var parsed modelRequest
-	failure := parseModel([]byte("{\"model\":\"m\",\"prompt\":\"d\xe9p\xf4t\"}"), &parsed)
+	failure := parseModelRequest([]byte("{\"model\":\"m\",\"prompt\":\"d\xe9p\xf4t\"}"), &parsed)
 	is.True(failure != nil)
 	is.Equal(failure.Code, resultcode.BadRequest)
-	is.Equal(parseModel([]byte(`{"model":"m","prompt":"dépôt"}`), &parsed), nil)
+	is.Equal(parseModelRequest([]byte(`{"model":"m","prompt":"dépôt"}`), &parsed), nil)
 }
--- a/internal/ingress/place.go
+++ b/internal/ingress/place.go
@@ -18,63 +18,65 @@
 	"github.com/savorystall/savorystall/internal/telemetry"
 )
 
-// place queues a job until it has a target and runs it there. A failed attempt
-// is followed by another, on another target, where the retry policy allows it.
-func (s *Server) place(ctx context.Context, j *job, hold *claim.Hold) *resultcode.Failure {
+// runAttempts queues a job until a target is assigned and runs it there. If the
+// attempt fails and the retry policy allows it, the job is retried on another
+// target. A preempted job is queued again.
+func (s *Server) runAttempts(ctx context.Context, j *job, hold *claim.Hold) *resultcode.Failure {
 	if !j.deadline.IsZero() {
 		bounded, cancel := context.WithDeadline(ctx, j.deadline)
 		defer cancel()
 		ctx = bounded
 	}
 	request := scheduler.Request{
-		ID: j.w.request, Service: j.name(), Workspace: j.workspace,
-		Class: class(j.operation.Class), Cost: j.cost, Deadline: j.deadline, Prefix: j.prefix,
-		Preemptible: j.stoppable,
+		ID: j.w.requestID, Service: j.serviceName(), Workspace: j.workspace,
+		Class: schedulerClass(j.operation.Class), Cost: j.cost, Deadline: j.deadline, Prefix: j.prefixHash,
+		Preemptible: j.preemptible,
 	}
-	s.retries.accepted(j.name())
-	var tried history
+	s.retryPolicies.accepted(j.serviceName())
+	var history attemptHistory
 	for {
-		placed := s.wait(ctx, j, request, tried.attempts+j.stops > 0)
+		placed := s.awaitPlacement(ctx, j, request, history.attempts+j.preemptions > 0)
 		if placed.Failure != nil {
-			return tried.add(notRun(placed.Failure)).Failure
+			return history.add(notRunResult(placed.Failure)).Failure
 		}
 		target := placed.Target
-		last := s.try(ctx, j, placed, hold)
+		last := s.dispatch(ctx, j, placed, hold)
 		if last.Preempted {
-			tried.stopped(last)
-			request.Preemptions, request.PriorServed = j.stops, j.earlier
+			history.addPreempted(last)
+			request.Preemptions, request.PriorServed = j.preemptions, j.priorServed
 			continue
 		}
-		total := tried.add(last)
-		if last.Failure == nil || !s.again(ctx, j, hold, last, tried) {
-			return total.Failure
+		overall := history.add(last)
+		if last.Failure == nil || !s.retryAfterBackoff(ctx, j, hold, last, history) {
+			return overall.Failure
 		}
-		request.Avoid = avoid(request.Avoid, target, len(j.service.Document.Targets))
-		s.Metrics.Retry(j.name())
+		request.Avoid = extendAvoided(request.Avoid, target, len(j.service.Document.Targets))
+		s.Metrics.Retry(j.serviceName())
 	}
 }
 
-// avoid adds a target to those that the next attempt must not use. Once every
-// target has failed, all but the last are allowed again: a request that avoids
-// all of them would wait until its deadline beside idle slots.
-func avoid(tried []ident.Target, last ident.Target, targets int) []ident.Target {
+// extendAvoided adds a failed target to those that the next attempt must not use.
+// Once every target has failed, all except the last one are allowed again: a
+// request that avoids all targets would wait until its deadline although there
+// are idle slots.
+func extendAvoided(avoided []ident.Target, failed ident.Target, targetCount int) []ident.Target {
 	switch {
-	case len(tried)+1 < targets:
-		return append(tried, last)
-	case targets > 1:
-		return []ident.Target{last}
+	case len(avoided)+1 < targetCount:
+		return append(avoided, failed)
+	case targetCount > 1:
+		return []ident.Target{failed}
 	}
 	return nil
 }
 
-// again tells whether another attempt follows, after the wait that goes before
-// it.
-func (s *Server) again(ctx context.Context, j *job, hold *claim.Hold, last attempt.Result, tried history) bool {
-	decision := s.retries.decide(j.name(), retry.Attempt{
+// retryAfterBackoff reports whether to make another attempt. If so, it returns
+// after the backoff.
+func (s *Server) retryAfterBackoff(ctx context.Context, j *job, hold *claim.Hold, last attempt.Result, history attemptHistory) bool {
+	decision := s.retryPolicies.decide(j.serviceName(), retry.Attempt{
 		Outcome: last.Outcome, Status: last.Status,
-		Attempts: tried.attempts, Runs: tried.runs,
+		Attempts: history.attempts, Runs: history.runs,
 		Delivered: j.delivered(last), Repeatable: j.repeatable(),
-		CallerGone: ctx.Err() != nil, TimeLeft: j.left(time.Now()),
+		CallerGone: ctx.Err() != nil, TimeLeft: j.timeLeft(time.Now()),
 	})
 	if !decision.Retry {
 		return false
@@ -92,67 +94,68 @@
 	}
 }
 
-// wait holds the job in its queue until a target is granted.
-func (s *Server) wait(ctx context.Context, j *job, request scheduler.Request, again bool) control.Assignment {
-	queued, span := s.Tracing.Start(ctx, telemetry.SpanQueue)
+// awaitPlacement queues the job until a target is granted.
+func (s *Server) awaitPlacement(ctx context.Context, j *job, request scheduler.Request, requeue bool) control.Assignment {
+	queueCtx, span := s.Tracing.Start(ctx, telemetry.SpanQueue)
 	defer span.End()
-	began := time.Now()
-	alive := j.keepAlive(pauseHeartbeat)
-	placed := s.Placer.Place(ctx, request, again)
-	alive()
+	queuedAt := time.Now()
+	stopHeartbeat := j.startHeartbeat(heartbeatInterval)
+	placed := s.Placer.Place(ctx, request, requeue)
+	stopHeartbeat()
 	if placed.Failure != nil {
-		return control.Assignment{Failure: s.waitFailure(ctx, placed.Failure)}
+		return control.Assignment{Failure: s.placementFailure(ctx, placed.Failure)}
 	}
-	_, grant := s.Tracing.Start(queued, telemetry.SpanGrant, trace.WithAttributes(
+	_, grant := s.Tracing.Start(queueCtx, telemetry.SpanGrant, trace.WithAttributes(
 		attribute.String("target", string(placed.Target)),
 	))
 	grant.End()
-	s.Metrics.Wait(j.name(), string(j.operation.Class), time.Since(began))
+	s.Metrics.Wait(j.serviceName(), string(j.operation.Class), time.Since(queuedAt))
 	return placed
 }
 
-// waitFailure tells a passed deadline from a caller that left.
-func (s *Server) waitFailure(ctx context.Context, f *resultcode.Failure) *resultcode.Failure {
+// placementFailure distinguishes an expired deadline from a caller that
+// disconnected.
+func (s *Server) placementFailure(ctx context.Context, f *resultcode.Failure) *resultcode.Failure {
 	if f.Code == resultcode.CallerGone && ctx.Err() == context.DeadlineExceeded {
 		return resultcode.Fail(resultcode.DeadlinePassed, "")
 	}
 	return f
 }
 
-// try runs one attempt on a granted target and gives the slot back.
-func (s *Server) try(ctx context.Context, j *job, placed control.Assignment, hold *claim.Hold) attempt.Result {
+// dispatch runs one attempt on the granted target and then releases the slot.
+func (s *Server) dispatch(ctx context.Context, j *job, placed control.Assignment, hold *claim.Hold) attempt.Result {
 	target := placed.Target
-	to, known := address(j.service, target)
-	if current, ok := s.Store.Snapshot().Service(j.name()); ok && !known {
-		to, known = address(current, target)
+	address, known := targetAddress(j.service, target)
+	if current, ok := s.Store.Snapshot().Service(j.serviceName()); ok && !known {
+		address, known = targetAddress(current, target)
 	}
 	if !known {
-		s.Placer.Finish(j.w.request, scheduler.Result{NotRun: true})
-		return notRun(resultcode.Fail(resultcode.NoTarget, "target %s has no address", target))
+		s.Placer.Finish(j.w.requestID, scheduler.Result{NotRun: true})
+		return notRunResult(resultcode.Fail(resultcode.NoTarget, "target %s has no address", target))
 	}
 	if hold != nil {
 		if err := hold.Start(time.Now()); err != nil {
-			s.Placer.Finish(j.w.request, scheduler.Result{NotRun: true})
-			return notRun(asFailure(err))
+			s.Placer.Finish(j.w.requestID, scheduler.Result{NotRun: true})
+			return notRunResult(asFailure(err))
 		}
 	}
-	ended := false
+	finished := false
 	defer func() {
-		// A panic on the way would keep the slot for good.
-		if !ended {
-			s.Placer.Finish(j.w.request, scheduler.Result{})
+		// After a panic the slot would otherwise never be released.
+		if !finished {
+			s.Placer.Finish(j.w.requestID, scheduler.Result{})
 		}
 	}()
-	ctx, end := stoppable(ctx, placed.Preempted)
-	defer end()
-	result := j.attempt(ctx, ident.NewAttempt(), to)
-	ended = true
-	s.report(j, target, result)
+	ctx, stopWatching := withPreemption(ctx, placed.Preempted)
+	defer stopWatching()
+	result := j.runAttempt(ctx, ident.NewAttempt(), address)
+	finished = true
+	s.reportResult(j, target, result)
 	return result
 }
 
-// address finds a target in a document.
-func address(service *config.Service, target ident.Target) (string, bool) {
+// targetAddress returns the address of a target according to the service document.
+func targetAddress(service *config.Service, target ident.Target) (string, bool) {
 	for _, t := range service.Document.Targets {
 		if t.Name == target {
 			return t.Address, true
@@ -161,7 +164,7 @@
 	return "", false
 }
 
-func notRun(f *resultcode.Failure) attempt.Result {
+func notRunResult(f *resultcode.Failure) attempt.Result {
 	return attempt.Result{Outcome: resultcode.NotRun, Failure: f}
 }
 
@@ -172,10 +175,10 @@
 	return resultcode.Fail(resultcode.StoreUnavailable, "").WithCause(err)
 }
 
-// report tells the scheduler and the metrics how an attempt ended.
-func (s *Server) report(j *job, target ident.Target, result attempt.Result) {
-	served := j.served(result)
-	s.Placer.Finish(j.w.request, scheduler.Result{
+// reportResult reports the result of an attempt to the scheduler and the metrics.
+func (s *Server) reportResult(j *job, target ident.Target, result attempt.Result) {
+	served := j.servedCost(result)
+	s.Placer.Finish(j.w.requestID, scheduler.Result{
 		Served:    served,
 		Elapsed:   result.Elapsed,
 		FirstByte: result.FirstByte,
@@ -184,21 +187,21 @@
 		Preempted: result.Preempted,
 	})
 	if result.Leaving {
-		s.Placer.TargetHealth(j.name(), target, scheduler.HealthLeaving)
+		s.Placer.TargetHealth(j.serviceName(), target, scheduler.HealthLeaving)
 	}
 	if result.Preempted {
-		j.stops++
-		j.earlier += served
-		s.Metrics.Preempted(j.name(), j.reread())
+		j.preemptions++
+		j.priorServed += served
+		s.Metrics.Preempted(j.serviceName(), j.reprocessedTokens())
 	}
 	if result.Outcome == resultcode.NotRun {
 		return
 	}
-	if result.FirstByte > 0 && j.stops == 0 {
-		s.Metrics.First(j.name(), result.FirstByte)
+	if result.FirstByte > 0 && j.preemptions == 0 {
+		s.Metrics.First(j.serviceName(), result.FirstByte)
 	}
-	s.Metrics.Served(j.name(), j.workspace, int64(served))
+	s.Metrics.Served(j.serviceName(), j.workspace, int64(served))
 	if result.Failure == nil {
-		s.estimates.observe(j.grain(), j.earlier+served)
+		s.costs.observe(j.estimateKey(), j.priorServed+served)
 	}
 }
--- a/internal/ingress/plain.go
+++ b/internal/ingress/plain.go
@@ -13,23 +13,23 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-// plain serves the calls of plain services.
-func (s *Server) plain(w http.ResponseWriter, r *http.Request) {
-	answer := newResponse(w, ident.NewRequest())
-	j, failure := s.acceptPlain(answer, r)
+// handlePlain serves requests to plain services.
+func (s *Server) handlePlain(w http.ResponseWriter, r *http.Request) {
+	resp := newResponse(w, ident.NewRequest())
+	j, failure := s.acceptPlain(resp, r)
 	if failure != nil {
-		s.answerFailure(answer, ident.Service(mux.Vars(r)["service"]), failure)
+		s.writeFailure(resp, ident.Service(mux.Vars(r)["service"]), failure)
 		return
 	}
 	s.run(r, j)
 }
 
 func (s *Server) acceptPlain(w *response, r *http.Request) (*job, *resultcode.Failure) {
-	key, failure := bearer(r)
+	key, failure := bearerToken(r)
 	if failure != nil {
 		return nil, failure
 	}
-	snapshot, failure := s.admitted(key)
+	snapshot, failure := s.snapshotForKey(key)
 	if failure != nil {
 		return nil, failure
 	}
@@ -38,43 +38,43 @@
 	if !ok || service.Document.Kind != document.Plain {
 		return nil, resultcode.Fail(resultcode.UnknownService, "service %q", name)
 	}
-	ws, failure := identify(snapshot, service, key)
+	ws, failure := authenticate(snapshot, service, key)
 	if failure != nil {
 		return nil, failure
 	}
-	// The target gets the escaped path, so that is what is judged: an encoded
-	// slash could make an unrepeatable operation pass for another.
-	escaped, prefixed := strings.CutPrefix(r.URL.EscapedPath(), "/services/"+name)
-	decoded, clear := document.DecodePath(escaped)
-	if !prefixed || !clear {
+	// The target receives the escaped path, so the operation is derived from that:
+	// an encoded slash could disguise a non-idempotent operation as another one.
+	escapedPath, hasPrefix := strings.CutPrefix(r.URL.EscapedPath(), "/services/"+name)
+	decodedPath, valid := document.DecodePath(escapedPath)
+	if !hasPrefix || !valid {
 		return nil, resultcode.Fail(resultcode.UnknownOperation, "%s %s", r.Method, r.URL.EscapedPath())
 	}
-	op, ok := service.Operation(r.Method, decoded)
+	op, ok := service.Operation(r.Method, decodedPath)
 	if !ok {
-		if len(service.AllowedMethods(decoded)) > 0 {
+		if len(service.AllowedMethods(decodedPath)) > 0 {
 			return nil, resultcode.Fail(resultcode.MethodNotAllowed, "%s", r.Method)
 		}
-		return nil, resultcode.Fail(resultcode.UnknownOperation, "%s %s", r.Method, decoded)
+		return nil, resultcode.Fail(resultcode.UnknownOperation, "%s %s", r.Method, decodedPath)
 	}
 	body, failure := s.readBody(w, r, service.Document.Limits.BodyBytes)
 	if failure != nil {
 		return nil, failure
 	}
 	j := s.newJob(w, r, service, ws, op)
-	j.digest = digestOf(r, op.Name, body)
+	j.digest = requestDigest(r, op.Name, body)
 	s.preparePlain(j, r, body)
 	return j, nil
 }
 
 func (s *Server) preparePlain(j *job, r *http.Request, body []byte) {
-	j.cost = s.estimates.mean(j.grain(), j.service.Document.Limits.MeanCost)
-	j.served = func(result attempt.Result) float64 { return float64(result.Elapsed.Milliseconds()) }
-	j.finish = func() { j.w.WriteHeader(http.StatusOK) }
-	path := strings.TrimPrefix(r.URL.EscapedPath(), "/services/"+string(j.name()))
+	j.cost = s.costs.mean(j.estimateKey(), j.service.Document.Limits.MeanCost)
+	j.servedCost = func(result attempt.Result) float64 { return float64(result.Elapsed.Milliseconds()) }
+	j.completeResponse = func() { j.w.WriteHeader(http.StatusOK) }
+	path := strings.TrimPrefix(r.URL.EscapedPath(), "/services/"+string(j.serviceName()))
 	if path == "" {
 		path = "/"
 	}
-	j.attempt = func(ctx context.Context, id ident.Attempt, address string) attempt.Result {
+	j.runAttempt = func(ctx context.Context, id ident.Attempt, address string) attempt.Result {
 		return s.Runner.Plain(ctx, attempt.PlainRequest{
 			Attempt: id, Address: address, Method: r.Method, Path: path, RawQuery: r.URL.RawQuery,
 			Header: r.Header, Body: body, Unrepeatable: !j.repeatable(),
--- a/internal/ingress/respond.go
+++ b/internal/ingress/respond.go
@@ -13,12 +13,12 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-// errorBody is the JSON of every refusal and failure.
+// errorBody is the JSON body of every error response.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
 
-// errorDetail tells a caller what happened and whether its request was run.
+// errorDetail describes the failure and whether the request was run.
 type errorDetail struct {
 	Code    int                `json:"code"`
 	Name    string             `json:"name"`
@@ -27,27 +27,27 @@
 	Request ident.Request      `json:"request"`
 }
 
-// response is the way back to one caller. It remembers whether the header has
-// gone, and keeps a bounded copy of the answer where one is wanted.
+// response wraps the ResponseWriter of one request. It tracks whether the header
+// was written, and records a size-limited copy of the body if recorded is set.
 type response struct {
 	http.ResponseWriter
-	request ident.Request
-	began   bool
-	status  int
-	record  *record
+	requestID   ident.Request
+	wroteHeader bool
+	status      int
+	recorded    *recordedBody
 }
 
 func newResponse(w http.ResponseWriter, id ident.Request) *response {
-	w.Header().Set(HeaderRequest, string(id))
-	return &response{ResponseWriter: w, request: id}
+	w.Header().Set(HeaderRequestID, string(id))
+	return &response{ResponseWriter: w, requestID: id}
 }
 
 // WriteHeader implements http.ResponseWriter.
 func (r *response) WriteHeader(status int) {
-	if r.began {
+	if r.wroteHeader {
 		return
 	}
-	r.began = true
+	r.wroteHeader = true
 	r.status = status
 	r.ResponseWriter.WriteHeader(status)
 }
@@ -55,17 +55,17 @@
 // Write implements http.ResponseWriter.
 func (r *response) Write(b []byte) (int, error) {
 	r.WriteHeader(http.StatusOK)
-	if r.record == nil {
+	if r.recorded == nil {
 		return r.ResponseWriter.Write(b)
 	}
-	// An unrepeatable run goes on to its end without its caller, whose repeat
-	// gets the recorded answer: a failed write must not cancel it.
-	r.record.add(b)
+	// A failed write must not cancel a non-idempotent run: it continues if the
+	// caller disconnects, and a retry of the caller gets the recorded response.
+	r.recorded.add(b)
 	_, _ = r.ResponseWriter.Write(b)
 	return len(b), nil
 }
 
-// Flush sends what was written so far.
+// Flush sends buffered data to the caller.
 func (r *response) Flush() {
 	if f, ok := r.ResponseWriter.(http.Flusher); ok {
 		f.Flush()
@@ -77,22 +77,22 @@
 	if f.Detail != "" {
 		message += ": " + f.Detail
 	}
-	// Marshalling strings and numbers cannot fail.
+	// Marshaling strings and numbers cannot fail.
 	text, _ := json.Marshal(errorBody{errorDetail{
 		Code: f.Code.Number, Name: f.Code.Name, Message: message, Run: f.Code.Outcome, Request: id,
 	}})
 	return text
 }
 
-// answerFailure gives a request its final answer at once. Where the answer has
-// begun, the connection is aborted instead: a body that ends regularly would
-// look like a short success.
-func (s *Server) answerFailure(w *response, service ident.Service, f *resultcode.Failure) {
+// writeFailure writes the error response of a request. If the response has already
+// started, it aborts the connection instead: a body that ends normally would look
+// like a short successful response.
+func (s *Server) writeFailure(w *response, service ident.Service, f *resultcode.Failure) {
 	s.Metrics.Request(service, strconv.Itoa(f.Code.Number))
 	if f.Code.Outcome != resultcode.NotRun {
-		event.RequestFailed.Log(s.Log, "request", w.request, "service", service, "error", f.Error())
+		event.RequestFailed.Log(s.Log, "request", w.requestID, "service", service, "error", f.Error())
 	}
-	if w.began {
+	if w.wroteHeader {
 		panic(http.ErrAbortHandler)
 	}
 	header := w.Header()
@@ -104,36 +104,37 @@
 		header.Set("WWW-Authenticate", "Bearer")
 	}
 	w.WriteHeader(f.Code.HTTPStatus)
-	_, _ = w.Write(append(failureJSON(w.request, f), '\n'))
+	_, _ = w.Write(append(failureJSON(w.requestID, f), '\n'))
 }
 
-// recover turns a panic of a handler into a logged failure. Without it a defect
-// on one request would show as a bare closed connection.
-func (s *Server) recover(w http.ResponseWriter, r *http.Request) {
-	cause := recover()
-	if cause == nil {
+// recoverPanic logs a panic of a handler and aborts the connection. Otherwise a
+// defect triggered by one request would only be visible as a closed connection.
+func (s *Server) recoverPanic(w http.ResponseWriter, r *http.Request) {
+	panicValue := recover()
+	if panicValue == nil {
 		return
 	}
-	if cause == http.ErrAbortHandler {
-		panic(cause)
+	if panicValue == http.ErrAbortHandler {
+		panic(panicValue)
 	}
-	event.RequestPanic.Log(s.Log, "path", r.URL.Path, "panic", cause, "stack", string(debug.Stack()))
+	event.RequestPanic.Log(s.Log, "path", r.URL.Path, "panic", panicValue, "stack", string(debug.Stack()))
 	panic(http.ErrAbortHandler)
 }
 
-// recordLimit bounds the answer that is kept for repeats of an unrepeatable
-// request; a larger one is answered as already run.
-const recordLimit = claim.DefaultMaxResponseBytes
+// maxRecordedBytes limits the response body that is stored for retries of a
+// non-idempotent request. If the response was larger, a retry fails with the code
+// for a request that has already run.
+const maxRecordedBytes = claim.DefaultMaxResponseBytes
 
-// record is a bounded copy of an answer's body.
-type record struct {
+// recordedBody is a size-limited copy of a response body.
+type recordedBody struct {
 	body     []byte
-	overflow bool
+	tooLarge bool
 }
 
-func (r *record) add(b []byte) {
-	if r.overflow || len(r.body)+len(b) > recordLimit {
-		r.overflow, r.body = true, nil
+func (r *recordedBody) add(b []byte) {
+	if r.tooLarge || len(r.body)+len(b) > maxRecordedBytes {
+		r.tooLarge, r.body = true, nil
 		return
 	}
 	r.body = append(r.body, b...)
--- a/internal/ingress/retries.go
+++ b/internal/ingress/retries.go
@@ -12,21 +12,21 @@
 	"github.com/savorystall/savorystall/internal/retry"
 )
 
-// retries holds the retry policy of each service.
-type retries struct {
+// retryPolicies holds the retry policy of each service.
+type retryPolicies struct {
 	mu       sync.Mutex
 	rng      *rand.Rand
 	policies map[ident.Service]*retry.Policy
 }
 
-func newRetries() *retries {
-	return &retries{
+func newRetryPolicies() *retryPolicies {
+	return &retryPolicies{
 		rng:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		policies: map[ident.Service]*retry.Policy{},
 	}
 }
 
-func (r *retries) policy(service ident.Service) *retry.Policy {
+func (r *retryPolicies) forService(service ident.Service) *retry.Policy {
 	p := r.policies[service]
 	if p == nil {
 		p = retry.New(retry.Config{})
@@ -35,61 +35,61 @@
 	return p
 }
 
-func (r *retries) accepted(service ident.Service) {
+func (r *retryPolicies) accepted(service ident.Service) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.policy(service).Accepted()
+	r.forService(service).Accepted()
 }
 
-func (r *retries) decide(service ident.Service, a retry.Attempt) retry.Decision {
+func (r *retryPolicies) decide(service ident.Service, a retry.Attempt) retry.Decision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.policy(service).Decide(a, r.rng)
+	return r.forService(service).Decide(a, r.rng)
 }
 
-// history is what the attempts of one request add up to.
-type history struct {
+// attemptHistory summarizes the attempts of one request.
+type attemptHistory struct {
 	attempts, runs int
-	// worst is the result to answer with where the last attempt did not run
-	// but an earlier one may have.
-	worst *attempt.Result
+	// lastRun is the result of the last attempt that may have run. It is the result
+	// of the request if a later attempt fails without running.
+	lastRun *attempt.Result
 }
 
-// add notes an attempt and returns the result that stands for all of them. The
-// last attempt's outcome alone would tell a caller that its request was not run
-// though an earlier attempt may have run it.
-func (h *history) add(result attempt.Result) attempt.Result {
+// add records an attempt and returns the combined result of all attempts. The
+// outcome of the last attempt alone could tell the caller that its request was
+// not run although an earlier attempt may have run it.
+func (h *attemptHistory) add(result attempt.Result) attempt.Result {
 	h.attempts++
 	if result.Outcome != resultcode.NotRun {
 		h.runs++
-		h.worst = &result
+		h.lastRun = &result
 		return result
 	}
-	if h.worst != nil && result.Failure != nil {
-		return *h.worst
+	if h.lastRun != nil && result.Failure != nil {
+		return *h.lastRun
 	}
 	return result
 }
 
-// stopped notes an attempt that was stopped for another request. It is no
-// failure and uses up no retry, but a part of it ran.
-func (h *history) stopped(result attempt.Result) {
+// addPreempted records an attempt that was stopped in favor of another request.
+// It is not a failure and does not count as a retry, but part of it ran.
+func (h *attemptHistory) addPreempted(result attempt.Result) {
 	if result.Outcome != resultcode.NotRun {
-		h.worst = &result
+		h.lastRun = &result
 	}
 }
 
-// delivered tells whether a part of the answer was handed over that the next
-// attempt would repeat. One that goes on after earlier attempts repeats nothing
-// of theirs.
+// delivered reports whether the caller received a part of the response that the
+// next attempt would repeat. An attempt that resumes preempted ones does not
+// repeat their output.
 func (j *job) delivered(last attempt.Result) bool {
-	if j.earlier > 0 {
+	if j.priorServed > 0 {
 		return last.Tokens > 0
 	}
-	return j.w.began
+	return j.w.wroteHeader
 }
 
-// repeatable tells whether running the job twice does no harm.
+// repeatable reports whether running the job twice does no harm.
 func (j *job) repeatable() bool {
 	if j.operation.Unrepeatable {
 		return false
@@ -97,7 +97,7 @@
 	return j.service.Document.Kind == document.Model || retry.RepeatableMethod(j.method)
 }
 
-func (j *job) left(now time.Time) time.Duration {
+func (j *job) timeLeft(now time.Time) time.Duration {
 	if j.deadline.IsZero() {
 		return retry.NoDeadline
 	}
--- a/internal/ingress/sink.go
+++ b/internal/ingress/sink.go
@@ -9,21 +9,21 @@
 	"github.com/savorystall/savorystall/internal/attempt"
 )
 
-// modelSink takes the chunks of one answer.
+// modelSink receives the chunks of one response.
 type modelSink interface {
 	attempt.Sink
-	// end writes what follows the last chunk of a complete answer.
-	end()
+	// finish writes what follows the last chunk of a complete response.
+	finish()
 }
 
-// streamer passes chunks on as server-sent events.
-type streamer struct {
+// sseWriter writes chunks as server-sent events.
+type sseWriter struct {
 	w *response
 }
 
 // Chunk implements attempt.Sink.
-func (s *streamer) Chunk(c attempt.Chunk) error {
-	s.begin()
+func (s *sseWriter) Chunk(c attempt.Chunk) error {
+	s.setHeader()
 	event := make([]byte, 0, len(c.Data)+32)
 	event = append(event, "id: "...)
 	event = strconv.AppendUint(event, c.Offset, 10)
@@ -37,8 +37,8 @@
 	return nil
 }
 
-func (s *streamer) begin() {
-	if s.w.began {
+func (s *sseWriter) setHeader() {
+	if s.w.wroteHeader {
 		return
 	}
 	header := s.w.Header()
@@ -46,23 +46,23 @@
 	header.Set("Cache-Control", "no-store")
 }
 
-func (s *streamer) end() {
-	s.begin()
+func (s *sseWriter) finish() {
+	s.setHeader()
 	_, _ = s.w.Write([]byte("data: [DONE]\n\n"))
 	s.w.Flush()
 }
 
-// collector puts the chunks of an answer together for a caller that did not
-// ask for a stream.
+// collector joins the chunks of a response for a caller that did not ask for a
+// stream.
 type collector struct {
-	w       *response
-	chat    bool
-	first   chunkJSON
-	usage   json.RawMessage
-	choices []*choice
+	w          *response
+	chat       bool
+	firstChunk chunkJSON
+	usage      json.RawMessage
+	choices    []*choice
 }
 
-// chunkJSON is one chunk of an engine, and the frame of a whole answer.
+// chunkJSON is one chunk from an engine. It also serves as the complete response.
 type chunkJSON struct {
 	ID      string          `json:"id"`
 	Object  string          `json:"object"`
@@ -90,8 +90,8 @@
 	reason *string
 }
 
-// maxChoices bounds the answers of one request; an engine that sends a higher
-// index breaks the protocol.
+// maxChoices limits the number of choices per request. A higher index from an
+// engine is a protocol error.
 const maxChoices = 128
 
 type protocolError string
@@ -105,8 +105,8 @@
 	if err := json.Unmarshal(chunk.Data, &parsed); err != nil {
 		return err
 	}
-	if c.first.ID == "" {
-		c.first = parsed
+	if c.firstChunk.ID == "" {
+		c.firstChunk = parsed
 	}
 	if len(parsed.Usage) > 0 {
 		c.usage = parsed.Usage
@@ -139,31 +139,31 @@
 	}
 }
 
-func (c *collector) end() {
-	whole := c.first
-	whole.Object = "text_completion"
+func (c *collector) finish() {
+	completion := c.firstChunk
+	completion.Object = "text_completion"
 	if c.chat {
-		whole.Object = "chat.completion"
+		completion.Object = "chat.completion"
 	}
-	whole.Usage = c.usage
-	whole.Choices = whole.Choices[:0:0]
+	completion.Usage = c.usage
+	completion.Choices = completion.Choices[:0:0]
 	for i, choice := range c.choices {
-		whole.Choices = append(whole.Choices, c.joined(i, choice))
+		completion.Choices = append(completion.Choices, c.completeChoice(i, choice))
 	}
-	text, _ := json.Marshal(whole) // strings and numbers cannot fail
+	text, _ := json.Marshal(completion) // marshaling strings and numbers cannot fail
 	c.w.Header().Set("Content-Type", "application/json")
 	c.w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	c.w.WriteHeader(http.StatusOK)
 	_, _ = c.w.Write(text)
 }
 
-func (c *collector) joined(index int, part *choice) choiceJSON {
+func (c *collector) completeChoice(index int, part *choice) choiceJSON {
 	text := part.text.String()
-	joined := choiceJSON{Index: index, FinishReason: part.reason}
+	complete := choiceJSON{Index: index, FinishReason: part.reason}
 	if c.chat {
-		joined.Message = &messageJSON{Role: "assistant", Content: text}
-		return joined
+		complete.Message = &messageJSON{Role: "assistant", Content: text}
+		return complete
 	}
-	joined.Text = &text
-	return joined
+	complete.Text = &text
+	return complete
 }
--- a/internal/targetconn/exchange.go
+++ b/internal/targetconn/exchange.go
@@ -14,133 +14,137 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Request is one request to a target. Its body is whole.
+// Request is one request to a target, with its complete body.
 type Request struct {
 	Method string
-	// Target is the request target as it stands on the first line, escaped.
-	Target string
-	// Host is the Host header.
+	// RequestTarget is the escaped request target of the request line.
+	RequestTarget string
+	// Host is the value of the Host header.
 	Host   string
 	Header http.Header
-	// Complete sets the headers that depend on the time, once there is a connection; it may
-	// be nil.
-	Complete func(h http.Header)
-	Body     []byte
-	// Connections bounds the connections to the address; zero means no bound.
-	Connections int
-	// Mine tells whether the answer with these headers belongs to the request.
-	Mine func(status int, h http.Header) bool
-	// Foreign is told of each answer that did not; it may be nil.
-	Foreign func()
-	// Abandoned tells, right before the request is sent, whether nobody waits for its
-	// answer any more; it may be nil.
-	Abandoned func() bool
-	// Watch calls end once when nobody waits for the answer any more, until stop is called,
-	// which tells that end was not called; it may be nil. End does not block.
-	Watch func(end func()) (stop func() bool)
+	// SetHeaders sets the headers that depend on the time. It is called after a connection
+	// was obtained, and may be nil.
+	SetHeaders func(h http.Header)
+	Body       []byte
+	// MaxConnections limits the connections to the address; zero means no limit.
+	MaxConnections int
+	// MatchesResponse reports whether the response with this status and header belongs to the
+	// request. If it is nil, every response does.
+	MatchesResponse func(status int, h http.Header) bool
+	// OnMismatch is called for each response that does not belong to the request; it may be
+	// nil.
+	OnMismatch func()
+	// CallerGone is called immediately before the request is sent and reports whether nobody
+	// waits for its response any more; it may be nil.
+	CallerGone func() bool
+	// WatchCaller arranges for end to be called once when nobody waits for the response any
+	// more. Stop cancels this and reports whether end was not called. End does not block.
+	// WatchCaller may be nil.
+	WatchCaller func(end func()) (stop func() bool)
 }
 
-// Exchange is a request whose answer has begun.
+// Exchange is a request together with the response that it has started to receive.
 type Exchange struct {
-	// Response is the answer. Its body is read through Read.
-	Response *http.Response
-	pool     *Pool
-	conn     *conn
-	stop     func() bool
-	// written is closed when the request's body has left, or failed to.
+	// Response is the response. Its body must be read through Read.
+	Response     *http.Response
+	pool         *Pool
+	conn         *conn
+	stopWatching func() bool
+	// written is closed when the request body was written or the write failed.
 	written  chan struct{}
 	writeErr error
 	ended    bool
 }
 
-// maxForeign is how many answers to other requests are passed over before the
-// connection is given up.
-const maxForeign = 2
+// maxMismatches is the number of responses to other requests that are skipped
+// before the connection is closed.
+const maxMismatches = 2
 
-// ErrAbandoned is the cause where nobody waited for the answer any more.
-var ErrAbandoned = errors.New("nobody waits for the answer any more")
+// ErrCallerGone is the cause of the error if nobody waits for the response any more.
+var ErrCallerGone = errors.New("the caller no longer waits for the response")
 
-var errForeign = merry.New("the answers on the connection belong to other requests")
+var errMismatch = merry.New("the responses on the connection belong to other requests")
 
-// Do sends a request and waits for the header of its answer. The error is an
-// *Unsent where no byte has left; any other means that the target may have run
-// the request. When ctx ends, the connection is closed, which makes a target
-// drop the request.
+// Do sends a request and waits for the header of its response. The error is an
+// *UnsentError if no byte was sent; after any other error the target may have run
+// the request. When ctx ends, the connection is closed, which makes the target
+// cancel the request.
 func (p *Pool) Do(ctx context.Context, address string, r Request) (*Exchange, error) {
 	if err := ctx.Err(); err != nil {
-		return nil, &Unsent{Cause: err}
+		return nil, &UnsentError{Cause: err}
 	}
-	c, err := p.connect(ctx, address, r.Connections)
+	c, err := p.connect(ctx, address, r.MaxConnections)
 	if err != nil {
 		return nil, err
 	}
 	x := &Exchange{pool: p, conn: c, written: make(chan struct{})}
-	x.stop = r.endsWith(ctx, c)
-	if r.Complete != nil {
-		r.Complete(r.Header)
+	x.stopWatching = r.closeOnCancel(ctx, c)
+	if r.SetHeaders != nil {
+		r.SetHeaders(r.Header)
 	}
-	first, rest := r.text()
-	// Last of all: on a daemon short of processor time each lock and each piece of memory may
-	// cost a turn, in which the caller leaves.
-	if r.Abandoned != nil && r.Abandoned() {
-		x.abandon()
-		return nil, &Unsent{Cause: ErrAbandoned}
+	first, rest := r.encode()
+	// This check comes last: on a daemon short of CPU time every lock and every allocation may
+	// cause a scheduling delay, during which the caller may disconnect.
+	if r.CallerGone != nil && r.CallerGone() {
+		x.cancelUnsent()
+		return nil, &UnsentError{Cause: ErrCallerGone}
 	}
 	sent, err := x.send(first, rest)
 	if err != nil && !sent {
-		x.drop()
-		return nil, &Unsent{Cause: err}
+		x.terminate()
+		return nil, &UnsentError{Cause: err}
 	}
 	if err == nil {
-		err = x.receive(&r)
+		err = x.readResponse(&r)
 	}
 	if err != nil {
-		x.drop()
+		x.terminate()
 		if cause := context.Cause(ctx); cause != nil {
 			err = cause
 		}
-		if silent(err) {
-			p.Forget(address)
+		if isPeerTimeout(err) {
+			p.CloseIdle(address)
 		}
 		return nil, err
 	}
 	return x, nil
 }
 
-// endsWith lets a connection end with ctx, or when nobody waits any more, which wakes reads
-// and writes. Stop tells that it has not.
-func (r *Request) endsWith(ctx context.Context, c *conn) (stop func() bool) {
-	stopped := context.AfterFunc(ctx, c.reset)
-	if r.Watch == nil {
-		return stopped
+// closeOnCancel resets the connection when ctx ends and shuts it down when the caller is
+// gone; both unblock reads and writes. Stop cancels this and reports whether neither has
+// happened.
+func (r *Request) closeOnCancel(ctx context.Context, c *conn) (stop func() bool) {
+	stopAfterFunc := context.AfterFunc(ctx, c.reset)
+	if r.WatchCaller == nil {
+		return stopAfterFunc
 	}
-	unwatched := r.Watch(c.hangUp)
+	stopWatching := r.WatchCaller(c.shutdown)
 	return func() bool {
-		left := !unwatched()
-		return stopped() && !left
+		callerGone := !stopWatching()
+		return stopAfterFunc() && !callerGone
 	}
 }
 
-// silent tells whether an error says that the other end does not answer.
-func silent(err error) bool {
+// isPeerTimeout reports whether an error means that the peer does not respond.
+func isPeerTimeout(err error) bool {
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout() && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// maxInline is the largest body that is written before the answer is awaited. A
-// target may answer before it has read a longer one, and read the rest only
-// after that: waiting for the write to end first could then wait for ever.
-const maxInline = 32 << 10
+// maxInlineBody is the largest body that is written completely before the response
+// is read. A target may respond before it has read a larger body, and read the
+// rest only afterwards: finishing the write first could then block forever.
+const maxInlineBody = 32 << 10
 
-// text is what is to be sent before the answer is awaited, and the rest.
-func (r *Request) text() (first, rest []byte) {
-	if len(r.Body) <= maxInline {
-		return append(r.head(), r.Body...), nil
+// encode returns the bytes to write before the response is read, and the rest.
+func (r *Request) encode() (first, rest []byte) {
+	if len(r.Body) <= maxInlineBody {
+		return append(r.encodeHeader(), r.Body...), nil
 	}
-	return r.head(), r.Body
+	return r.encodeHeader(), r.Body
 }
 
-// send writes the request. Sent is false where no byte has left.
+// send writes the request. Sent is false if no byte was sent.
 func (x *Exchange) send(first, rest []byte) (sent bool, err error) {
 	n, err := x.conn.Write(first)
 	if err != nil || len(rest) == 0 {
@@ -154,21 +158,21 @@
 	return true, nil
 }
 
-// abandon ends an exchange of which nothing was sent.
-func (x *Exchange) abandon() {
+// cancelUnsent ends an exchange of which nothing was sent.
+func (x *Exchange) cancelUnsent() {
 	x.ended = true
-	if !x.stop() {
+	if !x.stopWatching() {
 		x.closeConn()
 		return
 	}
-	x.pool.giveBack(x.conn)
+	x.pool.putUnused(x.conn)
 }
 
-func (r *Request) head() []byte {
-	b := bytes.NewBuffer(make([]byte, 0, 1024+min(len(r.Body), maxInline)))
+func (r *Request) encodeHeader() []byte {
+	b := bytes.NewBuffer(make([]byte, 0, 1024+min(len(r.Body), maxInlineBody)))
 	b.WriteString(r.Method)
 	b.WriteByte(' ')
-	b.WriteString(r.Target)
+	b.WriteString(r.RequestTarget)
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(r.Host)
 	b.WriteString("\r\n")
@@ -177,47 +181,48 @@
 		b.WriteString(strconv.Itoa(len(r.Body)))
 		b.WriteString("\r\n")
 	}
-	// A buffer takes every write.
+	// Writes to a bytes.Buffer do not fail.
 	_ = r.Header.Write(b)
 	b.WriteString("\r\n")
 	return b.Bytes()
 }
 
-// bodyExpected tells whether a request without a body states its length of zero
-// (RFC 9110, 8.6).
+// bodyExpected reports whether a request without a body must have a Content-Length
+// of 0 (RFC 9110, 8.6).
 func bodyExpected(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// receive reads the header of the answer that belongs to the request.
-func (x *Exchange) receive(r *Request) error {
-	asked := &http.Request{Method: r.Method}
-	for range maxForeign + 1 {
-		response, err := x.readHeader(asked)
+// readResponse reads the header of the response that belongs to the request.
+func (x *Exchange) readResponse(r *Request) error {
+	request := &http.Request{Method: r.Method}
+	for range maxMismatches + 1 {
+		response, err := x.readFinalHeader(request)
 		if err != nil {
 			return err
 		}
-		if r.Mine == nil || r.Mine(response.StatusCode, response.Header) {
+		if r.MatchesResponse == nil || r.MatchesResponse(response.StatusCode, response.Header) {
 			x.Response = response
 			return nil
 		}
-		if r.Foreign != nil {
-			r.Foreign()
+		if r.OnMismatch != nil {
+			r.OnMismatch()
 		}
 		if response.Close {
-			return errForeign
+			return errMismatch
 		}
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
 			return err
 		}
 	}
-	return errForeign
+	return errMismatch
 }
 
-// readHeader reads one header, past those that only tell of progress.
-func (x *Exchange) readHeader(asked *http.Request) (*http.Response, error) {
+// readFinalHeader reads the header of one response and skips informational (1xx)
+// responses.
+func (x *Exchange) readFinalHeader(request *http.Request) (*http.Response, error) {
 	for {
-		response, err := http.ReadResponse(x.conn.reader, asked)
+		response, err := http.ReadResponse(x.conn.reader, request)
 		if err != nil {
 			return nil, err
 		}
@@ -225,13 +230,13 @@
 			return response, nil
 		}
 		if response.StatusCode == http.StatusSwitchingProtocols {
-			return nil, merry.New("the target switches to another protocol")
+			return nil, merry.New("the target switched to another protocol")
 		}
 	}
 }
 
-// Read reads the body of the answer. Its error is io.EOF only at the true end: a
-// body without a length that is reset ends with the error of the reset.
+// Read reads the body of the response. It returns io.EOF only at the actual end: if
+// the connection is reset within a body of unknown length, it returns that error.
 func (x *Exchange) Read(p []byte) (int, error) {
 	n, err := x.Response.Body.Read(p)
 	if err == io.EOF {
@@ -240,48 +245,49 @@
 	return n, err
 }
 
-// finish ends an exchange whose answer was read to its end.
+// finish ends an exchange whose response was read completely.
 func (x *Exchange) finish() {
 	if x.ended {
 		return
 	}
 	x.ended = true
-	until, ok := x.pool.idleUntil(x.Response)
+	deadline, reusable := x.pool.reuseDeadline(x.Response)
 	select {
 	case <-x.written:
-		ok = ok && x.writeErr == nil
+		reusable = reusable && x.writeErr == nil
 	default:
-		// The target answered early and has not read all of the body; what is
-		// left of it is still due on this connection.
-		go x.finishLate(until, ok)
+		// The target responded before reading the whole request body; the rest
+		// must still be written to this connection.
+		go x.finishAfterWrite(deadline, reusable)
 		return
 	}
-	x.settle(until, ok)
+	x.reuseOrClose(deadline, reusable)
 }
 
-// settle keeps the connection where nothing speaks against it.
-func (x *Exchange) settle(until time.Time, ok bool) {
-	stopped := x.stop()
-	if !ok || !stopped || x.conn.reader.Buffered() > 0 {
+// reuseOrClose returns the connection to the pool if it is safe to reuse, and
+// closes it otherwise.
+func (x *Exchange) reuseOrClose(deadline time.Time, reusable bool) {
+	stopped := x.stopWatching()
+	if !reusable || !stopped || x.conn.reader.Buffered() > 0 {
 		x.closeConn()
 		return
 	}
-	x.conn.until = until
-	x.pool.keep(x.conn)
+	x.conn.reuseDeadline = deadline
+	x.pool.putIdle(x.conn)
 }
 
-// lateBody bounds how long a target may take to read the rest of a body that it
-// has answered already.
-const lateBody = 2 * time.Second
+// lateBodyTimeout limits how long a target may take to read the rest of a body
+// after it has responded.
+const lateBodyTimeout = 2 * time.Second
 
-func (x *Exchange) finishLate(until time.Time, ok bool) {
-	timer := time.NewTimer(lateBody)
+func (x *Exchange) finishAfterWrite(deadline time.Time, reusable bool) {
+	timer := time.NewTimer(lateBodyTimeout)
 	defer timer.Stop()
 	select {
 	case <-x.written:
-		x.settle(until, ok && x.writeErr == nil)
+		x.reuseOrClose(deadline, reusable && x.writeErr == nil)
 	case <-timer.C:
-		x.stop()
+		x.stopWatching()
 		x.closeConn()
 	}
 }
@@ -291,35 +297,35 @@
 	x.pool.release(x.conn.address)
 }
 
-// reset closes a connection and throws away what has not left yet. A plain close
-// would still deliver a request that waits in the socket, for instance behind a
-// full window, to a target long after its caller has gone.
+// reset closes a connection and discards unsent data. A regular close would still
+// deliver a request that is buffered in the socket, for instance because the
+// receive window is full, to the target long after the caller has disconnected.
 func (c *conn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // at worst the rest is delivered
+		_ = tcp.SetLinger(0) // on failure the unsent data is delivered
 	}
-	_ = c.Conn.Close() // its place is free whatever this says
+	_ = c.Conn.Close() // the connection no longer counts, whatever the error
 }
 
-// hangUp lets the target know at once that nobody waits any more. It does not wait, as a close
-// does, until the goroutines that read and write the connection have had their turns.
-func (c *conn) hangUp() {
+// shutdown notifies the target immediately that nobody waits any more. Unlike a close, it does
+// not wait until the goroutines that read and write the connection were scheduled.
+func (c *conn) shutdown() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		_, _ = tcp.CloseRead(), tcp.CloseWrite() // fail where the connection has ended
+		_, _ = tcp.CloseRead(), tcp.CloseWrite() // these fail if the connection has ended
 	}
 }
 
-// Abort ends the exchange and its connection, unless it has ended already. A
-// target that still works on the request drops it.
+// Abort ends the exchange and closes its connection, unless the exchange has
+// already ended. A target that is still processing the request cancels it.
 func (x *Exchange) Abort() {
 	if x.ended {
 		return
 	}
-	x.drop()
+	x.terminate()
 }
 
-func (x *Exchange) drop() {
+func (x *Exchange) terminate() {
 	x.ended = true
-	x.stop()
+	x.stopWatching()
 	x.closeConn()
 }
--- a/internal/targetconn/quiet.go
+++ b/internal/targetconn/quiet.go
@@ -8,11 +8,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// quiet tells whether nothing has come on an unused connection, neither bytes
-// nor its end. A byte there belongs to no request, and a request on a connection
-// that the target has closed would end as "may have run" though it was never
-// read. One system call, some microseconds.
-func quiet(c net.Conn) bool {
+// noPendingInput reports whether an idle connection has received neither data nor
+// its end. Received data would not belong to any request, and a request sent on a
+// connection that the target has closed would be reported as "may have run"
+// although it was never read. The check takes one system call, a few
+// microseconds.
+func noPendingInput(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
@@ -21,11 +22,11 @@
 	if err != nil {
 		return false
 	}
-	silent := false
+	empty := false
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		silent = errors.Is(err, unix.EAGAIN)
+		empty = errors.Is(err, unix.EAGAIN)
 	})
-	return err == nil && silent
+	return err == nil && empty
 }
--- a/internal/targetconn/targetconn.go
+++ b/internal/targetconn/targetconn.go
@@ -1,11 +1,11 @@
-// Package targetconn exchanges HTTP/1.1 requests with targets over kept
+// Package targetconn sends HTTP/1.1 requests to targets over pooled persistent
 // connections, one exchange at a time on each.
 //
-// net/http's transport is not used because three things must be known exactly
-// that it hides: whether a byte of the request may have left (so that "not run"
-// is true), whether an answer belongs to the request that it follows (a target
-// may send a late second one), and whether anything came after the end of an
-// answer (stray bytes would be taken for the next one).
+// The transport of net/http is not used because it hides three things that must be
+// known exactly: whether any byte of the request may have been sent (otherwise
+// "not run" could be wrong), whether a response belongs to the preceding request
+// (a target may send a late second response), and whether data arrived after the
+// end of a response (it would be taken for the next response).
 package targetconn
 
 import (
@@ -22,49 +22,53 @@
 	"github.com/savorystall/savorystall/internal/dialing"
 )
 
-// Config sets up a Pool. Zero fields take their defaults.
+// Config configures a Pool. Zero fields take their defaults.
 type Config struct {
-	// Connect bounds the opening of a connection. Default 400 ms: below the
-	// shortest latency objective that a second target could still meet.
-	Connect time.Duration
-	// UserTimeout is how long sent bytes may stay unacknowledged. Default 1 s.
+	// ConnectTimeout limits the time to open a connection. Default: 400 ms, which
+	// is below the shortest latency objective that a second target could still
+	// meet.
+	ConnectTimeout time.Duration
+	// UserTimeout is how long sent data may remain unacknowledged (TCP_USER_TIMEOUT).
+	// Default: 1 s.
 	UserTimeout time.Duration
-	// Idle is how long an unused connection is kept where the target states
-	// nothing. Default 20 s.
-	Idle time.Duration
-	// Margin is how much earlier than the target's own limit an unused connection
-	// is given up, so that no request crosses the target's close. Default 500 ms.
-	Margin time.Duration
-	// Now returns the time. Default time.Now.
+	// IdleTimeout is how long an idle connection is kept if the target does not
+	// specify a timeout. Default: 20 s.
+	IdleTimeout time.Duration
+	// IdleMargin is how long before the target's own timeout an idle connection is
+	// closed, so that no request is sent while the target closes it. Default:
+	// 500 ms.
+	IdleMargin time.Duration
+	// Now returns the time. Default: time.Now.
 	Now func() time.Time
 }
 
 const (
-	defaultConnect     = 400 * time.Millisecond
-	defaultUserTimeout = time.Second
-	defaultIdle        = 20 * time.Second
-	defaultMargin      = 500 * time.Millisecond
-	// Keepalive probes find a target that is gone while a request runs on it;
-	// the 2 s that they take are what callers bear without an event.
-	probeIdle     = time.Second
-	probeInterval = 500 * time.Millisecond
-	probeCount    = 2
-	// readBuffer holds an ordinary answer's header or a few events.
-	readBuffer = 4 << 10
+	defaultConnectTimeout = 400 * time.Millisecond
+	defaultUserTimeout    = time.Second
+	defaultIdleTimeout    = 20 * time.Second
+	defaultIdleMargin     = 500 * time.Millisecond
+	// TCP keepalive probes detect a target that has disappeared while it runs a
+	// request. They take 2 s, the longest time that callers tolerate without an
+	// event.
+	keepaliveIdle     = time.Second
+	keepaliveInterval = 500 * time.Millisecond
+	keepaliveCount    = 2
+	// readBufferSize is enough for a typical response header or a few events.
+	readBufferSize = 4 << 10
 )
 
-func (c Config) complete() Config {
-	if c.Connect == 0 {
-		c.Connect = defaultConnect
+func (c Config) withDefaults() Config {
+	if c.ConnectTimeout == 0 {
+		c.ConnectTimeout = defaultConnectTimeout
 	}
 	if c.UserTimeout == 0 {
 		c.UserTimeout = defaultUserTimeout
 	}
-	if c.Idle == 0 {
-		c.Idle = defaultIdle
+	if c.IdleTimeout == 0 {
+		c.IdleTimeout = defaultIdleTimeout
 	}
-	if c.Margin == 0 {
-		c.Margin = defaultMargin
+	if c.IdleMargin == 0 {
+		c.IdleMargin = defaultIdleMargin
 	}
 	if c.Now == nil {
 		c.Now = time.Now
@@ -72,7 +76,7 @@
 	return c
 }
 
-// Pool keeps connections to many targets. It is safe for concurrent use.
+// Pool manages the connections to many targets. It is safe for concurrent use.
 type Pool struct {
 	cfg    Config
 	dialer *dialing.Dialer
@@ -85,55 +89,58 @@
 // target holds the connections to one address.
 type target struct {
 	idle []*conn
-	// open counts all connections, in use or not.
+	// open is the number of connections, idle or in use.
 	open int
 }
 
-// conn is one connection.
+// conn is one connection to a target.
 type conn struct {
 	net.Conn
 	address string
 	reader  *bufio.Reader
-	// until is when it must not be used any more for a new request.
-	until time.Time
+	// reuseDeadline is the time from which on the connection must not be used for a
+	// new request.
+	reuseDeadline time.Time
 }
 
-// ErrFull is the error where the address has as many connections as it may.
-var ErrFull = errors.New("as many connections to the target are in use as may be")
+// ErrConnectionLimit is the cause of the error if the address has reached its
+// connection limit.
+var ErrConnectionLimit = errors.New("the connection limit of the target is reached")
 
-// Unsent is the error of an exchange of which no byte has left.
-type Unsent struct{ Cause error }
+// UnsentError is the error of an exchange of which no byte was sent.
+type UnsentError struct{ Cause error }
 
 // Error implements error.
-func (u *Unsent) Error() string { return "not sent: " + u.Cause.Error() }
+func (u *UnsentError) Error() string { return "not sent: " + u.Cause.Error() }
 
 // Unwrap returns the cause.
-func (u *Unsent) Unwrap() error { return u.Cause }
+func (u *UnsentError) Unwrap() error { return u.Cause }
 
 // New returns an empty pool.
 func New(cfg Config) *Pool {
-	cfg = cfg.complete()
+	cfg = cfg.withDefaults()
 	return &Pool{
 		cfg: cfg,
 		dialer: dialing.New(dialing.Config{
-			ConnectTimeout: cfg.Connect, UserTimeout: cfg.UserTimeout,
-			KeepAliveIdle: probeIdle, KeepAliveInterval: probeInterval, KeepAliveCount: probeCount,
+			ConnectTimeout: cfg.ConnectTimeout, UserTimeout: cfg.UserTimeout,
+			KeepAliveIdle: keepaliveIdle, KeepAliveInterval: keepaliveInterval, KeepAliveCount: keepaliveCount,
 		}),
 		targets: map[string]*target{},
 	}
 }
 
-// Close drops the unused connections and keeps none from now on.
+// Close closes the idle connections. Connections that become idle later are closed
+// as well.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	p.Retain(nil)
+	p.CloseIdleExcept(nil)
 }
 
-// Retain drops the unused connections to all addresses but these: an address may
-// be given to another target.
-func (p *Pool) Retain(addresses map[string]bool) {
+// CloseIdleExcept closes the idle connections to all addresses except the given
+// ones, because an address may be reassigned to another target.
+func (p *Pool) CloseIdleExcept(addresses map[string]bool) {
 	var drop []*conn
 	p.mu.Lock()
 	for address, t := range p.targets {
@@ -151,9 +158,10 @@
 	closeAll(drop)
 }
 
-// Forget drops the unused connections to an address of which one went silent:
-// what lost track of the one may have lost track of all.
-func (p *Pool) Forget(address string) {
+// CloseIdle closes the idle connections to an address. It is called when one
+// connection to the address has stopped responding: whatever lost the state of
+// that connection may have lost the state of all.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	var drop []*conn
 	if t := p.targets[address]; t != nil {
@@ -167,12 +175,12 @@
 
 func closeAll(conns []*conn) {
 	for _, c := range conns {
-		_ = c.Conn.Close() // nothing is lost with an unused connection
+		_ = c.Conn.Close() // an idle connection has no data to lose
 	}
 }
 
-// Open returns the number of connections to an address, in use or not.
-func (p *Pool) Open(address string) int {
+// ConnectionCount returns the number of connections to an address, idle or in use.
+func (p *Pool) ConnectionCount(address string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if t := p.targets[address]; t != nil {
@@ -181,8 +189,9 @@
 	return 0
 }
 
-// take returns an unused connection, or reserves the place of a new one.
-func (p *Pool) take(address string, limit int) (*conn, error) {
+// takeIdle returns an idle connection, or nil after counting a new one that the
+// caller must open.
+func (p *Pool) takeIdle(address string, limit int) (*conn, error) {
 	now := p.cfg.Now()
 	var stale []*conn
 	defer func() { closeAll(stale) }()
@@ -196,20 +205,20 @@
 	for len(t.idle) > 0 {
 		c := t.idle[len(t.idle)-1]
 		t.idle = t.idle[:len(t.idle)-1]
-		if now.Before(c.until) && quiet(c.Conn) {
+		if now.Before(c.reuseDeadline) && noPendingInput(c.Conn) {
 			return c, nil
 		}
 		t.open--
 		stale = append(stale, c)
 	}
 	if limit > 0 && t.open >= limit {
-		return nil, ErrFull
+		return nil, ErrConnectionLimit
 	}
 	t.open++
 	return nil, nil
 }
 
-// release gives the place of a connection back that was closed.
+// release stops counting a connection that was closed.
 func (p *Pool) release(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -220,13 +229,13 @@
 	}
 }
 
-// keep puts a connection back after a clean exchange.
-func (p *Pool) keep(c *conn) {
+// putIdle makes a connection available for reuse.
+func (p *Pool) putIdle(c *conn) {
 	p.mu.Lock()
 	t := p.targets[c.address]
 	if p.closed || t == nil {
 		p.mu.Unlock()
-		_ = c.Conn.Close() // unused
+		_ = c.Conn.Close() // it is idle
 		p.release(c.address)
 		return
 	}
@@ -234,19 +243,19 @@
 	p.mu.Unlock()
 }
 
-// giveBack puts a connection back that was not used.
-func (p *Pool) giveBack(c *conn) {
-	if c.until.IsZero() {
-		c.until = p.cfg.Now().Add(p.cfg.Idle / 2) // new: the target has stated nothing
+// putUnused returns a connection that was not used to the pool.
+func (p *Pool) putUnused(c *conn) {
+	if c.reuseDeadline.IsZero() {
+		c.reuseDeadline = p.cfg.Now().Add(p.cfg.IdleTimeout / 2) // new: the target has not specified a timeout
 	}
-	p.keep(c)
+	p.putIdle(c)
 }
 
-// connect returns a connection to the address.
+// connect returns an idle connection to the address or opens a new one.
 func (p *Pool) connect(ctx context.Context, address string, limit int) (*conn, error) {
-	c, err := p.take(address, limit)
+	c, err := p.takeIdle(address, limit)
 	if err != nil {
-		return nil, &Unsent{Cause: err}
+		return nil, &UnsentError{Cause: err}
 	}
 	if c != nil {
 		return c, nil
@@ -254,27 +263,27 @@
 	raw, err := p.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		p.release(address)
-		return nil, &Unsent{Cause: err}
+		return nil, &UnsentError{Cause: err}
 	}
-	return &conn{Conn: raw, address: address, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &conn{Conn: raw, address: address, reader: bufio.NewReaderSize(raw, readBufferSize)}, nil
 }
 
-// idleUntil returns until when a connection may be used again, by what the
-// answer says of it; ok is false where it must not be.
-func (p *Pool) idleUntil(r *http.Response) (until time.Time, ok bool) {
+// reuseDeadline returns the time until which a connection may be reused according
+// to the response; reusable is false if it must not be reused.
+func (p *Pool) reuseDeadline(r *http.Response) (deadline time.Time, reusable bool) {
 	if r.Close {
 		return time.Time{}, false
 	}
-	keep := p.cfg.Idle
+	idleTimeout := p.cfg.IdleTimeout
 	for _, part := range strings.Split(r.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if seconds, err := strconv.Atoi(value); err == nil && seconds >= 0 {
-			keep = min(keep, time.Duration(seconds)*time.Second)
+			idleTimeout = min(idleTimeout, time.Duration(seconds)*time.Second)
 		}
 	}
-	keep -= min(p.cfg.Margin, keep/2)
-	return p.cfg.Now().Add(keep), keep > 0
+	idleTimeout -= min(p.cfg.IdleMargin, idleTimeout/2)
+	return p.cfg.Now().Add(idleTimeout), idleTimeout > 0
 }
--- a/internal/targetconn/targetconn_test.go
+++ b/internal/targetconn/targetconn_test.go
@@ -21,14 +21,14 @@
 
 const nameHeader = "X-Name"
 
-// target is a stand-in whose connections are served by a script.
+// target is a fake target whose connections are handled by a script.
 type target struct {
 	address string
-	// opened counts the connections.
+	// opened counts the accepted connections.
 	opened atomic.Int64
 }
 
-// serve starts a target; script gets each connection and its number from 1 on.
+// serve starts a target. It calls script for each connection, numbered from 1.
 func serve(t *testing.T, script func(conn *net.TCPConn, in *bufio.Reader, number int)) *target {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,7 +51,7 @@
 	return tg
 }
 
-// read takes one request off a connection and returns its name and body.
+// read reads one request from a connection and returns its name and body.
 func read(in *bufio.Reader) (name, body string, err error) {
 	r, err := http.ReadRequest(in)
 	if err != nil {
@@ -61,18 +61,19 @@
 	return r.Header.Get(nameHeader), string(b), err
 }
 
-func answer(name, body string) string {
+func responseText(name, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", nameHeader, name, len(body), body)
 }
 
 func request(name string) targetconn.Request {
 	return targetconn.Request{
-		Method: http.MethodPost, Target: "/x?y=1", Host: "h.example", Header: http.Header{nameHeader: {name}}, Body: []byte("hello"),
-		Mine: func(_ int, h http.Header) bool { return h.Get(nameHeader) == name },
+		Method: http.MethodPost, RequestTarget: "/x?y=1", Host: "h.example", Header: http.Header{nameHeader: {name}}, Body: []byte("hello"),
+		MatchesResponse: func(_ int, h http.Header) bool { return h.Get(nameHeader) == name },
 	}
 }
 
-// call returns the body of the answer and the error of the exchange or the reading.
+// call sends a request and returns the response body, or the error of the exchange or of
+// reading the body.
 func call(t *testing.T, p *targetconn.Pool, address, name string) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -87,11 +88,11 @@
 }
 
 func unsent(err error) bool {
-	var u *targetconn.Unsent
+	var u *targetconn.UnsentError
 	return errors.As(err, &u)
 }
 
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	is := is.New(t)
 	tg := serve(t, func(conn *net.TCPConn, in *bufio.Reader, _ int) {
 		for {
@@ -99,7 +100,7 @@
 			if err != nil {
 				return
 			}
-			_, _ = io.WriteString(conn, answer(name, body+" "+name))
+			_, _ = io.WriteString(conn, responseText(name, body+" "+name))
 		}
 	})
 	p := targetconn.New(targetconn.Config{})
@@ -109,14 +110,14 @@
 		is.Equal(body, "hello "+name)
 	}
 	is.Equal(tg.opened.Load(), int64(1))
-	is.Equal(p.Open(tg.address), 1)
-	p.Retain(nil)
-	is.Equal(p.Open(tg.address), 0)
+	is.Equal(p.ConnectionCount(tg.address), 1)
+	p.CloseIdleExcept(nil)
+	is.Equal(p.ConnectionCount(tg.address), 0)
 }
 
-// A target that gave up on a request answers it after all, when the next one is due
-// on the connection. The next caller must get its own answer.
-func TestALateAnswerIsNotTheNextOne(t *testing.T) {
+// A target sends a second, late response to a request when the next request is already
+// on the connection. The next caller must still get its own response.
+func TestLateResponseIsDiscarded(t *testing.T) {
 	is := is.New(t)
 	tg := serve(t, func(conn *net.TCPConn, in *bufio.Reader, _ int) {
 		for i := 0; ; i++ {
@@ -125,9 +126,9 @@
 				return
 			}
 			if i == 1 {
-				_, _ = io.WriteString(conn, answer("a", "late"))
+				_, _ = io.WriteString(conn, responseText("a", "late"))
 			}
-			_, _ = io.WriteString(conn, answer(name, "of "+name))
+			_, _ = io.WriteString(conn, responseText(name, "of "+name))
 		}
 	})
 	p := targetconn.New(targetconn.Config{})
@@ -139,9 +140,9 @@
 	is.Equal(body, "of b")
 }
 
-// A target sends more than its answer's length. What is too much belongs to nobody:
-// the connection is dropped, whether the bytes come at once or a moment later.
-func TestStrayBytesEndTheConnection(t *testing.T) {
+// A target sends more bytes than the length of its response. The connection must be
+// closed, whether the extra bytes arrive immediately or a moment later.
+func TestExtraBytesCloseTheConnection(t *testing.T) {
 	for _, wait := range []time.Duration{0, 30 * time.Millisecond} {
 		is := is.New(t)
 		sent := make(chan struct{})
@@ -151,17 +152,17 @@
 				return
 			}
 			if number > 1 {
-				_, _ = io.WriteString(conn, answer(name, "clean"))
+				_, _ = io.WriteString(conn, responseText(name, "clean"))
 				return
 			}
-			first := answer(name, "one")
+			first := responseText(name, "one")
 			if wait == 0 {
 				first += "stray"
 			}
 			_, _ = io.WriteString(conn, first)
 			time.Sleep(wait)
 			if wait > 0 {
-				_, _ = io.WriteString(conn, answer("x", "stray"))
+				_, _ = io.WriteString(conn, responseText("x", "stray"))
 			}
 			close(sent)
 			_, _ = in.ReadByte() // until the connection ends
@@ -171,7 +172,7 @@
 		is.NoErr(err)
 		is.Equal(body, "one")
 		<-sent
-		time.Sleep(20 * time.Millisecond) // for the bytes to arrive
+		time.Sleep(20 * time.Millisecond) // wait for the bytes to arrive
 		body, err = call(t, p, tg.address, "b")
 		is.NoErr(err)
 		is.Equal(body, "clean")
@@ -179,14 +180,14 @@
 	}
 }
 
-// The target has closed an unused connection. A request sent on it would end as "may
-// have run" although nobody read it; a new connection is taken instead.
-func TestAClosedConnectionIsNotUsedAgain(t *testing.T) {
+// The target has closed an idle connection. A request sent on it would be reported as
+// "may have run" although nobody read it. A new connection must be used instead.
+func TestClosedConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
 	tg := serve(t, func(conn *net.TCPConn, in *bufio.Reader, _ int) {
 		name, _, err := read(in)
 		if err == nil {
-			_, _ = io.WriteString(conn, answer(name, "ok"))
+			_, _ = io.WriteString(conn, responseText(name, "ok"))
 		}
 	})
 	p := targetconn.New(targetconn.Config{})
@@ -194,14 +195,14 @@
 		body, err := call(t, p, tg.address, name)
 		is.NoErr(err)
 		is.Equal(body, "ok")
-		time.Sleep(20 * time.Millisecond) // for the close to arrive
+		time.Sleep(20 * time.Millisecond) // wait for the close to arrive
 	}
 	is.Equal(tg.opened.Load(), int64(2))
 }
 
-// A target answers before it has read a long body and reads the rest afterwards. The
-// rest is due on the connection before anything else.
-func TestAnEarlyAnswerToALongBody(t *testing.T) {
+// A target responds before it has read a large body and reads the rest afterwards. The
+// rest must be written to the connection before the next request.
+func TestEarlyResponseToLargeBody(t *testing.T) {
 	is := is.New(t)
 	const size = 8 << 20 // beyond what the sockets hold
 	bodies := make(chan int, 2)
@@ -211,7 +212,7 @@
 			if err != nil {
 				return
 			}
-			_, _ = io.WriteString(conn, answer(r.Header.Get(nameHeader), "early"))
+			_, _ = io.WriteString(conn, responseText(r.Header.Get(nameHeader), "early"))
 			time.Sleep(50 * time.Millisecond)
 			n, err := io.Copy(io.Discard, r.Body)
 			if err != nil {
@@ -230,15 +231,16 @@
 	body, err := io.ReadAll(x)
 	is.NoErr(err)
 	is.Equal(string(body), "early")
-	is.Equal(<-bodies, size) // all of the body and nothing else
+	is.Equal(<-bodies, size) // the whole body and nothing else
 	got, err := call(t, p, tg.address, "b")
 	is.NoErr(err)
 	is.Equal(got, "early")
 	is.Equal(<-bodies, len("hello"))
 }
 
-// An answer without a length ends with its connection. A reset is not its end.
-func TestAResetIsNoEnd(t *testing.T) {
+// A response without a length ends when the connection is closed. A connection reset
+// must be reported as an error.
+func TestResetIsNotEndOfBody(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		is := is.New(t)
 		tg := serve(t, func(conn *net.TCPConn, in *bufio.Reader, _ int) {
@@ -259,8 +261,8 @@
 	}
 }
 
-// A truncated answer must not look complete, with a length or in chunks.
-func TestATruncatedAnswerIsAnError(t *testing.T) {
+// A truncated response must not look complete, whether it has a length or is chunked.
+func TestTruncatedResponseIsAnError(t *testing.T) {
 	for _, head := range []string{"Content-Length: 10\r\n\r\nhalf", "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"} {
 		tg := serve(t, func(conn *net.TCPConn, in *bufio.Reader, _ int) {
 			if _, _, err := read(in); err == nil {
@@ -273,32 +275,32 @@
 	}
 }
 
-// What is no HTTP, and no answer at all, may both have run; an address that nobody
-// listens on has not.
-func TestWhatMayHaveRun(t *testing.T) {
+// A request may have run if the response is not HTTP or does not arrive at all. It has
+// not run if nobody listens on the address.
+func TestUnsentErrorOnlyIfNothingWasSent(t *testing.T) {
 	is := is.New(t)
 	garbage := serve(t, func(conn *net.TCPConn, in *bufio.Reader, _ int) {
 		if _, _, err := read(in); err == nil {
 			_, _ = io.WriteString(conn, "\x00\x01 no answer\r\n\r\n")
 		}
 	})
-	mute := serve(t, func(_ *net.TCPConn, in *bufio.Reader, _ int) { _, _, _ = read(in) })
+	unresponsive := serve(t, func(_ *net.TCPConn, in *bufio.Reader, _ int) { _, _, _ = read(in) })
 	p := targetconn.New(targetconn.Config{})
-	for _, tg := range []*target{garbage, mute} {
+	for _, tg := range []*target{garbage, unresponsive} {
 		_, err := call(t, p, tg.address, "a")
 		is.True(err != nil)
 		is.True(!unsent(err))
-		is.Equal(p.Open(tg.address), 0) // its place is free again
+		is.Equal(p.ConnectionCount(tg.address), 0) // the connection is not counted any more
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	nobody := l.Addr().String()
+	unusedAddress := l.Addr().String()
 	is.NoErr(l.Close())
-	_, err = call(t, p, nobody, "a")
+	_, err = call(t, p, unusedAddress, "a")
 	is.True(unsent(err))
 }
 
-func TestConnectionsAreBounded(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
 	tg := serve(t, func(conn *net.TCPConn, in *bufio.Reader, _ int) {
@@ -307,11 +309,11 @@
 			return
 		}
 		<-release
-		_, _ = io.WriteString(conn, answer(name, "ok"))
+		_, _ = io.WriteString(conn, responseText(name, "ok"))
 	})
 	p := targetconn.New(targetconn.Config{})
 	r := request("a")
-	r.Connections = 1
+	r.MaxConnections = 1
 	done := make(chan error, 1)
 	go func() {
 		x, err := p.Do(t.Context(), tg.address, r)
@@ -324,20 +326,21 @@
 		time.Sleep(time.Millisecond)
 	}
 	_, err := p.Do(t.Context(), tg.address, r)
-	is.True(errors.Is(err, targetconn.ErrFull))
+	is.True(errors.Is(err, targetconn.ErrConnectionLimit))
 	is.True(unsent(err))
 	close(release)
 	is.NoErr(<-done)
 }
 
-// A caller leaves while its request waits in the socket, behind the full window of a
-// target that does not read. The target must not get the rest of it when it reads on.
-func TestACallerThatLeavesTakesItsRequestAlong(t *testing.T) {
+// A caller disconnects while its request is buffered in the socket, because the target
+// does not read and its receive window is full. The target must not receive the rest
+// when it continues to read.
+func TestCancellationDiscardsUnsentBytes(t *testing.T) {
 	is := is.New(t)
-	readOn := make(chan struct{})
+	resumeReading := make(chan struct{})
 	got := make(chan error, 1)
 	tg := serve(t, func(_ *net.TCPConn, in *bufio.Reader, _ int) {
-		<-readOn
+		<-resumeReading
 		_, _, err := read(in)
 		got <- err
 	})
@@ -348,13 +351,13 @@
 	time.AfterFunc(50*time.Millisecond, cancel)
 	_, err := p.Do(ctx, tg.address, r)
 	is.True(errors.Is(err, context.Canceled))
-	close(readOn)
+	close(resumeReading)
 	is.True(<-got != nil)
 }
 
-// A target says how long it keeps unused connections. One that it is about to close
-// is not used any more.
-func TestTheTargetsKeepAliveIsRespected(t *testing.T) {
+// A target specifies its idle timeout in the Keep-Alive header. A connection that it is
+// about to close must not be reused.
+func TestKeepAliveTimeoutIsRespected(t *testing.T) {
 	is := is.New(t)
 	tg := serve(t, func(conn *net.TCPConn, in *bufio.Reader, _ int) {
 		for {
@@ -362,7 +365,7 @@
 			if err != nil {
 				return
 			}
-			text := strings.Replace(answer(name, "ok"), "\r\n", "\r\nKeep-Alive: timeout=2\r\n", 1)
+			text := strings.Replace(responseText(name, "ok"), "\r\n", "\r\nKeep-Alive: timeout=2\r\n", 1)
 			_, _ = io.WriteString(conn, text)
 		}
 	})
@@ -376,10 +379,10 @@
 	}
 }
 
-// On a daemon short of processor time a request waits for a second between the decision
-// where it goes and its connection. Its caller leaves meanwhile, and the engine would work
-// for nobody. It must not be sent; the connection serves the next one.
-func TestAnAbandonedRequestIsNotSent(t *testing.T) {
+// On a daemon short of CPU time, a second may pass between the placement of a request and
+// its connection. If the caller disconnects meanwhile, the engine would work for nobody.
+// The request must not be sent, and the connection must remain usable.
+func TestRequestIsNotSentIfCallerIsGone(t *testing.T) {
 	is := is.New(t)
 	var ran atomic.Int64
 	tg := serve(t, func(conn *net.TCPConn, in *bufio.Reader, _ int) {
@@ -394,14 +397,14 @@
 	})
 	pool := targetconn.New(targetconn.Config{})
 	t.Cleanup(pool.Close)
-	request := targetconn.Request{Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}}
-	request.Abandoned = func() bool { return true }
+	request := targetconn.Request{Method: http.MethodGet, RequestTarget: "/", Host: "h", Header: http.Header{}}
+	request.CallerGone = func() bool { return true }
 	_, err := pool.Do(t.Context(), tg.address, request)
-	var unsent *targetconn.Unsent
+	var unsent *targetconn.UnsentError
 	is.True(errors.As(err, &unsent))
-	is.True(errors.Is(err, targetconn.ErrAbandoned))
+	is.True(errors.Is(err, targetconn.ErrCallerGone))
 
-	request.Abandoned = func() bool { return false }
+	request.CallerGone = func() bool { return false }
 	x, err := pool.Do(t.Context(), tg.address, request)
 	is.NoErr(err)
 	_, err = io.Copy(io.Discard, x)
@@ -410,21 +413,22 @@
 	is.Equal(tg.opened.Load(), int64(1))
 }
 
-// A daemon whose turns take long takes a target that it has reached for one that can't be reached.
-func TestAConnectionThatWaitsForATurnIsNotTakenForAFailure(t *testing.T) {
-	const turn, busy = 800 * time.Millisecond, 2 * time.Millisecond
+// On an overloaded daemon, a goroutine may be scheduled so late that an established
+// connection appears to have timed out. The target must not be reported as unreachable.
+func TestSchedulingDelayIsNotAConnectFailure(t *testing.T) {
+	const schedulingDelay, busyTime = 800 * time.Millisecond, 2 * time.Millisecond
 	is := is.New(t)
-	l, err := net.Listen("tcp", "127.0.0.1:0") // the kernel connects
+	l, err := net.Listen("tcp", "127.0.0.1:0") // the kernel completes the handshake
 	is.NoErr(err)
 	t.Cleanup(func() { _ = l.Close() })
 	former := runtime.GOMAXPROCS(1)
 	defer runtime.GOMAXPROCS(former)
-	done, end := context.WithCancel(t.Context())
-	defer end()
-	for range int(turn / busy) {
+	done, stop := context.WithCancel(t.Context())
+	defer stop()
+	for range int(schedulingDelay / busyTime) {
 		go func() {
 			for done.Err() == nil {
-				for end := time.Now().Add(busy); time.Now().Before(end); {
+				for end := time.Now().Add(busyTime); time.Now().Before(end); {
 				}
 				runtime.Gosched()
 			}
@@ -432,7 +436,7 @@
 	}
 	runtime.Gosched()
 	r := request("a")
-	r.Abandoned = func() bool { return true } // asked once it is connected
+	r.CallerGone = func() bool { return true } // called once it is connected
 	_, err = targetconn.New(targetconn.Config{}).Do(t.Context(), l.Addr().String(), r)
-	is.True(errors.Is(err, targetconn.ErrAbandoned))
+	is.True(errors.Is(err, targetconn.ErrCallerGone))
 }
