--- a/internal/daemon/connections.go
+++ b/internal/daemon/connections.go
@@ -9,107 +9,108 @@
 )
 
 const (
-	// firstRequest is how long a planned stop waits for the first request of a new
-	// connection. It is above what a caller takes to send one that it has ready,
+	// firstRequestTimeout is how long a planned stop waits for the first request of a new
+	// connection. It exceeds the time a caller takes to send a request that it has ready,
 	// and bounds the stop where a balancer opens connections in advance.
-	firstRequest = 5 * time.Second
-	// settlePoll is how often the stop looks whether connections are in use.
-	settlePoll = 10 * time.Millisecond
-	// maxIdleLooks is how many connections are looked at for one to close. Each look is
-	// a system call; where so many hold a request, the bound is exceeded.
-	maxIdleLooks = 4
+	firstRequestTimeout = 5 * time.Second
+	// drainPollInterval is how often a planned stop checks whether connections are in use.
+	drainPollInterval = 10 * time.Millisecond
+	// maxIdleProbes is how many idle connections are examined to find one to close. Each
+	// examination is a system call. If all of them hold a request, the connection limit is
+	// exceeded.
+	maxIdleProbes = 4
 )
 
-// connections knows which connections of callers are in use. It is safe for
-// concurrent use.
+// connTracker tracks which connections of callers are in use. It is safe for concurrent
+// use.
 //
-// It guards against what http.Server.Shutdown does to a request whose header is
-// read after the shutdown began: it closes the connection without an answer,
-// though the request was sent before. So the stop waits first until no
-// connection holds a request or may still bring its first one.
-type connections struct {
+// http.Server.Shutdown closes a connection without an answer if the header of its request
+// is read after the shutdown began, even if the request was sent before. A planned stop
+// therefore first waits until no connection holds a request or may still bring its first
+// one.
+type connTracker struct {
 	mu sync.Mutex
-	// busy are those whose request is served, fresh those that have brought
-	// none yet, and idle those that wait for a
-	// further request, since when they do. Ending are those that were told to close
-	// and have not yet.
-	busy   map[net.Conn]bool
-	fresh  map[net.Conn]*freshConn
-	idle   map[net.Conn]time.Time
-	ending map[net.Conn]bool
-	// most bounds the connections; zero means no bound.
-	most int
-	// recent are those that were fresh of late, in order, and unreadNow counts those of them
-	// that still are.
-	recent    []*freshConn
-	unreadNow int
-	// opened counts those that callers opened since arrived was last called.
-	opened int
+	// active connections have a request being served. pending ones have brought no request
+	// yet. idle ones wait for a further request; the value is when they became idle.
+	// closing ones have been told to close and have not closed yet.
+	active  map[net.Conn]bool
+	pending map[net.Conn]*pendingConn
+	idle    map[net.Conn]time.Time
+	closing map[net.Conn]bool
+	// maxConns bounds the number of connections; zero means no limit.
+	maxConns int
+	// recentPending lists, in order, the connections that became pending recently, and
+	// unreadConns counts those of them that are still pending.
+	recentPending []*pendingConn
+	unreadConns   int
+	// openedConns counts the connections that callers opened since the last
+	// takeOpenedConns.
+	openedConns int
 }
 
-// freshConn is a connection that has brought no request yet.
-type freshConn struct {
-	began time.Time
-	// counted tells that it is among connections.unreadNow.
-	counted bool
+// pendingConn is a connection that has brought no request yet.
+type pendingConn struct {
+	openedAt time.Time
+	// countedUnread reports whether it is included in connTracker.unreadConns.
+	countedUnread bool
 }
 
-// unreadFor is for how long a connection of which nothing was read counts as unread. One that is
-// older was opened in advance, or its caller is about to leave.
-const unreadFor = 500 * time.Millisecond
+// unreadWindow is how long a connection from which nothing was read counts as unread. An
+// older one was opened in advance, or its caller is about to disconnect.
+const unreadWindow = 500 * time.Millisecond
 
-// newConnections returns an empty set that is to hold at most so many; zero means
-// no bound.
-func newConnections(most int) *connections {
-	return &connections{
-		busy: map[net.Conn]bool{}, fresh: map[net.Conn]*freshConn{}, idle: map[net.Conn]time.Time{}, ending: map[net.Conn]bool{},
-		most: most,
+// newConnTracker returns an empty connTracker for at most maxConns connections; zero means
+// no limit.
+func newConnTracker(maxConns int) *connTracker {
+	return &connTracker{
+		active: map[net.Conn]bool{}, pending: map[net.Conn]*pendingConn{}, idle: map[net.Conn]time.Time{}, closing: map[net.Conn]bool{},
+		maxConns: maxConns,
 	}
 }
 
-// note is the ConnState hook of the server.
-func (c *connections) note(conn net.Conn, state http.ConnState) {
+// track is the ConnState hook of the server.
+func (c *connTracker) track(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.busy, conn)
-	if f := c.fresh[conn]; f != nil {
-		c.uncount(f)
-		delete(c.fresh, conn)
+	delete(c.active, conn)
+	if p := c.pending[conn]; p != nil {
+		c.uncountUnread(p)
+		delete(c.pending, conn)
 	}
 	delete(c.idle, conn)
-	delete(c.ending, conn)
+	delete(c.closing, conn)
 	switch state {
 	case http.StateNew:
-		if reader, ok := conn.(*readingConn); !ok || !reader.passedOn {
-			c.opened++
+		if reader, ok := conn.(*trackedConn); !ok || !reader.forwarded {
+			c.openedConns++
 		}
-		c.begin(conn, time.Now())
-		if c.full() {
-			c.closeIdle()
+		c.addPending(conn, time.Now())
+		if c.overLimit() {
+			c.closeOldestIdle()
 		}
 	case http.StateActive:
-		c.busy[conn] = true
+		c.active[conn] = true
 	case http.StateIdle:
 		c.idle[conn] = time.Now()
-		if reader, ok := conn.(*readingConn); ok {
-			reader.answered()
+		if reader, ok := conn.(*trackedConn); ok {
+			reader.onRequestDone()
 		}
 	}
 }
 
-func (c *connections) full() bool {
-	return c.most > 0 && len(c.busy)+len(c.fresh)+len(c.idle) > c.most
+func (c *connTracker) overLimit() bool {
+	return c.maxConns > 0 && len(c.active)+len(c.pending)+len(c.idle) > c.maxConns
 }
 
-// closeIdle closes the connection that has been unused for longest, of those on which
-// nothing waits to be read: on a daemon that is short of processor time a request waits
-// there for some hundred ms, and its caller would get neither an answer nor a refusal.
+// closeOldestIdle closes the connection that has been idle for longest among those without
+// unread data. On a daemon that is short of processor time, a request may wait unread for
+// some hundred ms, and its caller would get neither an answer nor a refusal.
 //
-// It guards against running out of descriptors: callers that come back after a
-// refusal do so on a new connection each time, and a daemon that can accept no
-// more leaves requests unread until long after their callers have gone.
-func (c *connections) closeIdle() {
-	for range maxIdleLooks {
+// It prevents the daemon from running out of file descriptors: callers that retry after a
+// refusal use a new connection each time, and a daemon that can accept no more leaves
+// requests unread until long after their callers have disconnected.
+func (c *connTracker) closeOldestIdle() {
+	for range maxIdleProbes {
 		var oldest net.Conn
 		for conn, since := range c.idle {
 			if oldest == nil || since.Before(c.idle[oldest]) {
@@ -119,143 +120,147 @@
 		if oldest == nil {
 			return
 		}
-		if c.closeOrWait(oldest) {
+		if c.tryCloseIdle(oldest) {
 			return
 		}
 	}
 }
 
-// closeUnused closes the connections on which no request is under way, leaves the others
-// to the end of theirs, and tells whether none is left. Connections close in their own time:
-// it is to be called until none is.
+// closeInactive closes the connections without a request in progress, leaves the others
+// until their requests end, and reports whether none is left. Connections close
+// asynchronously, so that it must be called repeatedly until it returns true.
 //
-// It stands in for http.Server.SetKeepAlivesEnabled(false) and Shutdown, which close a
-// connection also while its next request is being read, or waits to be: on a VM whose turns
-// take long a planned stop would leave such callers without an answer or a refusal.
-func (c *connections) closeUnused(now time.Time) (all bool) {
+// It replaces http.Server.SetKeepAlivesEnabled(false) and Shutdown, which also close a
+// connection whose next request is being read or waits to be read. On a VM with a high
+// scheduling latency, a planned stop would leave such callers without an answer or a
+// refusal.
+func (c *connTracker) closeInactive(now time.Time) (done bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for conn := range c.idle {
-		c.closeOrWait(conn)
+		c.tryCloseIdle(conn)
 	}
-	for conn, f := range c.fresh {
-		if now.Sub(f.began) >= firstRequest {
-			retire(conn)
+	for conn, p := range c.pending {
+		if now.Sub(p.openedAt) >= firstRequestTimeout {
+			tryClose(conn)
 		}
 	}
-	for conn := range c.ending {
-		retire(conn) // again: the server sets a deadline of its own when a request has ended
+	for conn := range c.closing {
+		tryClose(conn) // repeated because the server sets its own deadline when a request has ended
 	}
-	return len(c.busy)+len(c.fresh)+len(c.ending) == 0
+	return len(c.active)+len(c.pending)+len(c.closing) == 0
 }
 
-// closeOrWait closes a connection that waits for a further request, unless a part of one has
-// come. The caller holds the lock.
-func (c *connections) closeOrWait(conn net.Conn) (closed bool) {
+// tryCloseIdle closes an idle connection unless part of its next request has arrived. The
+// caller holds the lock.
+func (c *connTracker) tryCloseIdle(conn net.Conn) (closed bool) {
 	delete(c.idle, conn)
-	if hasUnread(conn) || !retire(conn) {
-		c.busy[conn] = true // its goroutine will say so when it has its turn
+	if hasUnreadData(conn) || !tryClose(conn) {
+		c.active[conn] = true // its goroutine updates the state when it is scheduled
 		return false
 	}
-	c.ending[conn] = true // its caller opens another one
+	c.closing[conn] = true // its caller opens a new connection
 	return true
 }
 
-// retire ends a connection unless a request is under way on it, and tells whether none is.
-func retire(conn net.Conn) bool {
-	if reader, ok := conn.(*readingConn); ok {
-		return reader.retire()
+// tryClose closes a connection unless a request is in progress on it, and reports whether
+// none is.
+func tryClose(conn net.Conn) bool {
+	if reader, ok := conn.(*trackedConn); ok {
+		return reader.closeIfIdle()
 	}
 	return conn.Close() == nil
 }
 
-// pressed tells whether so many connections are open that refused callers should
-// not keep theirs.
-func (c *connections) pressed() bool {
-	return c.most > 0 && 2*c.open() > c.most
+// nearLimit reports whether so many connections are open that refused callers should not
+// keep theirs.
+func (c *connTracker) nearLimit() bool {
+	return c.maxConns > 0 && 2*c.countOpen() > c.maxConns
 }
 
-// begin notes a new connection. The caller holds the lock.
-func (c *connections) begin(conn net.Conn, now time.Time) {
-	f := &freshConn{began: now, counted: true}
-	c.fresh[conn] = f
-	c.recent = append(c.recent, f)
-	c.unreadNow++
-	c.forget(now)
+// addPending records a new connection. The caller holds the lock.
+func (c *connTracker) addPending(conn net.Conn, now time.Time) {
+	p := &pendingConn{openedAt: now, countedUnread: true}
+	c.pending[conn] = p
+	c.recentPending = append(c.recentPending, p)
+	c.unreadConns++
+	c.pruneRecent(now)
 }
 
-// forget leaves out those that are fresh no more, or for too long to count. The caller holds
-// the lock.
-func (c *connections) forget(now time.Time) {
-	for len(c.recent) > 0 && (!c.recent[0].counted || now.Sub(c.recent[0].began) >= unreadFor) {
-		c.uncount(c.recent[0])
-		c.recent = c.recent[1:]
+// pruneRecent removes connections that are no longer pending, or have been for too long to
+// count as unread. The caller holds the lock.
+func (c *connTracker) pruneRecent(now time.Time) {
+	for len(c.recentPending) > 0 && (!c.recentPending[0].countedUnread || now.Sub(c.recentPending[0].openedAt) >= unreadWindow) {
+		c.uncountUnread(c.recentPending[0])
+		c.recentPending = c.recentPending[1:]
 	}
 }
 
-func (c *connections) uncount(f *freshConn) {
-	if f.counted {
-		f.counted = false
-		c.unreadNow--
+func (c *connTracker) uncountUnread(p *pendingConn) {
+	if p.countedUnread {
+		p.countedUnread = false
+		c.unreadConns--
 	}
 }
 
-// unread counts those that came of late and of which nothing has been read yet.
-func (c *connections) unread(now time.Time) int {
+// countUnread returns how many connections were opened recently and have not been read
+// from.
+func (c *connTracker) countUnread(now time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.forget(now)
-	return c.unreadNow
+	c.pruneRecent(now)
+	return c.unreadConns
 }
 
-// arrived returns how many connections callers opened to this daemon since its last call;
-// those that a neighbour passed on are not among them.
-func (c *connections) arrived() int {
+// takeOpenedConns returns how many connections callers opened to this daemon since its last
+// call, not counting those that a neighbour forwarded.
+func (c *connTracker) takeOpenedConns() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	opened := c.opened
-	c.opened = 0
+	opened := c.openedConns
+	c.openedConns = 0
 	return opened
 }
 
-// open counts the connections.
-func (c *connections) open() int {
+// countOpen returns the number of open connections.
+func (c *connTracker) countOpen() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.busy) + len(c.fresh) + len(c.idle)
+	return len(c.active) + len(c.pending) + len(c.idle)
 }
 
-// use is how many connections hold a request, may still bring their first, and were told to
-// close.
-type use struct{ busy, fresh, ending int }
+// connUsage counts the connections that hold a request, may still bring their first one,
+// and were told to close.
+type connUsage struct{ active, pending, closing int }
 
-func (c *connections) use() use {
+func (c *connTracker) usage() connUsage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return use{busy: len(c.busy), fresh: len(c.fresh), ending: len(c.ending)}
+	return connUsage{active: len(c.active), pending: len(c.pending), closing: len(c.closing)}
 }
 
-// used tells whether a connection holds a request or may still bring its first.
-func (c *connections) used(now time.Time) bool {
+// inUse reports whether a connection holds a request or may still bring its first one.
+func (c *connTracker) inUse(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.busy) > 0 {
+	if len(c.active) > 0 {
 		return true
 	}
-	for _, f := range c.fresh {
-		if now.Sub(f.began) < firstRequest {
+	for _, p := range c.pending {
+		if now.Sub(p.openedAt) < firstRequestTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// settle waits until no connection is in use or ctx ends, and closes those that are not: a
-// shutdown of the server would also close one whose next request is being read.
-func (c *connections) settle(ctx context.Context) {
-	ticker := time.NewTicker(settlePoll)
+// drain waits until no connection is in use or ctx ends, and closes the connections that
+// are not in use. A shutdown of the server would also close those whose next request is
+// being read.
+func (c *connTracker) drain(ctx context.Context) {
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
-	for c.used(time.Now()) || !c.closeUnused(time.Now()) {
+	for c.inUse(time.Now()) || !c.closeInactive(time.Now()) {
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/daemon/connections_test.go
+++ b/internal/daemon/connections_test.go
@@ -15,15 +15,15 @@
 	"golang.org/x/time/rate"
 )
 
-// A caller has connected, and its request is still on its way when the planned
-// stop has closed the listener. It must be answered: the request was in flight.
-func TestSettleWaitsForTheFirstRequestOfAConnection(t *testing.T) {
+// Guards against a planned stop that drops a caller that connected before the listener was
+// closed and whose request is still in transit.
+func TestDrainWaitsForFirstRequestOfConnection(t *testing.T) {
 	is := is.New(t)
 	l, err := listenDrainable("127.0.0.1:0")
 	is.NoErr(err)
-	conns := newConnections(0)
+	conns := newConnTracker(0)
 	hello := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "hello") }
-	server := &http.Server{Handler: http.HandlerFunc(hello), ConnState: conns.note}
+	server := &http.Server{Handler: http.HandlerFunc(hello), ConnState: conns.track}
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
@@ -35,11 +35,11 @@
 
 	l.drain()
 	<-served
-	is.True(conns.used(time.Now()))
-	settled := make(chan struct{})
+	is.True(conns.inUse(time.Now()))
+	drained := make(chan struct{})
 	go func() {
-		defer close(settled)
-		conns.settle(t.Context())
+		defer close(drained)
+		conns.drain(t.Context())
 		_ = server.Shutdown(t.Context())
 	}()
 	_, err = io.WriteString(caller, "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
@@ -49,29 +49,29 @@
 	text, err := io.ReadAll(response.Body)
 	is.NoErr(err)
 	is.Equal(string(text), "hello")
-	<-settled
+	<-drained
 }
 
-// A balancer keeps connections open on which it has sent nothing. They must not
-// hold up the stop for longer than a first request takes.
-func TestConnectionWithoutARequestIsNotWaitedForLong(t *testing.T) {
+// Guards against a planned stop that waits longer than the timeout for a first request
+// because a balancer keeps connections open without sending anything on them.
+func TestDrainWaitsBrieflyForConnectionWithoutRequest(t *testing.T) {
 	is := is.New(t)
-	conns := newConnections(0)
+	conns := newConnTracker(0)
 	conn, other := net.Pipe()
 	defer func() { _, _ = conn.Close(), other.Close() }()
-	conns.note(conn, http.StateNew)
-	is.True(conns.used(time.Now()))
-	is.True(!conns.used(time.Now().Add(firstRequest + time.Second)))
-	conns.note(conn, http.StateActive)
-	is.True(conns.used(time.Now().Add(time.Hour)))
-	conns.note(conn, http.StateIdle)
-	is.True(!conns.used(time.Now()))
+	conns.track(conn, http.StateNew)
+	is.True(conns.inUse(time.Now()))
+	is.True(!conns.inUse(time.Now().Add(firstRequestTimeout + time.Second)))
+	conns.track(conn, http.StateActive)
+	is.True(conns.inUse(time.Now().Add(time.Hour)))
+	conns.track(conn, http.StateIdle)
+	is.True(!conns.inUse(time.Now()))
 }
 
-// A flood brings more connections than are to be held, on a daemon whose turns take long.
-// The connection that was unused for longest holds a request that nobody has read yet;
-// closed, its caller got neither an answer nor a refusal.
-func TestAConnectionWithAnUnreadRequestIsNotClosed(t *testing.T) {
+// Guards against closing the connection that has been idle for longest although it holds an
+// unread request, when a flood exceeds the connection limit of a daemon with a high
+// scheduling latency. Its caller got neither an answer nor a refusal.
+func TestConnectionWithUnreadRequestIsNotClosed(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -84,40 +84,39 @@
 		t.Cleanup(func() { _, _ = server.Close(), caller.Close() })
 		return server, caller
 	}
-	c := newConnections(2)
-	asking, asker := pair()
-	quiet, waiter := pair()
-	for _, conn := range []net.Conn{asking, quiet} {
-		c.note(conn, http.StateNew)
-		c.note(conn, http.StateIdle)
+	c := newConnTracker(2)
+	requesting, requester := pair()
+	idle, idleCaller := pair()
+	for _, conn := range []net.Conn{requesting, idle} {
+		c.track(conn, http.StateNew)
+		c.track(conn, http.StateIdle)
 	}
-	_, err = asker.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
+	_, err = requester.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	is.NoErr(err)
-	for end := time.Now().Add(5 * time.Second); !hasUnread(asking) && time.Now().Before(end); {
+	for end := time.Now().Add(5 * time.Second); !hasUnreadData(requesting) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	fresh, _ := pair()
-	c.note(fresh, http.StateNew)
-	is.NoErr(waiter.SetReadDeadline(time.Now().Add(5 * time.Second)))
-	_, err = waiter.Read(make([]byte, 1))
-	is.Equal(err, io.EOF) // the quiet one is closed
-	_, err = asking.Read(make([]byte, 1))
-	is.NoErr(err) // the other one is read
-	is.True(c.used(time.Now()))
+	c.track(fresh, http.StateNew)
+	is.NoErr(idleCaller.SetReadDeadline(time.Now().Add(5 * time.Second)))
+	_, err = idleCaller.Read(make([]byte, 1))
+	is.Equal(err, io.EOF) // the idle connection is closed
+	_, err = requesting.Read(make([]byte, 1))
+	is.NoErr(err) // the other connection is still readable
+	is.True(c.inUse(time.Now()))
 }
 
-// A caller keeps its connection and sends a request on it just when a planned stop closes
-// what is unused. The daemon has read the first part of the request, on a busy VM a good
-// while before it comes to the rest, and closes the connection as unused; the caller gets
-// neither an answer nor a refusal.
-func TestAPlannedStopClosesNoConnectionWithARequestUnderWay(t *testing.T) {
+// Guards against a planned stop that closes a kept-alive connection as idle after the first
+// part of a request has been read; on a busy VM the rest may be read much later. The caller
+// got neither an answer nor a refusal.
+func TestShutdownKeepsConnectionWithPartialRequest(t *testing.T) {
 	is := is.New(t)
 	l, err := listenDrainable("127.0.0.1:0")
 	is.NoErr(err)
-	conns := newConnections(0)
+	conns := newConnTracker(0)
 	hello := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "hello") }
-	server := &http.Server{Handler: http.HandlerFunc(hello), ConnState: conns.note}
-	go func() { _ = server.Serve(newSheddingListener(l, func() rate.Limit { return 0 }, nil)) }()
+	server := &http.Server{Handler: http.HandlerFunc(hello), ConnState: conns.track}
+	go func() { _ = server.Serve(newRateLimitedListener(l, func() rate.Limit { return 0 }, nil)) }()
 	t.Cleanup(func() { _ = server.Close() })
 	dial := func() (net.Conn, *bufio.Reader) {
 		caller, err := net.Dial("tcp", l.Addr().String())
@@ -129,7 +128,7 @@
 		_, err := io.WriteString(caller, text)
 		is.NoErr(err)
 	}
-	answer := func(r *bufio.Reader) (string, error) {
+	readAnswer := func(r *bufio.Reader) (string, error) {
 		response, err := http.ReadResponse(r, nil)
 		if err != nil {
 			return "", err
@@ -138,109 +137,110 @@
 		return string(text), err
 	}
 	const request = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
-	sending, fromSending := dial()
-	unused, fromUnused := dial()
+	partial, partialReader := dial()
+	idle, idleReader := dial()
 	for _, c := range []struct {
 		caller net.Conn
 		from   *bufio.Reader
-	}{{sending, fromSending}, {unused, fromUnused}} {
+	}{{partial, partialReader}, {idle, idleReader}} {
 		send(c.caller, request)
-		text, err := answer(c.from)
+		text, err := readAnswer(c.from)
 		is.NoErr(err)
 		is.Equal(text, "hello")
 	}
-	send(sending, request[:10])
-	time.Sleep(50 * time.Millisecond) // it is read
-	conns.closeUnused(time.Now())
-	_, err = answer(fromUnused)
-	is.True(err != nil) // closed, since nothing was under way
-	send(sending, request[10:])
-	text, err := answer(fromSending)
+	send(partial, request[:10])
+	time.Sleep(50 * time.Millisecond) // wait until the first part has been read
+	conns.closeInactive(time.Now())
+	_, err = readAnswer(idleReader)
+	is.True(err != nil) // closed because no request was in progress
+	send(partial, request[10:])
+	text, err := readAnswer(partialReader)
 	is.NoErr(err)
 	is.Equal(text, "hello")
 }
 
-// slowTurn is a connection whose reader, where held, goes on only some time after the kernel
-// has given it the bytes: other goroutines have their turns first.
-type slowTurn struct {
+// pausableConn is a connection whose Read, while paused, does not return immediately after
+// the kernel has delivered data, like a goroutine that has to wait to be scheduled.
+type pausableConn struct {
 	*net.TCPConn
-	held   atomic.Bool
-	got    chan struct{}
-	resume chan struct{}
+	paused   atomic.Bool
+	received chan struct{}
+	resume   chan struct{}
 }
 
-func (c *slowTurn) Read(b []byte) (int, error) {
+func (c *pausableConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
-	if n > 0 && c.held.Load() {
-		c.got <- struct{}{}
+	if n > 0 && c.paused.Load() {
+		c.received <- struct{}{}
 		<-c.resume
 	}
 	return n, err
 }
 
-// slowTurns is a listener of such connections.
-type slowTurns struct {
+// pausableListener is a listener that returns pausableConns.
+type pausableListener struct {
 	net.Listener
-	accepted chan *slowTurn
+	accepted chan *pausableConn
 }
 
-func (l *slowTurns) Accept() (net.Conn, error) {
+func (l *pausableListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	slow := &slowTurn{TCPConn: conn.(*net.TCPConn), got: make(chan struct{}), resume: make(chan struct{})}
+	slow := &pausableConn{TCPConn: conn.(*net.TCPConn), received: make(chan struct{}), resume: make(chan struct{})}
 	l.accepted <- slow
-	return newReadingConn(slow), nil
+	return newTrackedConn(slow), nil
 }
 
-// Guards against a planned stop that closes a kept connection whose request it has taken from
-// the kernel, but whose goroutine has not had its turn since: the caller gets no answer.
-func TestAPlannedStopClosesNoConnectionWhoseRequestItHasTaken(t *testing.T) {
+// Guards against a planned stop that closes a kept-alive connection after its request was
+// read from the kernel but before its goroutine was scheduled again. The caller got no
+// answer.
+func TestShutdownKeepsConnectionWhoseRequestWasRead(t *testing.T) {
 	is := is.New(t)
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	l := &slowTurns{Listener: tcp, accepted: make(chan *slowTurn, 1)}
-	conns := newConnections(0)
+	l := &pausableListener{Listener: tcp, accepted: make(chan *pausableConn, 1)}
+	conns := newConnTracker(0)
 	hello := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "hello") }
-	server := &http.Server{Handler: http.HandlerFunc(hello), ConnState: conns.note, IdleTimeout: time.Minute}
+	server := &http.Server{Handler: http.HandlerFunc(hello), ConnState: conns.track, IdleTimeout: time.Minute}
 	go func() { _ = server.Serve(l) }()
 	t.Cleanup(func() { _ = server.Close() })
 	caller, err := net.Dial("tcp", tcp.Addr().String())
 	is.NoErr(err)
 	t.Cleanup(func() { _ = caller.Close() })
-	from := bufio.NewReader(caller)
-	ask := func() {
+	reader := bufio.NewReader(caller)
+	sendRequest := func() {
 		_, err := io.WriteString(caller, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 		is.NoErr(err)
 	}
-	answer := func() string {
+	readAnswer := func() string {
 		is.NoErr(caller.SetReadDeadline(time.Now().Add(5 * time.Second)))
-		response, err := http.ReadResponse(from, nil)
+		response, err := http.ReadResponse(reader, nil)
 		is.NoErr(err)
 		text, err := io.ReadAll(response.Body)
 		is.NoErr(err)
 		return string(text)
 	}
-	ask()
-	is.Equal(answer(), "hello")
+	sendRequest()
+	is.Equal(readAnswer(), "hello")
 
 	conn := <-l.accepted
-	for end := time.Now().Add(5 * time.Second); conns.used(time.Now()) && time.Now().Before(end); {
+	for end := time.Now().Add(5 * time.Second); conns.inUse(time.Now()) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	conn.held.Store(true)
-	ask()
-	<-conn.got
-	conn.held.Store(false)
-	conns.closeUnused(time.Now())
+	conn.paused.Store(true)
+	sendRequest()
+	<-conn.received
+	conn.paused.Store(false)
+	conns.closeInactive(time.Now())
 	conn.resume <- struct{}{}
-	is.Equal(answer(), "hello")
+	is.Equal(readAnswer(), "hello")
 }
 
-// Guards against the end of a kept connection, as unused for too long, whose next request came
-// in time but was not read before its VM went on after a standstill.
-func TestARequestThatWaitsIsReadPastTheIdleTimeout(t *testing.T) {
+// Guards against closing a kept-alive connection at its idle timeout although its next
+// request arrived in time, because the VM was paused and could not read it.
+func TestWaitingRequestIsReadAfterIdleTimeout(t *testing.T) {
 	is := is.New(t)
 	l, err := listenDrainable("127.0.0.1:0")
 	is.NoErr(err)
@@ -255,12 +255,12 @@
 	is.NoErr(conn.SetReadDeadline(time.Now().Add(idle)))
 	_, err = io.WriteString(caller, "GET /")
 	is.NoErr(err)
-	time.Sleep(2 * idle) // nobody reads meanwhile
+	time.Sleep(2 * idle) // nothing is read in the meantime
 	b := make([]byte, 16)
 	n, err := conn.Read(b)
 	is.NoErr(err)
 	is.Equal(string(b[:n]), "GET /")
 	is.NoErr(conn.SetReadDeadline(time.Now().Add(idle)))
 	_, err = conn.Read(b)
-	is.True(errors.Is(err, os.ErrDeadlineExceeded)) // the rest does not come
+	is.True(errors.Is(err, os.ErrDeadlineExceeded)) // the rest never arrives
 }
--- a/internal/daemon/copiedstore_test.go
+++ b/internal/daemon/copiedstore_test.go
@@ -145,7 +145,7 @@
 	rows, at, away := c.rows(table, 0), c.revision(c.number), c.away
 	c.mu.Unlock()
 	if away {
-		return nil, store.Revision{}, errAway
+		return nil, store.Revision{}, errUnreachable
 	}
 	return slices.DeleteFunc(rows, func(r store.FeedRow) bool { return r.Deleted }), at, c.late(ctx)
 }
@@ -164,7 +164,7 @@
 		c.mu.Unlock()
 		switch {
 		case away:
-			return nil, store.Revision{}, errAway
+			return nil, store.Revision{}, errUnreachable
 		case gone:
 			return nil, store.Revision{}, store.ErrHistoryLost
 		case len(rows) > 0 || over:
@@ -187,7 +187,7 @@
 	away := c.away
 	c.mu.Unlock()
 	if away {
-		return store.Revision{}, errAway
+		return store.Revision{}, errUnreachable
 	}
 	return c.put(table, key, string(value), false), nil
 }
--- a/internal/daemon/cutzone_test.go
+++ b/internal/daemon/cutzone_test.go
@@ -21,47 +21,47 @@
 	"github.com/savorystall/savorystall/platform"
 )
 
-// tableOfTargets is a store that holds a table of targets, and that cannot be reached for
-// a time. It refuses at once, or where it is silent, each call hangs until its caller
-// gives up.
-type tableOfTargets struct {
+// fakeTargetFeed is a store with a table of targets that can be made unreachable. It then
+// refuses calls at once or, if hangs is set, blocks each call until its caller gives up.
+type fakeTargetFeed struct {
 	mu   sync.Mutex
 	rows map[string]store.FeedRow
-	// era and revision are the store's present ones.
+	// era and revision are the current ones of the store.
 	era, revision uint64
-	away          bool
-	silent        bool
+	unreachable   bool
+	hangs         bool
 	changed       chan struct{}
 }
 
-func newTableOfTargets() *tableOfTargets {
-	return &tableOfTargets{rows: map[string]store.FeedRow{}, revision: 1, changed: make(chan struct{})}
+func newFakeTargetFeed() *fakeTargetFeed {
+	return &fakeTargetFeed{rows: map[string]store.FeedRow{}, revision: 1, changed: make(chan struct{})}
 }
 
-// put writes or drops a target's entry.
-func (t *tableOfTargets) put(key string, deleted bool) {
+// put writes or deletes a target's entry.
+func (t *fakeTargetFeed) put(key string, deleted bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.revision++
 	t.rows[key] = store.FeedRow{Key: key, Revision: store.NewRevision(t.era, t.revision), Deleted: deleted}
-	t.wake()
+	t.notifyChange()
 }
 
-// setAway cuts the way to the store, also for calls under way, or restores it.
-func (t *tableOfTargets) setAway(away bool) {
+// setUnreachable makes the store unreachable, also for calls in progress, or reachable
+// again.
+func (t *fakeTargetFeed) setUnreachable(unreachable bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.away = away
-	t.wake()
+	t.unreachable = unreachable
+	t.notifyChange()
 }
 
-func (t *tableOfTargets) wake() {
+func (t *fakeTargetFeed) notifyChange() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// since returns the rows of a table after a revision.
-func (t *tableOfTargets) since(table string, after store.Revision) (rows []store.FeedRow, revision store.Revision, changed <-chan struct{}, away bool) {
+// rowsAfter returns the rows of a table after a revision.
+func (t *fakeTargetFeed) rowsAfter(table string, after store.Revision) (rows []store.FeedRow, revision store.Revision, changed <-chan struct{}, unreachable bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if table == platform.TableTargets {
@@ -71,38 +71,38 @@
 			}
 		}
 	}
-	return rows, store.NewRevision(t.era, t.revision), t.changed, t.away
+	return rows, store.NewRevision(t.era, t.revision), t.changed, t.unreachable
 }
 
-var errAway = errors.New("connection refused")
+var errUnreachable = errors.New("connection refused")
 
-// fail is how a call ends while the store is away.
-func (t *tableOfTargets) fail(ctx context.Context) error {
-	if !t.silent {
-		return errAway
+// unreachableError returns the error of a call while the store is unreachable.
+func (t *fakeTargetFeed) unreachableError(ctx context.Context) error {
+	if !t.hangs {
+		return errUnreachable
 	}
 	<-ctx.Done()
 	return ctx.Err()
 }
 
 // ReadTable implements platform.Feed.
-func (t *tableOfTargets) ReadTable(ctx context.Context, table string) ([]store.FeedRow, store.Revision, error) {
-	rows, revision, _, away := t.since(table, store.Revision{})
-	if away {
-		return nil, store.Revision{}, t.fail(ctx)
+func (t *fakeTargetFeed) ReadTable(ctx context.Context, table string) ([]store.FeedRow, store.Revision, error) {
+	rows, revision, _, unreachable := t.rowsAfter(table, store.Revision{})
+	if unreachable {
+		return nil, store.Revision{}, t.unreachableError(ctx)
 	}
 	return slices.DeleteFunc(rows, func(r store.FeedRow) bool { return r.Deleted }), revision, nil
 }
 
 // Changes implements platform.Feed.
-func (t *tableOfTargets) Changes(ctx context.Context, table string, after store.Revision, wait time.Duration) ([]store.FeedRow, store.Revision, error) {
+func (t *fakeTargetFeed) Changes(ctx context.Context, table string, after store.Revision, wait time.Duration) ([]store.FeedRow, store.Revision, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		rows, revision, changed, away := t.since(table, after)
+		rows, revision, changed, unreachable := t.rowsAfter(table, after)
 		switch {
-		case away:
-			return nil, store.Revision{}, t.fail(ctx)
+		case unreachable:
+			return nil, store.Revision{}, t.unreachableError(ctx)
 		case len(rows) > 0:
 			return rows, revision, nil
 		}
@@ -116,8 +116,8 @@
 	}
 }
 
-// followedSite is the part of a daemon that follows a store's targets.
-type followedSite struct {
+// testSite is the part of a daemon that follows the targets in a store.
+type testSite struct {
 	*site
 	inTouch time.Duration
 
@@ -125,15 +125,15 @@
 	usable []ident.Target
 }
 
-// followSite follows a store until the test ends.
-func followSite(t *testing.T, feed store.Feed) *followedSite {
+// newTestSite returns a testSite that follows a store until the test ends.
+func newTestSite(t *testing.T, feed store.Feed) *testSite {
 	log := slog.New(slog.DiscardHandler)
 	s, err := settings.Parse(nil, func(s *settings.Settings) { s.Daemon, s.Zone, s.Platform.URL = "d", "a", "http://127.0.0.1:9" })
 	is.New(t).NoErr(err)
-	f := &followedSite{site: newSite(routedParts{
-		Settings: s, Log: log, Routes: &route.Holder{}, Load: newLoadWatch(s), Relay: relay.New(relay.Config{Self: "d", Zone: "a", Store: feed, HeartbeatTable: beatTable, Logger: log}),
+	f := &testSite{site: newSite(routedParts{
+		Settings: s, Log: log, Routes: &route.Holder{}, Load: newLoadMonitor(s), Relay: relay.New(relay.Config{Self: "d", Zone: "a", Store: feed, HeartbeatTable: beatTable, Logger: log}),
 	}), inTouch: s.Routing.InTouch}
-	f.view.put = f.note
+	f.view.put = f.recordView
 	ctx, cancel := context.WithCancel(context.Background())
 	group := store.NewFeedGroup()
 	targets := &targetRows{site: f.site, read: func(key string, _ []byte) (registry.Entry, error) {
@@ -152,7 +152,7 @@
 	return f
 }
 
-func (f *followedSite) note(v siteView) {
+func (f *testSite) recordView(v siteView) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.usable = nil
@@ -161,47 +161,48 @@
 	}
 }
 
-// uses tells whether requests may go to a target.
-func (f *followedSite) uses(target ident.Target) bool {
+// isUsable reports whether requests may be sent to a target.
+func (f *testSite) isUsable(target ident.Target) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Contains(f.usable, target)
 }
 
-// A caller's request reaches a target 2.6 s after it left. Its zone was cut off from the
-// store, where its entry lapsed, since it could not be renewed, and the target began to leave
-// meanwhile. When the zone had been joined again for three seconds, and the store had known
-// for more than two that the target leaves, a daemon of the zone still used it: the grace for
-// lapsed entries ran from when the daemon noticed the store's return, which it does late by
-// the pause between two calls. Its lines showed the drop 2.5 s after the table was read.
-func TestATargetThatLeftWhileItsZoneWasCutOffGetsNothingOnceInTouch(t *testing.T) {
+// Guards against sending requests to a target that began to leave while its zone was cut
+// off from the store and whose entry expired there because it could not be renewed. Three
+// seconds after the zone was reconnected, and more than two after the store knew that the
+// target was leaving, a daemon of the zone still used it, so that a request reached the
+// target 2.6 s after it had left. The grace period for expired entries ran from when the
+// daemon noticed that the store was back, which is late by the pause between two calls; its
+// log showed the drop 2.5 s after the table was read.
+func TestTargetThatLeftDuringOutageIsUnusedAfterRecovery(t *testing.T) {
 	const (
-		cutFor  = 5300 * time.Millisecond
-		renewed = 1200 * time.Millisecond // the targets' heartbeats
-		rounds  = 40                      // each with other pauses between calls
+		outage    = 5300 * time.Millisecond
+		heartbeat = 1200 * time.Millisecond // the targets' heartbeats
+		rounds    = 40                      // each with other pauses between calls
 	)
-	for _, silent := range []bool{false, true} {
+	for _, hangs := range []bool{false, true} {
 		for range rounds {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				feed := newTableOfTargets()
-				feed.silent = silent
+				feed := newFakeTargetFeed()
+				feed.hangs = hangs
 				feed.put("leaves", false)
 				feed.put("lives", false)
-				s := followSite(t, feed)
+				s := newTestSite(t, feed)
 				time.Sleep(2 * time.Second)
-				feed.setAway(true)
-				time.Sleep(cutFor)
+				feed.setUnreachable(true)
+				time.Sleep(outage)
 				feed.put("leaves", true)
 				feed.put("lives", true)
-				is.True(s.uses("leaves")) // what is known stays while the store is away
-				feed.setAway(false)
-				back := time.Now()
-				time.Sleep(renewed)
+				is.True(s.isUsable("leaves")) // known targets are kept while the store is unreachable
+				feed.setUnreachable(false)
+				restoredAt := time.Now()
+				time.Sleep(heartbeat)
 				feed.put("lives", false)
-				time.Sleep(time.Until(back.Add(s.inTouch)))
-				is.True(s.uses("lives"))
-				is.True(!s.uses("leaves")) // in touch again, and used past its leaving
+				time.Sleep(time.Until(restoredAt.Add(s.inTouch)))
+				is.True(s.isUsable("lives"))
+				is.True(!s.isUsable("leaves")) // reconnected, so that a target that left must not be used
 			})
 		}
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -44,7 +44,7 @@
 var Module = fx.Module("savorystalld",
 	fx.Provide(
 		newIdentity,
-		NewLife,
+		NewLifecycle,
 		telemetry.NewMetrics,
 		newTracing,
 		newPlatform,
@@ -159,7 +159,7 @@
 type servers struct {
 	callers, operators *http.Server
 	callersListener    *drainableListener
-	connections        *connections
+	connections        *connTracker
 	operatorsListener  net.Listener
 }
 
@@ -168,7 +168,7 @@
 	operatorsTimeout = 10 * time.Second
 )
 
-func newServers(s settings.Settings, id identity, in *ingress.Server, life *Life, loop *control.Loop, store *config.Store, b *bridge, metrics *telemetry.Metrics) (*servers, error) {
+func newServers(s settings.Settings, id identity, in *ingress.Server, life *Lifecycle, loop *control.Loop, store *config.Store, b *bridge, metrics *telemetry.Metrics) (*servers, error) {
 	ops := &operators{identity: id, life: life, loop: loop, store: store, bridge: b, metrics: metrics}
 	callers, err := listenDrainable(s.Callers.Listen)
 	if err != nil {
@@ -179,12 +179,12 @@
 		_ = callers.Close()
 		return nil, merry.Prepend(err, "operators' listener")
 	}
-	conns := newConnections(0)
+	conns := newConnTracker(0)
 	return &servers{
 		connections: conns,
 		callers: &http.Server{
-			ConnState:         conns.note,
-			Handler:           closing(life, in),
+			ConnState:         conns.track,
+			Handler:           closeWhenStopping(life, in),
 			ReadHeaderTimeout: s.Callers.HeaderTimeout,
 			MaxHeaderBytes:    s.Callers.HeaderBytes,
 			IdleTimeout:       idleTimeout,
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -19,16 +19,16 @@
 	"github.com/savorystall/savorystall/internal/settings"
 )
 
-// startDev runs a daemon with the embedded stand-ins until the test ends.
+// startDev runs a daemon with the embedded emulator until the test ends.
 func startDev(t *testing.T, overrides ...settings.Override) (*emulator.Emulator, daemon.Addresses) {
 	t.Helper()
-	site, err := dev.Start(t.Context())
+	emu, err := dev.Start(t.Context())
 	is.New(t).NoErr(err)
-	t.Cleanup(site.Close)
-	return site, startDaemon(t, append(overrides, func(s *settings.Settings) { s.Platform.URL = site.URL })...)
+	t.Cleanup(emu.Close)
+	return emu, startDaemon(t, append(overrides, func(s *settings.Settings) { s.Platform.URL = emu.URL })...)
 }
 
-// startDaemon runs a daemon until the test ends, and returns once it is ready.
+// startDaemon runs a daemon until the test ends, and returns once the daemon is ready.
 func startDaemon(t *testing.T, overrides ...settings.Override) daemon.Addresses {
 	t.Helper()
 	is := is.New(t)
@@ -54,36 +54,36 @@
 		return a
 	case err := <-ended:
 		ended <- err
-		t.Fatal("the daemon ended early: ", err)
+		t.Fatal("the daemon stopped before it was ready: ", err)
 		return daemon.Addresses{}
 	}
 }
 
 const jsonType = "application/json"
 
-// call is one bad request and the code that it must get.
-type call struct {
+// badRequest is an invalid request and the result code that it must get.
+type badRequest struct {
 	name, method, path, key, media, body string
 	header                               map[string]string
 	want                                 resultcode.Code
 }
 
-func badCalls() []call {
-	post := func(name, path, body string, want resultcode.Code) call {
-		return call{name: name, method: http.MethodPost, path: path, key: dev.Key, media: jsonType, body: body, want: want}
+func badRequests() []badRequest {
+	post := func(name, path, body string, want resultcode.Code) badRequest {
+		return badRequest{name: name, method: http.MethodPost, path: path, key: dev.Key, media: jsonType, body: body, want: want}
 	}
 	const completions, chat = "/v1/completions", "/v1/chat/completions"
 	const good = `{"model":"recap-1","prompt":"p","max_tokens":1}`
-	withKey := func(c call, key string) call { c.key = key; return c }
-	withMedia := func(c call, media string) call { c.media = media; return c }
-	withHeader := func(c call, name, value string) call {
+	withKey := func(c badRequest, key string) badRequest { c.key = key; return c }
+	withMedia := func(c badRequest, media string) badRequest { c.media = media; return c }
+	withHeader := func(c badRequest, name, value string) badRequest {
 		c.header = map[string]string{name: value}
 		return c
 	}
-	get := func(name, path string, want resultcode.Code) call {
-		return call{name: name, method: http.MethodGet, path: path, key: dev.Key, want: want}
+	get := func(name, path string, want resultcode.Code) badRequest {
+		return badRequest{name: name, method: http.MethodGet, path: path, key: dev.Key, want: want}
 	}
-	return []call{
+	return []badRequest{
 		withKey(post("no key", completions, good, resultcode.Unauthenticated), ""),
 		withKey(post("unknown key", completions, good, resultcode.Unauthenticated), "nobody"),
 		withKey(post("blank key", completions, good, resultcode.Unauthenticated), " "),
@@ -124,7 +124,7 @@
 	}
 }
 
-// errorAnswer is the JSON of a refusal.
+// errorAnswer is the JSON body of an error response.
 type errorAnswer struct {
 	Error struct {
 		Code int                `json:"code"`
@@ -133,15 +133,15 @@
 	} `json:"error"`
 }
 
-// A caller that sends nonsense must be told which rule it broke and that nothing
-// was run, and no target may see a byte of it.
-func TestBadInputIsRefusedBeforeAnyTarget(t *testing.T) {
-	stall, a := startDev(t)
-	before := stall.TargetRequests()
-	for _, c := range badCalls() {
+// A caller that sends an invalid request must be told which rule it violates and that
+// nothing was run, and no target may receive any part of it.
+func TestInvalidRequestsNeverReachTarget(t *testing.T) {
+	emu, addrs := startDev(t)
+	before := emu.TargetRequests()
+	for _, c := range badRequests() {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			request, err := http.NewRequest(c.method, "http://"+a.Callers+c.path, strings.NewReader(c.body))
+			request, err := http.NewRequest(c.method, "http://"+addrs.Callers+c.path, strings.NewReader(c.body))
 			is.NoErr(err)
 			if c.key != "" {
 				request.Header.Set("Authorization", "Bearer "+c.key)
@@ -165,18 +165,18 @@
 			is.Equal(response.StatusCode, c.want.HTTPStatus)
 		})
 	}
-	is.New(t).Equal(stall.TargetRequests(), before)
+	is.New(t).Equal(emu.TargetRequests(), before)
 }
 
-// A caller that stops in the middle of its body must not hold the request open:
-// it is refused once the time for the body has passed.
-func TestBodyThatNeverEndsIsRefused(t *testing.T) {
+// A caller that stops in the middle of its body must not keep the request open: it is
+// refused after the body timeout.
+func TestStalledRequestBodyTimesOut(t *testing.T) {
 	is := is.New(t)
-	_, a := startDev(t)
-	body, never := io.Pipe()
-	defer func() { _ = never.Close() }()
-	go func() { _, _ = never.Write([]byte(`{"model":`)) }()
-	request, err := http.NewRequest(http.MethodPost, "http://"+a.Callers+"/v1/completions", body)
+	_, addrs := startDev(t)
+	body, bodyWriter := io.Pipe()
+	defer func() { _ = bodyWriter.Close() }()
+	go func() { _, _ = bodyWriter.Write([]byte(`{"model":`)) }()
+	request, err := http.NewRequest(http.MethodPost, "http://"+addrs.Callers+"/v1/completions", body)
 	is.NoErr(err)
 	request.Header.Set("Authorization", "Bearer "+dev.Key)
 	request.Header.Set("Content-Type", jsonType)
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -8,43 +8,43 @@
 	"github.com/savorystall/savorystall/internal/event"
 )
 
-// accepting tells of each listener of callers' connections, by a channel that is closed, that
-// all it has accepted are known to the server.
-type accepting struct{ callers, takeovers, returned <-chan struct{} }
+// acceptLoops holds one channel for each listener of callers' connections. A channel is
+// closed once the server has registered all connections that its listener accepted.
+type acceptLoops struct{ callers, forwarded, returned <-chan struct{} }
 
-// drain ends the serving of callers: nothing further is accepted, and what was accepted is
-// answered, here or by a neighbour. It returns when no request is left or ctx ends.
+// drain stops serving callers: no further connections are accepted, and the accepted ones
+// are answered, here or by a neighbour. It returns when no request is left or ctx ends.
 //
-// Each listener is waited for before its connections are: one that was accepted and is not known
-// yet would be closed by the shutdown once its request is read.
-func (r *routedServers) drain(ctx context.Context, h *handovers, a accepting) {
+// Each listener must have finished before its connections are drained: the shutdown would
+// close a connection that was accepted but not yet registered as soon as its request is
+// read.
+func (r *routedServers) drain(ctx context.Context, forwarder *connForwarder, loops acceptLoops) {
 	if r.takeoverListener != nil {
-		_ = r.takeoverListener.Close() // what waits there is not taken, and its neighbour knows
-		<-a.takeovers
+		_ = r.takeoverListener.Close() // pending connections are not accepted, which the neighbours notice
+		<-loops.forwarded
 	}
-	r.connections.closeUnused(time.Now())
+	r.connections.closeInactive(time.Now())
 	r.callersListener.drain()
-	<-a.callers
-	h.settle(ctx)
-	_ = h.returned.Close() // ends without an error
-	<-a.returned
-	r.connections.settle(ctx)
-	// What is left are connections without a request.
+	<-loops.callers
+	forwarder.wait(ctx)
+	_ = forwarder.returned.Close() // never fails
+	<-loops.returned
+	r.connections.drain(ctx)
+	// The remaining connections hold no request.
 	_ = r.callers.Shutdown(ctx)
 }
 
-// warnOfDrain logs what a planned stop waits for, each time that it has waited for so long, until
-// ctx ends.
-func (r *routedServers) warnOfDrain(ctx context.Context, every time.Duration, h *handovers, log *slog.Logger) {
-	ticker := time.NewTicker(every)
+// logDrainProgress logs what a planned stop waits for, once per interval, until ctx ends.
+func (r *routedServers) logDrainProgress(ctx context.Context, interval time.Duration, forwarder *connForwarder, log *slog.Logger) {
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			use := r.connections.use()
-			event.DrainStuck.Log(log, "with_request", use.busy, "without_request", use.fresh, "closing", use.ending, "passed_on", h.active.Load())
+			usage := r.connections.usage()
+			event.DrainStuck.Log(log, "with_request", usage.active, "without_request", usage.pending, "closing", usage.closing, "passed_on", forwarder.active.Load())
 		}
 	}
 }
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -16,93 +16,94 @@
 	"github.com/savorystall/savorystall/internal/settings"
 )
 
-const hopRequest = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
+const plainRequest = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// drained is a daemon's servers of callers whose accepting goroutines wait for a turn each time
-// they have accepted a connection.
-type drained struct {
+// testServers are the caller-facing servers of a daemon whose accept loops pause after each
+// accepted connection.
+type testServers struct {
 	*routedServers
-	handovers *handovers
-	accepting accepting
+	forwarder *connForwarder
+	loops     acceptLoops
 }
 
-func newDrained(t *testing.T, turn time.Duration) *drained {
+func newTestServers(t *testing.T, acceptDelay time.Duration) *testServers {
 	t.Helper()
 	is := is.New(t)
-	load := newLoadWatch(settings.Defaults())
-	load.shed.Store(shedUnit)
-	d := &drained{
-		routedServers: &routedServers{connections: newConnections(0)},
-		handovers:     newTestHandovers(t, settings.Defaults(), load, newNeighbourThatTakesNothing(t)),
+	monitor := newLoadMonitor(settings.Defaults())
+	monitor.shedPermille.Store(shedScale)
+	servers := &testServers{
+		routedServers: &routedServers{connections: newConnTracker(0)},
+		forwarder:     newTestForwarder(t, settings.Defaults(), monitor, newRefusingNeighbour(t)),
 	}
 	var err error
-	d.callersListener, err = listenDrainable("127.0.0.1:0")
+	servers.callersListener, err = listenDrainable("127.0.0.1:0")
 	is.NoErr(err)
-	d.takeoverListener, err = listenTakeover(settings.Fleet{Handover: "127.0.0.1:0"}, func() bool { return true }, func() uint64 { return 0 })
+	servers.takeoverListener, err = listenForwarded(settings.Fleet{Handover: "127.0.0.1:0"}, func() bool { return true }, func() uint64 { return 0 })
 	is.NoErr(err)
-	d.callers = &http.Server{
+	servers.callers = &http.Server{
 		Handler:     keeping(time.Minute, func() bool { return false }, http.HandlerFunc(echo)),
 		ConnContext: withConn,
 		ConnState: func(c net.Conn, state http.ConnState) {
 			if state == http.StateNew {
-				time.Sleep(turn)
+				time.Sleep(acceptDelay)
 			}
-			d.connections.note(c, state)
+			servers.connections.track(c, state)
 		},
 	}
-	t.Cleanup(func() { _ = d.callers.Close() })
+	t.Cleanup(func() { _ = servers.callers.Close() })
 	serve := func(l net.Listener) <-chan struct{} {
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			_ = d.callers.Serve(l)
+			_ = servers.callers.Serve(l)
 		}()
 		return done
 	}
-	d.accepting = accepting{callers: serve(d.callersListener), takeovers: serve(d.takeoverListener), returned: serve(d.handovers.returned)}
-	return d
+	servers.loops = acceptLoops{callers: serve(servers.callersListener), forwarded: serve(servers.takeoverListener), returned: serve(servers.forwarder.returned)}
+	return servers
 }
 
-func newNeighbourThatTakesNothing(t *testing.T) (address string) {
-	n := newNeighbour(t, echo)
+func newRefusingNeighbour(t *testing.T) (address string) {
+	n := newTestNeighbour(t, echo)
 	n.busy.Store(true)
 	return n.address
 }
 
-// answered fails unless an answer comes on the connection.
-func answered(t *testing.T, conn net.Conn) {
+// requireResponse fails the test unless a response arrives on the connection.
+func requireResponse(t *testing.T, conn net.Conn) {
 	t.Helper()
 	_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
-	w, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatalf("no answer: %v", err)
 	}
-	_ = w.Body.Close()
+	_ = response.Body.Close()
 }
 
-// Guards against a planned stop of a VM whose turns take long that reads a request of a neighbour
-// and closes its connection without an answer, since the server had not come to know it.
-func TestAPlannedStopAnswersWhoWasTakenOverJustBefore(t *testing.T) {
+// Guards against a planned stop, on a VM with a high scheduling latency, that closes a
+// connection forwarded by a neighbour without an answer after reading its request, because
+// the server had not registered the connection yet.
+func TestShutdownAnswersConnectionForwardedJustBefore(t *testing.T) {
 	is := is.New(t)
-	const turn = 300 * time.Millisecond
-	d := newDrained(t, turn)
-	conn, err := net.Dial("tcp", d.takeoverListener.Addr().String())
+	const acceptDelay = 300 * time.Millisecond
+	servers := newTestServers(t, acceptDelay)
+	conn, err := net.Dial("tcp", servers.takeoverListener.Addr().String())
 	is.NoErr(err)
 	t.Cleanup(func() { _ = conn.Close() })
-	_, err = io.ReadFull(conn, make([]byte, takeoverSize)) // it is taken
+	_, err = io.ReadFull(conn, make([]byte, acceptMessageSize)) // the connection is accepted
 	is.NoErr(err)
-	_, err = io.WriteString(conn, hopRequest)
+	_, err = io.WriteString(conn, plainRequest)
 	is.NoErr(err)
-	go d.drain(context.Background(), d.handovers, d.accepting)
-	answered(t, conn)
+	go servers.drain(context.Background(), servers.forwarder, servers.loops)
+	requireResponse(t, conn)
 }
 
-// Guards against a planned stop of a VM whose turns take long that reads a request on a connection
-// which no neighbour took, and closes it without an answer.
-func TestAPlannedStopAnswersWhoCameBackFromNeighboursJustBefore(t *testing.T) {
+// Guards against a planned stop, on a VM with a high scheduling latency, that closes a
+// connection that no neighbour accepted without an answer after reading its request.
+func TestShutdownAnswersConnectionReturnedJustBefore(t *testing.T) {
 	is := is.New(t)
-	const turn = 300 * time.Millisecond
-	d := newDrained(t, turn)
+	const acceptDelay = 300 * time.Millisecond
+	servers := newTestServers(t, acceptDelay)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -111,39 +112,39 @@
 	t.Cleanup(func() { _ = caller.Close() })
 	accepted, err := l.Accept()
 	is.NoErr(err)
-	_, err = io.WriteString(caller, hopRequest)
+	_, err = io.WriteString(caller, plainRequest)
 	is.NoErr(err)
-	is.True(d.handovers.passOn(newReadingConn(accepted.(*net.TCPConn))))
-	for end := time.Now().Add(5 * time.Second); d.handovers.active.Load() > 0 && time.Now().Before(end); {
-		time.Sleep(time.Millisecond) // until the neighbour has not taken it
+	is.True(servers.forwarder.tryForward(newTrackedConn(accepted.(*net.TCPConn))))
+	for end := time.Now().Add(5 * time.Second); servers.forwarder.active.Load() > 0 && time.Now().Before(end); {
+		time.Sleep(time.Millisecond) // until the neighbour has refused it
 	}
-	go d.drain(context.Background(), d.handovers, d.accepting)
-	answered(t, caller)
+	go servers.drain(context.Background(), servers.forwarder, servers.loops)
+	requireResponse(t, caller)
 }
 
-// Guards against a planned stop that hangs without a word of what it waits for.
-func TestAPlannedStopTellsWhatItWaitsFor(t *testing.T) {
+// Guards against a planned stop that hangs without logging what it waits for.
+func TestShutdownLogsWhatItWaitsFor(t *testing.T) {
 	is := is.New(t)
-	d := newDrained(t, 0)
-	conn, err := net.Dial("tcp", d.callersListener.Addr().String())
+	servers := newTestServers(t, 0)
+	conn, err := net.Dial("tcp", servers.callersListener.Addr().String())
 	is.NoErr(err)
 	t.Cleanup(func() { _ = conn.Close() })
-	for end := time.Now().Add(5 * time.Second); d.connections.use().fresh == 0 && time.Now().Before(end); {
+	for end := time.Now().Add(5 * time.Second); servers.connections.usage().pending == 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	said := make(chan string, 1)
-	go d.warnOfDrain(ctx, time.Millisecond, d.handovers, slog.New(slog.NewJSONHandler(firstLine(said), nil)))
-	line := <-said
+	lines := make(chan string, 1)
+	go servers.logDrainProgress(ctx, time.Millisecond, servers.forwarder, slog.New(slog.NewJSONHandler(firstLineWriter(lines), nil)))
+	line := <-lines
 	cancel()
 	is.True(strings.Contains(line, `"event":107,"with_request":0,"without_request":1,"closing":0,"passed_on":0`))
 }
 
-// firstLine is a log of which only the first line is kept.
-type firstLine chan string
+// firstLineWriter is a log output that keeps only the first line.
+type firstLineWriter chan string
 
 // Write implements io.Writer.
-func (c firstLine) Write(line []byte) (int, error) {
+func (c firstLineWriter) Write(line []byte) (int, error) {
 	select {
 	case c <- string(line):
 	default:
--- a/internal/daemon/follow.go
+++ b/internal/daemon/follow.go
@@ -25,7 +25,7 @@
 	store *config.Store
 	loop  *control.Loop
 	node  *fleet.Node
-	life  *Life
+	life  *Lifecycle
 	log   *slog.Logger
 }
 
@@ -35,7 +35,7 @@
 		head := f.store.Head()
 		f.loop.Configure(schedulerServices(f.store.Snapshot()))
 		f.node.SetHead(head)
-		if head > 0 && f.life.fire(triggerConfigured) {
+		if head > 0 && f.life.applyTrigger(triggerConfigured) {
 			event.DaemonReady.Log(f.log, "head", head)
 		}
 		select {
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -18,89 +18,94 @@
 	"github.com/savorystall/savorystall/internal/telemetry"
 )
 
-// takeoverTries is how many neighbours are asked to take one connection.
-const takeoverTries = 2
-
-// passedPart is the part of the connections that a daemon may have of callers which it passes on
-// at a time. Each is carried through the daemon to its end, streams event by event: more than it
-// has turns for delay each other and all that it serves itself.
-const passedPart = 1.0 / 16
-
-// passagesMost bounds the connections that are passed on at a time; zero means no bound.
-func passagesMost(m settings.Memory) int {
-	return int(math.Ceil(passedPart * float64(callersConnections(m))))
-}
-
-// handovers passes new connections of callers on to neighbours while this daemon is short
-// of processor time. It is safe for concurrent use.
-type handovers struct {
-	watch *loadWatch
-	// left tells of callers that close connections which neighbours serve.
-	left *hangups
-	// unread counts the callers' connections of which nothing has been read.
-	unread func(now time.Time) int
-	// version is that of the routes in force.
-	version func() uint64
-	log     *slog.Logger
-	metrics *telemetry.Metrics
-	// returned brings the connections that no neighbour took.
+// maxForwardAttempts is how many neighbours are offered one connection.
+const maxForwardAttempts = 2
+
+// maxForwardedFraction is the number of connections that a daemon may forward at a time, as
+// a fraction of its limit on connections of callers. Each forwarded connection is proxied
+// by the daemon to its end, streams event by event: more than it has processor time for
+// delay each other and all requests that it serves itself.
+const maxForwardedFraction = 1.0 / 16
+
+// maxForwardedConns returns the limit on connections that are forwarded at a time; zero
+// means no limit.
+func maxForwardedConns(m settings.Memory) int {
+	return int(math.Ceil(maxForwardedFraction * float64(callersConnections(m))))
+}
+
+// connForwarder forwards new connections of callers to neighbours while this daemon is
+// short of processor time. It is safe for concurrent use.
+type connForwarder struct {
+	monitor *loadMonitor
+	// disconnects detects callers that close connections which neighbours serve.
+	disconnects *disconnectWatcher
+	// unreadConns returns the number of callers' connections from which nothing has been
+	// read.
+	unreadConns func(now time.Time) int
+	// routesVersion returns the version of the routes in force.
+	routesVersion func() uint64
+	log           *slog.Logger
+	metrics       *telemetry.Metrics
+	// returned hands connections that no neighbour accepted back to the server.
 	returned *returnedListener
-	// active counts the connections that are being passed on.
+	// active counts the connections that are being forwarded.
 	active atomic.Int64
-	// passed, refused, unheard and lost count since the last report: those that a neighbour
-	// took, that it did not take, where it did not answer in time, and that it ended without an
-	// answer.
-	passed, refused, unheard, lost atomic.Int64
-	// sending are the waits since the last report from the acceptance of a connection until its
-	// first bytes went to a neighbour.
-	sending waits
+	// forwarded, refused, timedOut and lost count events since the last report: connections
+	// that a neighbour accepted, offers that it refused, offers that it did not answer in
+	// time, and accepted connections that it closed without an answer.
+	forwarded, refused, timedOut, lost atomic.Int64
+	// sendDelays are the delays since the last report from the acceptance of a connection
+	// until its first bytes were sent to a neighbour.
+	sendDelays waits
 
 	mu         sync.Mutex
 	picker     *handover.Picker
 	rng        *rand.Rand
 	neighbours []ident.Daemon
 	addresses  map[ident.Daemon]string
-	// passages are those under way, by who serves them.
-	passages map[ident.Daemon]map[*passage]bool
+	// proxies are the active proxies by the neighbour that serves them.
+	proxies map[ident.Daemon]map[*connProxy]bool
 }
 
-func newHandovers(s settings.Settings, load *loadWatch, left *hangups, metrics *telemetry.Metrics, log *slog.Logger) *handovers {
-	return &handovers{
-		watch: load, left: left, unread: func(time.Time) int { return 0 }, version: func() uint64 { return 0 }, log: log, metrics: metrics,
+func newConnForwarder(s settings.Settings, monitor *loadMonitor, disconnects *disconnectWatcher, metrics *telemetry.Metrics, log *slog.Logger) *connForwarder {
+	return &connForwarder{
+		monitor: monitor, disconnects: disconnects, unreadConns: func(time.Time) int { return 0 }, routesVersion: func() uint64 { return 0 }, log: log, metrics: metrics,
 		returned: newReturnedListener(),
-		picker:   handover.NewPicker(passagesMost(s.Memory)),
+		picker:   handover.NewPicker(maxForwardedConns(s.Memory)),
 		rng:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		passages: map[ident.Daemon]map[*passage]bool{},
+		proxies:  map[ident.Daemon]map[*connProxy]bool{},
 	}
 }
 
-// setNeighbours replaces the daemons of the availability zone that may take connections over.
-// Live are all that are heard of: what others have taken over comes to nothing.
-func (h *handovers) setNeighbours(neighbours []ident.Daemon, live map[ident.Daemon]bool) {
+// setNeighbours replaces the daemons of the availability zone that may accept forwarded
+// connections. alive holds all daemons that are known to be alive; connections that other
+// daemons have accepted are closed.
+func (h *connForwarder) setNeighbours(neighbours []ident.Daemon, alive map[ident.Daemon]bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.neighbours = neighbours
-	h.join()
-	for id, under := range h.passages {
-		if live[id] {
+	h.updatePicker()
+	for id, proxies := range h.proxies {
+		if alive[id] {
 			continue
 		}
-		for p := range under {
-			_ = p.neighbour.Close() // its caller gets an answer, and does not wait for one that stands still
+		for p := range proxies {
+			_ = p.neighbour.Close() // its caller gets an error instead of waiting for a frozen daemon
 		}
 	}
 }
 
-// setAddresses replaces what is known of where daemons take connections over.
-func (h *handovers) setAddresses(addresses map[ident.Daemon]string) {
+// setAddresses replaces the addresses at which daemons accept forwarded connections.
+func (h *connForwarder) setAddresses(addresses map[ident.Daemon]string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.addresses = addresses
-	h.join()
+	h.updatePicker()
 }
 
-// join tells the picker of the neighbours that live and take connections over.
-func (h *handovers) join() {
+// updatePicker gives the picker the neighbours that are alive and accept forwarded
+// connections.
+func (h *connForwarder) updatePicker() {
 	var list []handover.Neighbour
 	for _, id := range h.neighbours {
 		if address := h.addresses[id]; address != "" {
@@ -110,69 +115,70 @@
 	h.picker.SetNeighbours(list)
 }
 
-// passOn takes a new connection over that a neighbour is to serve, and tells whether it did.
-func (h *handovers) passOn(caller *readingConn) bool {
-	load := h.load()
+// tryForward starts forwarding a new connection if a neighbour is to serve it, and reports
+// whether it did.
+func (h *connForwarder) tryForward(caller *trackedConn) bool {
+	load := h.currentLoad()
 	if load.ForwardFraction() == 0 {
 		return false
 	}
-	to, choice := h.offer(load.ForwardFraction())
+	to, choice := h.route(load.ForwardFraction())
 	switch choice {
 	case handover.Local:
-		caller.admitted = true
+		caller.mustServe = true
 		return false
 	case handover.NoNeighbour:
-		caller.crowded = load.Saturated()
+		caller.mustRefuse = load.Saturated()
 		return false
 	}
 	h.active.Add(1)
-	p := &passage{caller: caller, accepted: time.Now(), sending: &h.sending}
+	p := &connProxy{caller: caller, acceptedAt: time.Now(), sendDelays: &h.sendDelays}
 	go func() {
 		defer h.active.Add(-1)
-		h.pass(p, to)
+		h.forward(p, to)
 	}()
 	return true
 }
 
-// load is that of this daemon now.
-func (h *handovers) load() handover.Load {
-	return handover.Load{ShedFraction: h.watch.shedShare(), UnreadConns: h.unread(time.Now())}
+// currentLoad returns the current load of this daemon.
+func (h *connForwarder) currentLoad() handover.Load {
+	return handover.Load{ShedFraction: h.monitor.shedFraction(), UnreadConns: h.unreadConns(time.Now())}
 }
 
-// pass passes a connection on until it ends, or gives it back to this daemon where nobody
-// takes it.
-func (h *handovers) pass(p *passage, to handover.Neighbour) {
-	for try := 1; ; try++ {
-		conn, err := takeover(to.Address, h.version())
+// forward offers a connection to neighbours and proxies it until it ends. It hands the
+// connection back to this daemon if no neighbour accepts it.
+func (h *connForwarder) forward(p *connProxy, to handover.Neighbour) {
+	for attempt := 1; ; attempt++ {
+		conn, err := offerConn(to.Address, h.routesVersion())
 		if err == nil {
 			p.neighbour = conn
-			h.carry(p, to)
+			h.proxy(p, to)
 			return
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			h.unheard.Add(1)
+			h.timedOut.Add(1)
 		} else {
 			h.refused.Add(1)
 		}
 		var ok bool
-		if to, ok = h.another(to.ID, try); !ok {
-			h.returned.give(p.caller)
+		if to, ok = h.nextNeighbour(to.ID, attempt); !ok {
+			h.returned.handBack(p.caller)
 			return
 		}
 	}
 }
 
-// carry serves a connection that a neighbour has taken.
-func (h *handovers) carry(p *passage, to handover.Neighbour) {
-	h.begun(to.ID, p)
-	defer h.ended(to.ID, p)
-	if hungUp(p.caller) {
-		_, _ = p.neighbour.Close(), p.caller.Close() // nobody waits for anything on it
+// proxy serves a connection that a neighbour has accepted.
+func (h *connForwarder) proxy(p *connProxy, to handover.Neighbour) {
+	h.proxyStarted(to.ID, p)
+	defer h.proxyEnded(to.ID, p)
+	if peerClosed(p.caller) {
+		_, _ = p.neighbour.Close(), p.caller.Close() // the caller has disconnected
 		return
 	}
-	h.passed.Add(1)
+	h.forwarded.Add(1)
 	h.metrics.PassedOn()
-	defer h.left.watchConn(p.caller, p.hangUp)()
+	defer h.disconnects.watchConn(p.caller, p.abortNeighbour)()
 	if p.run() {
 		return
 	}
@@ -180,57 +186,58 @@
 	event.HandoverLost.Log(h.log, "neighbour", to.ID)
 }
 
-func (h *handovers) offer(part float64) (handover.Neighbour, handover.Choice) {
+func (h *connForwarder) route(fraction float64) (handover.Neighbour, handover.Choice) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.picker.Route(time.Now(), h.rng, part)
+	return h.picker.Route(time.Now(), h.rng, fraction)
 }
 
-// another notes that a neighbour did not take a connection, and chooses the next one to ask.
-func (h *handovers) another(refused ident.Daemon, tries int) (handover.Neighbour, bool) {
+// nextNeighbour records that a neighbour did not accept a connection, and chooses the next
+// one to offer it to.
+func (h *connForwarder) nextNeighbour(refusedBy ident.Daemon, attempts int) (handover.Neighbour, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
-	h.picker.Refused(now, refused)
-	if tries >= takeoverTries {
+	h.picker.Refused(now, refusedBy)
+	if attempts >= maxForwardAttempts {
 		return handover.Neighbour{}, false
 	}
 	return h.picker.Pick(now, h.rng)
 }
 
-func (h *handovers) begun(id ident.Daemon, p *passage) {
+func (h *connForwarder) proxyStarted(id ident.Daemon, p *connProxy) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.picker.OfferAnswered()
-	if h.passages[id] == nil {
-		h.passages[id] = map[*passage]bool{}
+	if h.proxies[id] == nil {
+		h.proxies[id] = map[*connProxy]bool{}
 	}
-	h.passages[id][p] = true
+	h.proxies[id][p] = true
 }
 
-func (h *handovers) ended(id ident.Daemon, p *passage) {
+func (h *connForwarder) proxyEnded(id ident.Daemon, p *connProxy) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.picker.Closed(id)
-	delete(h.passages[id], p)
-	if len(h.passages[id]) == 0 {
-		delete(h.passages, id)
+	delete(h.proxies[id], p)
+	if len(h.proxies[id]) == 0 {
+		delete(h.proxies, id)
 	}
 }
 
-// report logs what was passed on since the last report, where there was anything.
-func (h *handovers) report() {
-	passed, refused, unheard, lost := h.passed.Swap(0), h.refused.Swap(0), h.unheard.Swap(0), h.lost.Swap(0)
-	sent, longest := h.sending.take()
-	if passed+refused+unheard > 0 {
-		event.HandoverReport.Log(h.log, "passed_on", passed, "refused", refused, "unheard", unheard, "lost", lost, "open", h.active.Load(),
-			"sent_ms", sent.Milliseconds(), "longest_ms", longest.Milliseconds())
+// logReport logs what was forwarded since the last report, if anything.
+func (h *connForwarder) logReport() {
+	forwarded, refused, timedOut, lost := h.forwarded.Swap(0), h.refused.Swap(0), h.timedOut.Swap(0), h.lost.Swap(0)
+	meanDelay, maxDelay := h.sendDelays.take()
+	if forwarded+refused+timedOut > 0 {
+		event.HandoverReport.Log(h.log, "passed_on", forwarded, "refused", refused, "unheard", timedOut, "lost", lost, "open", h.active.Load(),
+			"sent_ms", meanDelay.Milliseconds(), "longest_ms", maxDelay.Milliseconds())
 	}
 }
 
-// settle waits until nothing is passed on any more or ctx ends.
-func (h *handovers) settle(ctx context.Context) {
-	ticker := time.NewTicker(settlePoll)
+// wait waits until no connection is being forwarded or ctx ends.
+func (h *connForwarder) wait(ctx context.Context) {
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for h.active.Load() > 0 {
 		select {
--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -24,57 +24,58 @@
 	"github.com/savorystall/savorystall/internal/telemetry"
 )
 
-// starved is a daemon's listener that refuses nearly all for want of processor time, and its
-// neighbours.
-type starved struct {
+// overloadedDaemon is the listener of a daemon that refuses nearly all requests for lack of
+// processor time and forwards connections to neighbours.
+type overloadedDaemon struct {
 	t         *testing.T
 	address   string
 	listener  *drainableListener
-	load      *loadWatch
-	handovers *handovers
+	monitor   *loadMonitor
+	forwarder *connForwarder
 	server    *http.Server
-	// version is that of its routes, unread how many connections it has of which nothing was read.
-	version atomic.Uint64
-	unread  atomic.Int64
-	// local counts the requests that it served itself, handler is what serves them.
-	local   atomic.Int64
-	handler atomic.Value
+	// routesVersion is the version of its routes, and unreadConns the number of its
+	// connections from which nothing was read.
+	routesVersion atomic.Uint64
+	unreadConns   atomic.Int64
+	// servedLocally counts the requests that the daemon served itself with handler.
+	servedLocally atomic.Int64
+	handler       atomic.Value
 }
 
-func newStarved(t *testing.T, neighbours ...string) *starved {
+func newOverloadedDaemon(t *testing.T, neighbours ...string) *overloadedDaemon {
 	t.Helper()
-	return newStarvedVM(t, settings.Defaults(), neighbours...)
+	return newOverloadedVM(t, settings.Defaults(), neighbours...)
 }
 
-func newStarvedVM(t *testing.T, vm settings.Settings, neighbours ...string) *starved {
+func newOverloadedVM(t *testing.T, vm settings.Settings, neighbours ...string) *overloadedDaemon {
 	t.Helper()
 	inner, err := listenDrainable("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &starved{t: t, address: inner.Addr().String(), listener: inner, load: newLoadWatch(vm)}
-	s.load.shed.Store(shedUnit)
-	s.handovers = newTestHandovers(t, vm, s.load, neighbours...)
-	s.handovers.version = s.version.Load
-	s.handovers.unread = func(time.Time) int { return int(s.unread.Load()) }
+	s := &overloadedDaemon{t: t, address: inner.Addr().String(), listener: inner, monitor: newLoadMonitor(vm)}
+	s.monitor.shedPermille.Store(shedScale)
+	s.forwarder = newTestForwarder(t, vm, s.monitor, neighbours...)
+	s.forwarder.routesVersion = s.routesVersion.Load
+	s.forwarder.unreadConns = func(time.Time) int { return int(s.unreadConns.Load()) }
 	s.handler.Store(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "local") }))
-	s.server = &http.Server{ConnContext: withConn, Handler: counting(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.local.Add(1)
+	s.server = &http.Server{ConnContext: withConn, Handler: countRequests(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		s.servedLocally.Add(1)
 		s.handler.Load().(http.HandlerFunc)(w, r)
 	}))}
-	l := newSheddingListener(inner, func() rate.Limit { return 0 }, s.handovers.passOn)
+	l := newRateLimitedListener(inner, func() rate.Limit { return 0 }, s.forwarder.tryForward)
 	go func() { _ = s.server.Serve(l) }()
-	go func() { _ = s.server.Serve(s.handovers.returned) }()
+	go func() { _ = s.server.Serve(s.forwarder.returned) }()
 	t.Cleanup(func() { _ = s.server.Close() })
 	return s
 }
 
-// newTestHandovers passes connections on to these neighbours.
-func newTestHandovers(t *testing.T, vm settings.Settings, load *loadWatch, neighbours ...string) *handovers {
+// newTestForwarder returns a forwarder to the neighbours at these addresses.
+func newTestForwarder(t *testing.T, vm settings.Settings, monitor *loadMonitor, neighbours ...string) *connForwarder {
 	t.Helper()
 	metrics := telemetry.NewMetrics()
 	t.Cleanup(func() { _ = metrics.Close() })
-	h := newHandovers(vm, load, newHangups(load), metrics, slog.New(slog.DiscardHandler))
+	h := newConnForwarder(vm, monitor, newDisconnectWatcher(monitor), metrics, slog.New(slog.DiscardHandler))
 	var ids []ident.Daemon
 	addresses := map[ident.Daemon]string{}
 	for i, address := range neighbours {
@@ -86,18 +87,18 @@
 	return h
 }
 
-// neighbour takes connections over and serves them as a daemon does.
-type neighbour struct {
-	address string
-	busy    atomic.Bool
-	version atomic.Uint64
-	server  *http.Server
+// testNeighbour accepts forwarded connections and serves them as a daemon does.
+type testNeighbour struct {
+	address       string
+	busy          atomic.Bool
+	routesVersion atomic.Uint64
+	server        *http.Server
 }
 
-func newNeighbour(t *testing.T, handler http.HandlerFunc) *neighbour {
+func newTestNeighbour(t *testing.T, handler http.HandlerFunc) *testNeighbour {
 	t.Helper()
-	n := &neighbour{}
-	l, err := listenTakeover(settings.Fleet{Handover: "127.0.0.1:0"}, func() bool { return !n.busy.Load() }, n.version.Load)
+	n := &testNeighbour{}
+	l, err := listenForwarded(settings.Fleet{Handover: "127.0.0.1:0"}, func() bool { return !n.busy.Load() }, n.routesVersion.Load)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,54 +120,55 @@
 	_, _ = fmt.Fprintf(w, "%s %s %s", r.Method, r.RequestURI, body)
 }
 
-// post sends a request on a connection of its own.
-func (s *starved) post(body string) (status int, answer string, err error) {
+// post sends a request on a new connection.
+func (s *overloadedDaemon) post(body string) (status int, answer string, err error) {
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true}, Timeout: 10 * time.Second}
 	defer client.CloseIdleConnections()
-	w, err := client.Post("http://"+s.address+"/a%2Fb?c", "text/plain", strings.NewReader(body))
+	response, err := client.Post("http://"+s.address+"/a%2Fb?c", "text/plain", strings.NewReader(body))
 	if err != nil {
 		return 0, "", err
 	}
-	defer func() { _ = w.Body.Close() }()
-	text, err := io.ReadAll(w.Body)
-	return w.StatusCode, string(text), err
+	defer func() { _ = response.Body.Close() }()
+	text, err := io.ReadAll(response.Body)
+	return response.StatusCode, string(text), err
 }
 
-// A caller at a VM without processor time is served by a neighbour that has some, byte by byte.
-func TestANeighbourServesWhatADaemonHasNoTimeFor(t *testing.T) {
+// Requests to a VM without processor time must be served by a neighbour that has some, with
+// their bodies unchanged.
+func TestNeighbourServesForwardedRequest(t *testing.T) {
 	is := is.New(t)
-	s := newStarved(t, newNeighbour(t, echo).address)
+	s := newOverloadedDaemon(t, newTestNeighbour(t, echo).address)
 	body := strings.Repeat("0123456789", 20000)
 	status, answer, err := s.post(body)
 	is.NoErr(err)
 	is.Equal(status, 200)
 	is.Equal(answer, "POST /a%2Fb?c "+body)
-	is.Equal(s.local.Load(), int64(0))
+	is.Equal(s.servedLocally.Load(), int64(0))
 }
 
-// A connection that is passed on must end with its first answer, or the daemon that passes
-// it on cannot tell an unused connection from a request that is owed an answer.
-func TestAConnectionThatIsPassedOnEndsWithItsAnswer(t *testing.T) {
+// A forwarded connection must end with its first answer; otherwise the daemon that forwards
+// it cannot distinguish an idle connection from a request that awaits its answer.
+func TestForwardedConnectionEndsWithItsAnswer(t *testing.T) {
 	is := is.New(t)
-	s := newStarved(t, newNeighbour(t, echo).address)
+	s := newOverloadedDaemon(t, newTestNeighbour(t, echo).address)
 	conn, err := net.Dial("tcp", s.address)
 	is.NoErr(err)
 	defer func() { _ = conn.Close() }()
 	_, err = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	is.NoErr(err)
 	in := bufio.NewReader(conn)
-	w, err := http.ReadResponse(in, nil)
+	response, err := http.ReadResponse(in, nil)
 	is.NoErr(err)
-	_, err = io.ReadAll(w.Body)
+	_, err = io.ReadAll(response.Body)
 	is.NoErr(err)
-	is.True(w.Close)
+	is.True(response.Close)
 	_, err = in.ReadByte()
 	is.Equal(err, io.EOF)
 }
 
-// Where no neighbour takes a connection, its request must not be lost: the daemon serves it.
-func TestAConnectionThatNobodyTakesIsServedHere(t *testing.T) {
-	stands := func(t *testing.T) string { // the kernel accepts, the process does not
+// A request must be served locally if no neighbour accepts its connection.
+func TestConnectionThatNoNeighbourAcceptsIsServedLocally(t *testing.T) {
+	unresponsive := func(t *testing.T) string { // the kernel accepts the connection, the process does not
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -174,7 +176,7 @@
 		t.Cleanup(func() { _ = l.Close() })
 		return l.Addr().String()
 	}
-	gone := func(t *testing.T) string {
+	closed := func(t *testing.T) string {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -183,14 +185,14 @@
 		return l.Addr().String()
 	}
 	busy := func(t *testing.T) string {
-		n := newNeighbour(t, echo)
+		n := newTestNeighbour(t, echo)
 		n.busy.Store(true)
 		return n.address
 	}
-	for name, address := range map[string]func(*testing.T) string{"stands still": stands, "gone": gone, "busy": busy} {
+	for name, address := range map[string]func(*testing.T) string{"unresponsive": unresponsive, "gone": closed, "busy": busy} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := newStarved(t, address(t))
+			s := newOverloadedDaemon(t, address(t))
 			status, answer, err := s.post("x")
 			is.NoErr(err)
 			is.Equal(status, 200)
@@ -199,25 +201,26 @@
 	}
 }
 
-// A neighbour that dies with a request leaves its caller an answer that says it may have run.
-func TestACallerWhoseNeighbourDiesGetsAnAnswer(t *testing.T) {
+// If a neighbour dies with a request, its caller must get an answer that says that the
+// request may have run.
+func TestCallerGetsAnswerWhenNeighbourDies(t *testing.T) {
 	is := is.New(t)
-	var n *neighbour
-	n = newNeighbour(t, func(_ http.ResponseWriter, r *http.Request) {
+	var n *testNeighbour
+	n = newTestNeighbour(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		go func() { _ = n.server.Close() }()
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	})
-	s := newStarved(t, n.address)
+	s := newOverloadedDaemon(t, n.address)
 	status, answer, err := s.post("x")
 	is.NoErr(err)
 	is.Equal(status, 502)
 	is.True(strings.Contains(answer, `"run":"may_have_run"`))
 }
 
-// An answer that breaks off at the neighbour must not look complete to the caller.
-func TestAnAnswerThatBreaksOffAtTheNeighbourIsNotComplete(t *testing.T) {
+// An answer that the neighbour truncates must not look complete to the caller.
+func TestTruncatedAnswerOfNeighbourDoesNotLookComplete(t *testing.T) {
 	for _, length := range []string{"", "Content-Length: 100\r\n"} {
 		is := is.New(t)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -228,13 +231,13 @@
 			if err != nil {
 				return
 			}
-			_, _ = conn.Write(markOf(0))
-			_, _ = conn.Read(make([]byte, 1)) // the rest stays unread: the close is a reset
+			_, _ = conn.Write(acceptMessage(0))
+			_, _ = conn.Read(make([]byte, 1)) // the rest stays unread, so that closing resets the connection
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+length+"\r\nhalf")
 			time.Sleep(50 * time.Millisecond)
 			_ = conn.Close()
 		}()
-		_, _, err = newStarved(t, l.Addr().String()).post(strings.Repeat("x", 1000))
+		_, _, err = newOverloadedDaemon(t, l.Addr().String()).post(strings.Repeat("x", 1000))
 		is.True(err != nil)
 		if length == "" {
 			is.True(errors.Is(err, syscall.ECONNRESET))
@@ -242,41 +245,42 @@
 	}
 }
 
-// A target must not work on for a caller that has left a daemon which passed it on.
-func TestACallersCloseReachesTheNeighbour(t *testing.T) {
-	for _, rude := range []bool{false, true} {
+// A target must not continue to work for a caller that has disconnected from the daemon
+// that forwarded its connection.
+func TestCallerDisconnectReachesNeighbour(t *testing.T) {
+	for _, reset := range []bool{false, true} {
 		is := is.New(t)
-		began, left := make(chan struct{}), make(chan struct{})
-		s := newStarved(t, newNeighbour(t, func(_ http.ResponseWriter, r *http.Request) {
+		started, disconnected := make(chan struct{}), make(chan struct{})
+		s := newOverloadedDaemon(t, newTestNeighbour(t, func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
-			close(began)
+			close(started)
 			<-r.Context().Done()
-			close(left)
+			close(disconnected)
 		}).address)
 		conn, err := net.Dial("tcp", s.address)
 		is.NoErr(err)
 		_, err = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 		is.NoErr(err)
-		waitFor(t, began)
-		if rude {
+		waitFor(t, started)
+		if reset {
 			is.NoErr(conn.(*net.TCPConn).SetLinger(0))
 		}
 		is.NoErr(conn.Close())
 		select {
-		case <-left:
+		case <-disconnected:
 		case <-time.After(2 * time.Second):
-			t.Fatal("the neighbour does not hear of the close")
+			t.Fatal("the neighbour was not informed that the caller disconnected")
 		}
 	}
 }
 
 // A planned stop must not cut off callers whose requests a neighbour serves.
-func TestAPlannedStopWaitsForWhatIsPassedOn(t *testing.T) {
+func TestShutdownWaitsForForwardedConnections(t *testing.T) {
 	is := is.New(t)
-	began, goOn := make(chan struct{}), make(chan struct{})
-	s := newStarved(t, newNeighbour(t, func(w http.ResponseWriter, _ *http.Request) {
-		close(began)
-		<-goOn
+	started, resume := make(chan struct{}), make(chan struct{})
+	s := newOverloadedDaemon(t, newTestNeighbour(t, func(w http.ResponseWriter, _ *http.Request) {
+		close(started)
+		<-resume
 		_, _ = io.WriteString(w, "whole")
 	}).address)
 	answered := make(chan string, 1)
@@ -284,65 +288,66 @@
 		_, answer, _ := s.post("x")
 		answered <- answer
 	}()
-	waitFor(t, began)
+	waitFor(t, started)
 	s.listener.drain()
-	settled := make(chan struct{})
+	waited := make(chan struct{})
 	go func() {
-		s.handovers.settle(context.Background())
-		close(settled)
+		s.forwarder.wait(context.Background())
+		close(waited)
 	}()
 	select {
-	case <-settled:
-		t.Fatal("the stop does not wait")
+	case <-waited:
+		t.Fatal("wait returned while a connection was being forwarded")
 	case <-time.After(100 * time.Millisecond):
 	}
-	close(goOn)
+	close(resume)
 	is.Equal(<-answered, "whole")
 	select {
-	case <-settled:
+	case <-waited:
 	case <-time.After(2 * time.Second):
-		t.Fatal("the stop waits on")
+		t.Fatal("wait did not return after the connection ended")
 	}
 }
 
-// Connections from neighbours must not be taken for callers that the balancer leads here.
-func TestConnectionsOfNeighboursAreNoArrivals(t *testing.T) {
+// Connections forwarded by neighbours must not be counted as callers that the balancer
+// directed to this daemon.
+func TestForwardedConnectionsAreNotCountedAsOpened(t *testing.T) {
 	is := is.New(t)
-	conns := newConnections(0)
+	conns := newConnTracker(0)
 	a, b := net.Pipe()
 	t.Cleanup(func() { _, _ = a.Close(), b.Close() })
-	for _, passedOn := range []bool{true, false} {
-		conns.note(&readingConn{tcpConn: pipeConn{a}, passedOn: passedOn}, http.StateNew)
+	for _, forwarded := range []bool{true, false} {
+		conns.track(&trackedConn{tcpConn: pipeConn{a}, forwarded: forwarded}, http.StateNew)
 	}
-	is.Equal(conns.arrived(), 1)
+	is.Equal(conns.takeOpenedConns(), 1)
 }
 
-// pipeConn stands in for a TCP connection.
+// pipeConn is a fake TCP connection.
 type pipeConn struct{ net.Conn }
 
 func (pipeConn) SetLinger(int) error                   { return nil }
 func (pipeConn) CloseWrite() error                     { return nil }
 func (pipeConn) SyscallConn() (syscall.RawConn, error) { return nil, errors.ErrUnsupported }
 
-// Connections that callers open in advance must not look like a flood, or all daemons would
-// pass on and none would take.
-func TestConnectionsOpenedInAdvanceAreNotUnreadForLong(t *testing.T) {
+// Connections that callers open in advance must not look like a flood: all daemons would
+// then forward connections and none would accept them.
+func TestConnectionsOpenedInAdvanceCountAsUnreadBriefly(t *testing.T) {
 	is := is.New(t)
-	c := newConnections(0)
+	c := newConnTracker(0)
 	now := time.Now()
 	conns := make([]net.Conn, 20)
 	for i := range conns {
 		conns[i] = &pipeConn{}
-		c.note(conns[i], http.StateNew)
+		c.track(conns[i], http.StateNew)
 	}
-	is.Equal(c.unread(now), 20)
-	c.note(conns[3], http.StateActive)
-	c.note(conns[4], http.StateClosed)
-	is.Equal(c.unread(now), 18)
-	is.Equal(c.unread(now.Add(2*unreadFor)), 0)
-	c.note(conns[5], http.StateActive) // does not count twice
-	is.Equal(c.unread(now.Add(2*unreadFor)), 0)
-	is.Equal(len(c.recent), 0)
+	is.Equal(c.countUnread(now), 20)
+	c.track(conns[3], http.StateActive)
+	c.track(conns[4], http.StateClosed)
+	is.Equal(c.countUnread(now), 18)
+	is.Equal(c.countUnread(now.Add(2*unreadWindow)), 0)
+	c.track(conns[5], http.StateActive) // must not be counted twice
+	is.Equal(c.countUnread(now.Add(2*unreadWindow)), 0)
+	is.Equal(len(c.recentPending), 0)
 }
 
 func waitFor(t *testing.T, c <-chan struct{}) {
@@ -350,105 +355,109 @@
 	select {
 	case <-c:
 	case <-time.After(10 * time.Second):
-		t.Fatal("waited for 10 s")
+		t.Fatal("timed out after 10 s")
 	}
 }
 
-// markOf is the mark of a daemon with routes of a version.
-func markOf(version uint64) []byte {
-	return binary.BigEndian.AppendUint64([]byte{takeoverMark}, version)
+// acceptMessage returns the message with which a daemon with this version of the routes
+// accepts a forwarded connection.
+func acceptMessage(version uint64) []byte {
+	return binary.BigEndian.AppendUint64([]byte{acceptMarker}, version)
 }
 
-// A caller that was answered by new routes must not be answered by older ones at a neighbour.
-func TestANeighbourWithOlderRoutesServesNothing(t *testing.T) {
+// A caller that was answered by new routes must not be answered by older ones at a
+// neighbour.
+func TestNeighbourWithOlderRoutesIsNotUsed(t *testing.T) {
 	is := is.New(t)
-	n := newNeighbour(t, echo)
-	s := newStarved(t, n.address)
-	s.version.Store(7)
+	n := newTestNeighbour(t, echo)
+	s := newOverloadedDaemon(t, n.address)
+	s.routesVersion.Store(7)
 	for version, want := range map[uint64]string{6: "local", 7: "POST /a%2Fb?c x", 8: "POST /a%2Fb?c x"} {
-		n.version.Store(version)
-		time.Sleep(400 * time.Millisecond) // one that took nothing is passed over for a moment
+		n.routesVersion.Store(version)
+		time.Sleep(400 * time.Millisecond) // a neighbour that refused a connection is skipped for a short time
 		_, answer, err := s.post("x")
 		is.NoErr(err)
 		is.Equal(answer, want)
 	}
 }
 
-// A caller must not wait for a neighbour that nobody hears of any more.
-func TestACallerOfANeighbourThatIsLostGetsAnAnswer(t *testing.T) {
+// A caller must not wait for a neighbour that is no longer known to be alive.
+func TestCallerGetsAnswerWhenNeighbourIsLost(t *testing.T) {
 	is := is.New(t)
-	began, held := make(chan struct{}), make(chan struct{})
-	t.Cleanup(func() { close(held) })
-	s := newStarved(t, newNeighbour(t, func(http.ResponseWriter, *http.Request) {
-		close(began)
-		<-held
+	started, release := make(chan struct{}), make(chan struct{})
+	t.Cleanup(func() { close(release) })
+	s := newOverloadedDaemon(t, newTestNeighbour(t, func(http.ResponseWriter, *http.Request) {
+		close(started)
+		<-release
 	}).address)
 	go func() {
-		<-began
-		s.handovers.setNeighbours(nil, nil)
+		<-started
+		s.forwarder.setNeighbours(nil, nil)
 	}()
 	status, _, err := s.post("x")
 	is.NoErr(err)
 	is.Equal(status, 502)
 }
 
-// A daemon that stops must pass nothing on any more: nobody would wait for its end.
-func TestADrainingListenerPassesNothingOn(t *testing.T) {
+// A daemon that is stopping must not forward further connections, because nothing would
+// wait for them to end.
+func TestDrainingListenerForwardsNothing(t *testing.T) {
 	is := is.New(t)
-	s := newStarved(t, newNeighbour(t, echo).address)
+	s := newOverloadedDaemon(t, newTestNeighbour(t, echo).address)
 	_, answer, err := s.post("x")
 	is.NoErr(err)
 	is.Equal(answer, "POST /a%2Fb?c x")
-	time.Sleep(50 * time.Millisecond) // the next Accept waits
+	time.Sleep(50 * time.Millisecond) // wait until the next Accept blocks
 	until := time.Now().Add(10 * time.Second)
-	s.listener.until.Store(&until)
+	s.listener.drainDeadline.Store(&until)
 	s.listener.draining.Store(true)
 	_, answer, err = s.post("x")
 	is.NoErr(err)
 	is.Equal(answer, "local")
 }
 
-// Callers whose requests neither this daemon nor a neighbour reads in time must be told at once,
-// not wait for it.
-func TestACallerThatNobodyHasTimeForIsRefusedAtOnce(t *testing.T) {
+// Callers whose requests neither this daemon nor a neighbour would read in time must be
+// refused at once.
+func TestCallerIsRefusedAtOnceWhenAllDaemonsAreSaturated(t *testing.T) {
 	is := is.New(t)
-	s := newStarved(t)
-	var sheds atomic.Bool
-	s.handler.Store(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { sheds.Store(s.load.sheds(r.Context())) }))
+	s := newOverloadedDaemon(t)
+	var shed atomic.Bool
+	s.handler.Store(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { shed.Store(s.monitor.shouldShed(r.Context())) }))
 	for unread, want := range map[int64]bool{0: false, 100: true} {
-		s.unread.Store(unread)
-		s.load.shed.Store(unread / 100) // a thousandth, or none
+		s.unreadConns.Store(unread)
+		s.monitor.shedPermille.Store(unread / 100) // 1/1000 or zero
 		_, _, err := s.post("x")
 		is.NoErr(err)
-		is.Equal(sheds.Load(), want)
+		is.Equal(shed.Load(), want)
 	}
 }
 
-// Guards against a small VM that carries so many streams of callers to neighbours that it has no
-// turns left for them, nor for what it serves itself: all of them come late.
-func TestASmallVMCarriesFewConnectionsAtATime(t *testing.T) {
+// Guards against a small VM that proxies so many streams to neighbours that it has no
+// processor time left for them or for the requests that it serves itself, which are all
+// delayed.
+func TestSmallVMForwardsFewConnectionsAtATime(t *testing.T) {
 	is := is.New(t)
-	const most = 46 // of a VM of 184 MB
+	const maxForwarded = 46 // of a VM of 184 MB
 	held := make(chan struct{})
-	var carried atomic.Int64
-	n := newNeighbour(t, func(http.ResponseWriter, *http.Request) {
-		carried.Add(1)
+	var forwarded atomic.Int64
+	n := newTestNeighbour(t, func(http.ResponseWriter, *http.Request) {
+		forwarded.Add(1)
 		<-held
 	})
 	t.Cleanup(func() { close(held) })
 	small := settings.Defaults()
 	small.Memory = settings.Memory{Limit: 184, Descriptors: 4100}
-	s := newStarvedVM(t, small, n.address)
-	for i := range int64(most) {
+	s := newOverloadedVM(t, small, n.address)
+	for i := range int64(maxForwarded) {
 		conn, err := net.Dial("tcp", s.address)
 		is.NoErr(err)
 		t.Cleanup(func() { _ = conn.Close() })
-		_, err = io.WriteString(conn, hopRequest)
+		_, err = io.WriteString(conn, plainRequest)
 		is.NoErr(err)
-		for end := time.Now().Add(5 * time.Second); carried.Load() <= i && time.Now().Before(end); {
+		for end := time.Now().Add(5 * time.Second); forwarded.Load() <= i && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
-		is.Equal(carried.Load(), i+1)
+		is.Equal(forwarded.Load(), i+1)
 	}
 	_, answer, err := s.post("x")
 	is.NoErr(err)
--- a/internal/daemon/hangups.go
+++ b/internal/daemon/hangups.go
@@ -13,162 +13,164 @@
 )
 
 const (
-	// hangupEvery is how often connections with a request at a target are looked at while
-	// turns are slow. It is far below the half second in which a target is to stop working
-	// for a caller that has left.
-	hangupEvery = 50 * time.Millisecond
-	// calmEvery is how often it is asked whether they are.
-	calmEvery = 100 * time.Millisecond
-	// hangupTimers is how many timers see to it. The runtime gives the goroutine of a timer
-	// the next turn, but only that of the last of those that have run out together; the
-	// others wait like all.
-	hangupTimers = 3
+	// disconnectPollInterval is how often connections with a request at a target are polled
+	// while the scheduling latency is high. It is far below the half second within which a
+	// target is to stop working for a caller that has disconnected.
+	disconnectPollInterval = 50 * time.Millisecond
+	// latencyCheckInterval is how often the scheduling latency is checked while it is low.
+	latencyCheckInterval = 100 * time.Millisecond
+	// disconnectTimers is the number of timers that trigger polls. The runtime schedules
+	// the goroutine of a timer next, but only that of the last of those that have expired
+	// together; the others wait in the run queue.
+	disconnectTimers = 3
 )
 
-// hangups ends requests whose callers have closed their connections. It is safe for
-// concurrent use.
+// disconnectWatcher ends requests whose callers have closed their connections. It is safe
+// for concurrent use.
 //
-// The server notices a close by a goroutine of the connection, which waits for its turn like
-// all others: on a VM short of processor time for longer than targets may work on. Here one
-// system call looks at all connections, while turns are slow. It is made by whatever has its
-// turn when a look is due: a timer, or a connection that begins or ends a request.
-type hangups struct {
-	// slow tells whether turns take long.
+// The server detects a closed connection in a goroutine of that connection, which waits to
+// be scheduled like all others: on a VM short of processor time, for longer than targets
+// may continue to work. While the scheduling latency is high, this type polls all
+// connections with one system call instead. The call is made by whichever goroutine runs
+// when a poll is due: that of a timer, or of a connection that begins or ends a request.
+type disconnectWatcher struct {
+	// slow reports whether the scheduling latency is high.
 	slow    func() bool
 	started time.Time
-	// looked is when the last look began, in nanoseconds since started, and count how many
-	// requests are watched.
-	looked, count atomic.Int64
-	// spare is the memory of a look that has ended.
-	spare atomic.Pointer[look]
-
-	// mu is held for no longer than a few steps: who has it may lose its turn at any system
-	// call.
+	// lastPoll is when the last poll began, in nanoseconds since started, and watchedCount
+	// is the number of watched requests.
+	lastPoll, watchedCount atomic.Int64
+	// spareBuffers are the buffers of a completed poll, for reuse.
+	spareBuffers atomic.Pointer[pollBuffers]
+
+	// mu must only be held for a few steps without system calls: a goroutine that holds it
+	// may be descheduled at any system call.
 	mu      sync.Mutex
 	watched map[*watchedRequest]bool
-	// timers are the running ones.
-	timers [hangupTimers]*time.Timer
+	// timers are the running timers.
+	timers [disconnectTimers]*time.Timer
 }
 
-// watchedRequest is a request and what ends it.
+// watchedRequest is a request and the callback that ends it.
 type watchedRequest struct {
-	conn net.Conn
-	end  func()
-	// over is set by whoever ends the watch first.
-	over atomic.Bool
+	conn         net.Conn
+	onDisconnect func()
+	// done is set by whichever party ends the watch first.
+	done atomic.Bool
 }
 
-// look is the memory of one look at all watched requests.
-type look struct {
+// pollBuffers are the buffers for one poll of all watched requests.
+type pollBuffers struct {
 	requests []*watchedRequest
 	fds      []unix.PollFd
 }
 
-func newHangups(load *loadWatch) *hangups {
-	return &hangups{slow: load.slow, started: time.Now(), watched: map[*watchedRequest]bool{}}
+func newDisconnectWatcher(monitor *loadMonitor) *disconnectWatcher {
+	return &disconnectWatcher{slow: monitor.slow, started: time.Now(), watched: map[*watchedRequest]bool{}}
 }
 
-// watch watches the connection of a request, given by its context.
-func (h *hangups) watch(ctx context.Context, end func()) (stop func() bool) {
-	conn, ok := ctx.Value(connKey{}).(*callerConn)
+// watch watches the connection of the request with the given context.
+func (h *disconnectWatcher) watch(ctx context.Context, onDisconnect func()) (stop func() bool) {
+	conn, ok := ctx.Value(connContextKey{}).(*callerConn)
 	if !ok {
 		return func() bool { return true }
 	}
-	return h.watchConn(conn.Conn, end)
+	return h.watchConn(conn.Conn, onDisconnect)
 }
 
-// watchConn calls end once when the caller has closed the connection, unless stop was called
-// before. Stop tells whether it was; else end is called or was. End must not block.
-func (h *hangups) watchConn(conn net.Conn, end func()) (stop func() bool) {
-	w := &watchedRequest{conn: conn, end: end}
+// watchConn calls onDisconnect once when the caller has closed the connection, unless stop
+// was called before. stop reports whether it was in time; if not, onDisconnect has been or
+// will be called. onDisconnect must not block.
+func (h *disconnectWatcher) watchConn(conn net.Conn, onDisconnect func()) (stop func() bool) {
+	w := &watchedRequest{conn: conn, onDisconnect: onDisconnect}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.watched[w] = true
-	h.count.Store(int64(len(h.watched)))
+	h.watchedCount.Store(int64(len(h.watched)))
 	if h.timers[0] == nil {
-		h.arm(0, calmEvery)
+		h.startTimer(0, latencyCheckInterval)
 	}
-	return func() bool { return h.forget(w) }
+	return func() bool { return h.unwatch(w) }
 }
 
-// arm starts a timer. The caller holds the lock.
-func (h *hangups) arm(i int, wait time.Duration) {
-	h.timers[i] = time.AfterFunc(wait, func() { h.tick(i) })
+// startTimer starts a timer. The caller holds the lock.
+func (h *disconnectWatcher) startTimer(i int, delay time.Duration) {
+	h.timers[i] = time.AfterFunc(delay, func() { h.onTimer(i) })
 }
 
-// forget ends the watch over a request, and tells whether it was not over.
-func (h *hangups) forget(w *watchedRequest) bool {
+// unwatch ends the watch on a request, and reports whether it was still active.
+func (h *disconnectWatcher) unwatch(w *watchedRequest) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.watched, w)
-	h.count.Store(int64(len(h.watched)))
-	return w.over.CompareAndSwap(false, true)
+	h.watchedCount.Store(int64(len(h.watched)))
+	return w.done.CompareAndSwap(false, true)
 }
 
-// tick is the end of a timer.
-func (h *hangups) tick(i int) {
+// onTimer runs when a timer expires.
+func (h *disconnectWatcher) onTimer(i int) {
 	slow := h.slow()
-	h.rearm(i, slow)
-	if slow && h.sinceLook() >= hangupEvery/2 {
-		h.look()
+	h.restartTimers(i, slow)
+	if slow && h.sincePoll() >= disconnectPollInterval/2 {
+		h.poll()
 	}
 }
 
-// rearm starts the timers that are needed once one has ended.
-func (h *hangups) rearm(i int, slow bool) {
+// restartTimers starts the timers that are needed after one has expired.
+func (h *disconnectWatcher) restartTimers(i int, slow bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.timers[i] = nil
 	switch {
 	case len(h.watched) == 0:
 	case !slow && h.timers[0] == nil:
-		h.arm(0, calmEvery)
+		h.startTimer(0, latencyCheckInterval)
 	case slow:
-		for after := 1; after <= hangupTimers; after++ { // the others in between, and this one again
-			if k := (i + after) % hangupTimers; h.timers[k] == nil {
-				h.arm(k, hangupEvery*time.Duration(after)/hangupTimers)
+		for offset := 1; offset <= disconnectTimers; offset++ { // the other timers at staggered times, then this one again
+			if k := (i + offset) % disconnectTimers; h.timers[k] == nil {
+				h.startTimer(k, disconnectPollInterval*time.Duration(offset)/disconnectTimers)
 			}
 		}
 	}
 }
 
-// note is a ConnState hook of the server that looks where a look is due.
-func (h *hangups) note(net.Conn, http.ConnState) {
-	if h.count.Load() > 0 && h.sinceLook() >= hangupEvery && h.slow() {
-		h.look()
+// pollIfDue is a ConnState hook of the server that polls if a poll is due.
+func (h *disconnectWatcher) pollIfDue(net.Conn, http.ConnState) {
+	if h.watchedCount.Load() > 0 && h.sincePoll() >= disconnectPollInterval && h.slow() {
+		h.poll()
 	}
 }
 
-func (h *hangups) sinceLook() time.Duration {
-	return time.Since(h.started) - time.Duration(h.looked.Load())
+func (h *disconnectWatcher) sincePoll() time.Duration {
+	return time.Since(h.started) - time.Duration(h.lastPoll.Load())
 }
 
-// look ends the requests whose callers have left. One that loses its turn on the way is
-// overtaken by the next one.
-func (h *hangups) look() {
-	h.looked.Store(int64(time.Since(h.started)))
-	l := h.spare.Swap(nil)
-	if l == nil {
-		l = &look{}
+// poll ends the requests whose callers have disconnected. If its goroutine is descheduled
+// meanwhile, the next poll runs concurrently.
+func (h *disconnectWatcher) poll() {
+	h.lastPoll.Store(int64(time.Since(h.started)))
+	buffers := h.spareBuffers.Swap(nil)
+	if buffers == nil {
+		buffers = &pollBuffers{}
 	}
-	h.collect(l)
-	l.fds = l.fds[:0]
-	for _, w := range l.requests {
-		l.fds = append(l.fds, unix.PollFd{Fd: descriptor(w.conn), Events: leftEvents})
+	h.collectRequests(buffers)
+	buffers.fds = buffers.fds[:0]
+	for _, w := range buffers.requests {
+		buffers.fds = append(buffers.fds, unix.PollFd{Fd: fileDescriptor(w.conn), Events: disconnectEvents})
 	}
-	if n, err := unix.Poll(l.fds, 0); err == nil && n > 0 { // else the next look finds them
-		for i, w := range l.requests {
-			if l.fds[i].Revents&leftEvents != 0 && h.forget(w) {
-				w.end()
+	if n, err := unix.Poll(buffers.fds, 0); err == nil && n > 0 { // otherwise the next poll finds them
+		for i, w := range buffers.requests {
+			if buffers.fds[i].Revents&disconnectEvents != 0 && h.unwatch(w) {
+				w.onDisconnect()
 			}
 		}
 	}
-	clear(l.requests)
-	h.spare.Store(l)
+	clear(buffers.requests)
+	h.spareBuffers.Store(buffers)
 }
 
-// collect lists the watched requests.
-func (h *hangups) collect(l *look) {
+// collectRequests lists the watched requests.
+func (h *disconnectWatcher) collectRequests(l *pollBuffers) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	l.requests = l.requests[:0]
@@ -177,10 +179,10 @@
 	}
 }
 
-// descriptor returns the number of a connection in the kernel; negative, which the kernel
-// passes over, where it has none any more. Once the daemon has closed the connection, the
-// number may be another one's; its request has ended by then.
-func descriptor(conn net.Conn) (fd int32) {
+// fileDescriptor returns the file descriptor of a connection, or a negative value, which
+// the kernel ignores in a poll, if it has none any more. Once the daemon has closed the
+// connection, the descriptor may belong to another one; its request has ended by then.
+func fileDescriptor(conn net.Conn) (fd int32) {
 	fd = -1
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
@@ -190,6 +192,6 @@
 	if err != nil {
 		return fd
 	}
-	_ = raw.Control(func(n uintptr) { fd = int32(n) }) // fails where it is closed
+	_ = raw.Control(func(n uintptr) { fd = int32(n) }) // fails if the connection is closed
 	return fd
 }
--- a/internal/daemon/hangups_test.go
+++ b/internal/daemon/hangups_test.go
@@ -23,25 +23,27 @@
 	"github.com/savorystall/savorystall/internal/telemetry"
 )
 
-// onlyTarget places every request at one target, and notes how its exchanges ended.
-type onlyTarget struct{ ended chan booking.Result }
+// singleTargetPlacer places every request at one target and records the results.
+type singleTargetPlacer struct{ results chan booking.Result }
 
-func (p onlyTarget) Place(context.Context, booking.Request) control.Placement {
+func (p singleTargetPlacer) Place(context.Context, booking.Request) control.Placement {
 	return control.Placement{Target: "t"}
 }
-func (p onlyTarget) FirstByte(ident.Request, time.Duration)             {}
-func (p onlyTarget) Finish(_ ident.Request, r booking.Result)           { p.ended <- r }
-func (p onlyTarget) RecordShed(ident.Service, ident.Workspace, float64) {}
+func (p singleTargetPlacer) FirstByte(ident.Request, time.Duration)             {}
+func (p singleTargetPlacer) Finish(_ ident.Request, r booking.Result)           { p.results <- r }
+func (p singleTargetPlacer) RecordShed(ident.Service, ident.Workspace, float64) {}
 
-// anyDialect translates nothing.
-type anyDialect struct{}
+// noopDialect translates nothing.
+type noopDialect struct{}
 
-func (anyDialect) ParseRequest(http.Header) gateway.RequestInfo        { return gateway.RequestInfo{} }
-func (anyDialect) SetTargetHeaders(http.Header, gateway.ForwardInfo)   {}
-func (anyDialect) ParseResponse(int, http.Header) gateway.ResponseInfo { return gateway.ResponseInfo{} }
+func (noopDialect) ParseRequest(http.Header) gateway.RequestInfo      { return gateway.RequestInfo{} }
+func (noopDialect) SetTargetHeaders(http.Header, gateway.ForwardInfo) {}
+func (noopDialect) ParseResponse(int, http.Header) gateway.ResponseInfo {
+	return gateway.ResponseInfo{}
+}
 
-// serveCallers serves callers as a daemon does, with all requests going to one target.
-func serveCallers(t *testing.T, target string) (address string, ended chan booking.Result) {
+// startCallerServer serves callers as a daemon does, with all requests sent to one target.
+func startCallerServer(t *testing.T, target string) (address string, ended chan booking.Result) {
 	is := is.New(t)
 	table, err := route.NewTable(route.Document{
 		Version:  1,
@@ -57,17 +59,17 @@
 	l, err := listenDrainable("127.0.0.1:0")
 	is.NoErr(err)
 	ended = make(chan booking.Result, 1000)
-	conns, load := newConnections(0), newLoadWatch(settings.Settings{})
-	left := newHangups(load)
+	conns, monitor := newConnTracker(0), newLoadMonitor(settings.Settings{})
+	disconnects := newDisconnectWatcher(monitor)
 	ctx, cancel := context.WithCancel(context.Background())
-	loads := make(chan struct{})
+	monitorDone := make(chan struct{})
 	go func() {
-		defer close(loads)
-		load.run(ctx, slog.New(slog.DiscardHandler), conns)
+		defer close(monitorDone)
+		monitor.run(ctx, slog.New(slog.DiscardHandler), conns)
 	}()
 	g := gateway.New(gateway.Deps{
-		Routes: routes, Dialect: anyDialect{}, Placer: onlyTarget{ended}, Pool: targetconn.New(targetconn.Config{}),
-		CallerGone: callerGone, OnCallerGone: left.watch, ShouldShed: func(context.Context) bool { return false },
+		Routes: routes, Dialect: noopDialect{}, Placer: singleTargetPlacer{ended}, Pool: targetconn.New(targetconn.Config{}),
+		CallerGone: callerDisconnected, OnCallerGone: disconnects.watch, ShouldShed: func(context.Context) bool { return false },
 		Shedding: func() bool { return false }, OutOfRotation: func() bool { return false },
 		Metrics: metrics, Tracing: tracing, Log: slog.New(slog.DiscardHandler),
 	})
@@ -75,25 +77,25 @@
 		ByIdentity: map[ident.Target]registry.Entry{"t": {Identity: "t", Service: "app", Address: target}},
 		Usable:     map[ident.Service]bool{"app": true},
 	})
-	server := &http.Server{Handler: counting(g), ConnState: func(c net.Conn, state http.ConnState) { conns.note(c, state); left.note(c, state) }, ConnContext: withConn, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)}
-	go func() { _ = server.Serve(newSheddingListener(l, func() rate.Limit { return 0 }, nil)) }()
+	server := &http.Server{Handler: countRequests(g), ConnState: func(c net.Conn, state http.ConnState) { conns.track(c, state); disconnects.pollIfDue(c, state) }, ConnContext: withConn, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)}
+	go func() { _ = server.Serve(newRateLimitedListener(l, func() rate.Limit { return 0 }, nil)) }()
 	t.Cleanup(func() {
 		cancel()
-		<-loads
+		<-monitorDone
 		_ = server.Close()
 		_ = metrics.Close()
 	})
 	return l.Addr().String(), ended
 }
 
-// underWay sends requests and returns their callers' connections and those of the target,
-// which has begun to answer and goes on.
-func underWay(t *testing.T, n int) (callers, targets []net.Conn, ended chan booking.Result) {
+// startRequests sends n requests and returns the connections of their callers and those of
+// the target, which has begun to answer half of them and has ended none.
+func startRequests(t *testing.T, n int) (callers, targets []net.Conn, ended chan booking.Result) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	t.Cleanup(func() { _ = l.Close() })
-	address, ended := serveCallers(t, l.Addr().String())
+	address, ended := startCallerServer(t, l.Addr().String())
 	for i := range n {
 		caller, err := net.Dial("tcp", address)
 		is.NoErr(err)
@@ -103,9 +105,9 @@
 		target, err := l.Accept()
 		is.NoErr(err)
 		t.Cleanup(func() { _ = target.Close() })
-		_, err = target.Read(make([]byte, chunkOfTest))
+		_, err = target.Read(make([]byte, readSize))
 		is.NoErr(err)
-		if i%2 == 0 { // half of them have begun to answer
+		if i%2 == 0 { // the target begins to answer every other request
 			_, err = io.WriteString(target, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 			is.NoErr(err)
 		}
@@ -114,13 +116,14 @@
 	return callers, targets, ended
 }
 
-const chunkOfTest = 4 << 10
+const readSize = 4 << 10
 
-// A caller that leaves in the middle of an answer is counted as a failure of its target.
-func TestACallerThatLeavesIsNoFailureOfItsTarget(t *testing.T) {
+// Guards against counting a caller that disconnects in the middle of an answer as a failure
+// of the target.
+func TestCallerDisconnectIsNotATargetFailure(t *testing.T) {
 	const requests = 10
 	is := is.New(t)
-	callers, _, ended := underWay(t, requests)
+	callers, _, ended := startRequests(t, requests)
 	for _, c := range callers {
 		is.NoErr(c.Close())
 	}
--- a/internal/daemon/life.go
+++ b/internal/daemon/life.go
@@ -7,7 +7,7 @@
 	"github.com/savorystall/savorystall/internal/chart"
 )
 
-// States and triggers of charts/daemon.yaml that the code names.
+// States and triggers of charts/daemon.yaml that the code refers to.
 const (
 	StateStarting  chart.State = "starting"
 	StateReady     chart.State = "ready"
@@ -21,30 +21,32 @@
 	triggerDrained         chart.Trigger = "drained"
 )
 
-// Life is the state of the daemon process. It is safe for concurrent use.
-type Life struct {
+// Lifecycle is the state machine of the daemon process. It is safe for concurrent use.
+type Lifecycle struct {
 	mu      sync.Mutex
 	machine *chart.Machine
 	ready   chan struct{}
 }
 
-var lifeChart = chart.MustParse(charts.Daemon,
+var lifecycleChart = chart.MustParse(charts.Daemon,
 	[]chart.State{StateStarting, StateReady, StateAnnounced, StateDraining, StateStopped},
 	[]chart.Trigger{triggerConfigured, triggerStop, triggerBalancerNoticed, triggerDrained},
 )
 
-// NewLife returns a Life in its initial state.
-func NewLife() *Life { return &Life{machine: lifeChart.New(), ready: make(chan struct{})} }
+// NewLifecycle returns a Lifecycle in its initial state.
+func NewLifecycle() *Lifecycle {
+	return &Lifecycle{machine: lifecycleChart.New(), ready: make(chan struct{})}
+}
 
-// State returns the present state.
-func (l *Life) State() chart.State {
+// State returns the current state.
+func (l *Lifecycle) State() chart.State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.machine.State()
 }
 
-// fire follows a trigger and tells whether the present state accepted it.
-func (l *Life) fire(t chart.Trigger) bool {
+// applyTrigger applies a trigger and reports whether the current state accepted it.
+func (l *Lifecycle) applyTrigger(t chart.Trigger) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	state, err := l.machine.Fire(t)
@@ -57,5 +59,5 @@
 	return true
 }
 
-// Ready is closed once the daemon has been ready.
-func (l *Life) Ready() <-chan struct{} { return l.ready }
+// Ready returns a channel that is closed once the daemon has become ready.
+func (l *Lifecycle) Ready() <-chan struct{} { return l.ready }
--- a/internal/daemon/listener.go
+++ b/internal/daemon/listener.go
@@ -17,30 +17,30 @@
 	"github.com/savorystall/savorystall/internal/chart"
 )
 
-// acceptLimit bounds the wait for a connection that was reported as waiting and
-// was given up by its caller before it could be accepted.
-const acceptLimit = 100 * time.Millisecond
+// drainAcceptTimeout bounds the wait for a connection that was reported as pending and was
+// closed by its caller before it could be accepted.
+const drainAcceptTimeout = 100 * time.Millisecond
 
-// drainLimit bounds how long connections are still accepted in a planned stop:
-// without a balancer, new ones may come without end.
-const drainLimit = 5 * time.Second
+// maxDrainAcceptTime bounds how long connections are still accepted during a planned stop:
+// without a balancer, new ones may arrive indefinitely.
+const maxDrainAcceptTime = 5 * time.Second
 
-// drainableListener accepts, once it drains, only the connections that the
-// kernel has taken already, and then ends.
+// drainableListener is a listener that, once it drains, accepts only the connections that
+// the kernel has already accepted, and then ends.
 //
-// A listener that is just closed resets those: their callers, who have sent
-// their requests before the balancer noticed the stop, get no answer. On a
-// daemon that is short of processor time these are many.
+// Closing a listener resets those connections: callers that sent their requests before the
+// balancer noticed the stop get no answer. On a daemon that is short of processor time
+// there are many of them.
 type drainableListener struct {
 	*net.TCPListener
-	draining atomic.Bool
-	until    atomic.Pointer[time.Time]
+	draining      atomic.Bool
+	drainDeadline atomic.Pointer[time.Time]
 }
 
 func listenDrainable(address string) (*drainableListener, error) {
-	// No keepalive probes: an unused connection ends by its idle timeout and a request by
-	// its deadline, and to set them takes four system calls of the ten that a refused
-	// request on a new connection takes.
+	// No keep-alive probes: an idle connection ends by its idle timeout and a request by
+	// its deadline, and enabling the probes takes four of the ten system calls that a
+	// refused request on a new connection takes.
 	config := net.ListenConfig{KeepAlive: -1}
 	l, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
@@ -54,12 +54,12 @@
 	return &drainableListener{TCPListener: tcp}, nil
 }
 
-// drain ends the listener as soon as no connection waits to be accepted.
+// drain ends the listener as soon as no connection is pending.
 func (l *drainableListener) drain() {
-	until := time.Now().Add(drainLimit)
-	l.until.Store(&until)
+	until := time.Now().Add(maxDrainAcceptTime)
+	l.drainDeadline.Store(&until)
 	l.draining.Store(true)
-	_ = l.SetDeadline(time.Now()) // wakes an Accept that waits
+	_ = l.SetDeadline(time.Now()) // unblocks a waiting Accept
 }
 
 // Accept implements net.Listener. Its error wraps net.ErrClosed once the
@@ -72,13 +72,13 @@
 	return conn, nil
 }
 
-func (l *drainableListener) accept() (*readingConn, error) {
+func (l *drainableListener) accept() (*trackedConn, error) {
 	for {
 		if l.draining.Load() {
-			if !l.pending() || time.Now().After(*l.until.Load()) {
+			if !l.hasPending() || time.Now().After(*l.drainDeadline.Load()) {
 				return nil, net.ErrClosed
 			}
-			_ = l.SetDeadline(time.Now().Add(acceptLimit))
+			_ = l.SetDeadline(time.Now().Add(drainAcceptTimeout))
 		}
 		conn, err := l.AcceptTCP()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -87,12 +87,12 @@
 		if err != nil {
 			return nil, err
 		}
-		return newReadingConn(conn), nil
+		return newTrackedConn(conn), nil
 	}
 }
 
-// pending tells whether a connection waits to be accepted.
-func (l *drainableListener) pending() bool {
+// hasPending reports whether a connection is waiting to be accepted.
+func (l *drainableListener) hasPending() bool {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return false
@@ -107,112 +107,117 @@
 }
 
 const (
-	// shedBurst is how many new connections are taken at once where they are limited.
-	shedBurst = 15
-	// shedPause is how long the listener waits for a place, at most.
-	shedPause = 5 * time.Millisecond
+	// acceptBurst is how many new connections are accepted at once while the rate is
+	// limited.
+	acceptBurst = 15
+	// acceptPollInterval is how long the listener sleeps before it checks the rate limit
+	// again.
+	acceptPollInterval = 5 * time.Millisecond
 )
 
-// sheddingListener takes few new connections while the daemon does not keep up, and then
-// none whose caller has given up meanwhile (overload.AcceptRate).
+// rateLimitedListener limits the rate of new connections while the daemon cannot keep up,
+// and then drops those whose callers have disconnected meanwhile (overload.AcceptRate).
 //
-// Those that are not taken wait in the kernel, where they cost nothing; closing them
-// instead makes their callers come back at once, which is worse than what it answers.
-type sheddingListener struct {
+// Connections that are not accepted wait in the kernel, where they cost nothing. Closing
+// them instead makes their callers retry at once, which is worse than the load that it
+// saves.
+type rateLimitedListener struct {
 	*drainableListener
-	// rate is how many a second are taken; zero: all.
-	rate    func() rate.Limit
-	limiter *rate.Limiter
-	// passOn takes a connection over that a neighbour is to serve, and tells whether it did;
-	// nil: none is passed on.
-	passOn func(*readingConn) bool
+	// acceptRate returns how many connections to accept per second; zero means no limit.
+	acceptRate func() rate.Limit
+	limiter    *rate.Limiter
+	// tryForward starts forwarding a connection if a neighbour is to serve it, and reports
+	// whether it did. If nil, no connection is forwarded.
+	tryForward func(*trackedConn) bool
 }
 
-func newSheddingListener(l *drainableListener, most func() rate.Limit, passOn func(*readingConn) bool) *sheddingListener {
-	return &sheddingListener{drainableListener: l, rate: most, limiter: rate.NewLimiter(rate.Inf, shedBurst), passOn: passOn}
+func newRateLimitedListener(l *drainableListener, acceptRate func() rate.Limit, tryForward func(*trackedConn) bool) *rateLimitedListener {
+	return &rateLimitedListener{drainableListener: l, acceptRate: acceptRate, limiter: rate.NewLimiter(rate.Inf, acceptBurst), tryForward: tryForward}
 }
 
 // Accept implements net.Listener.
-func (l *sheddingListener) Accept() (net.Conn, error) {
+func (l *rateLimitedListener) Accept() (net.Conn, error) {
 	for {
-		limited := l.await()
+		limited := l.waitForToken()
 		conn, err := l.drainableListener.accept()
 		switch {
 		case err != nil:
 			return nil, err
-		case limited && hungUp(conn):
-			_ = conn.Close() // nobody waits for anything on it
-		case l.passOn == nil || l.draining.Load() || !l.passOn(conn):
+		case limited && peerClosed(conn):
+			_ = conn.Close() // the caller has disconnected
+		case l.tryForward == nil || l.draining.Load() || !l.tryForward(conn):
 			return conn, nil
 		}
 	}
 }
 
-// await waits until one more connection may be taken, and tells whether they are limited.
-func (l *sheddingListener) await() bool {
+// waitForToken waits until another connection may be accepted, and reports whether the rate
+// is limited.
+func (l *rateLimitedListener) waitForToken() bool {
 	for {
-		most := l.rate()
-		if most == 0 || l.draining.Load() {
+		limit := l.acceptRate()
+		if limit == 0 || l.draining.Load() {
 			return false
 		}
-		l.limiter.SetLimit(most)
+		l.limiter.SetLimit(limit)
 		if l.limiter.Allow() {
 			return true
 		}
-		time.Sleep(shedPause)
+		time.Sleep(acceptPollInterval)
 	}
 }
 
-// connKey is the key of a request's connection in its context.
-type connKey struct{}
+// connContextKey is the context key of a request's connection.
+type connContextKey struct{}
 
-// callerConn is a caller's connection and how many requests it has brought. One goroutine
-// serves it.
+// callerConn is a caller's connection with the number of requests received on it. It is
+// used by a single goroutine.
 type callerConn struct {
 	net.Conn
-	requests int
+	requestCount int
 }
 
-// withConn lets callerGone and firstOnConnection find the connection of a request.
+// withConn adds the connection to the context, where callerDisconnected and isFirstRequest
+// look it up.
 func withConn(ctx context.Context, conn net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, &callerConn{Conn: conn})
+	return context.WithValue(ctx, connContextKey{}, &callerConn{Conn: conn})
 }
 
-// counting counts the requests of connections.
-func counting(next http.Handler) http.Handler {
+// countRequests is middleware that counts the requests on each connection.
+func countRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if conn, ok := r.Context().Value(connKey{}).(*callerConn); ok {
-			conn.requests++
+		if conn, ok := r.Context().Value(connContextKey{}).(*callerConn); ok {
+			conn.requestCount++
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// firstOnConnection tells whether a request is the first one on its connection.
-func firstOnConnection(ctx context.Context) bool {
-	conn, ok := ctx.Value(connKey{}).(*callerConn)
-	return ok && conn.requests <= 1
+// isFirstRequest reports whether a request is the first one on its connection.
+func isFirstRequest(ctx context.Context) bool {
+	conn, ok := ctx.Value(connContextKey{}).(*callerConn)
+	return ok && conn.requestCount <= 1
 }
 
-// callerGone tells whether the caller of a request has closed its connection. The
-// server notices that by itself, but only when it comes to read it, which on a daemon
-// short of processor time is after the request was sent on.
-func callerGone(ctx context.Context) bool {
-	conn, ok := ctx.Value(connKey{}).(*callerConn)
-	return ok && hungUp(conn.Conn)
+// callerDisconnected reports whether the caller of a request has closed its connection. The
+// server notices that by itself, but only when it gets to read from the connection, which
+// on a daemon short of processor time is after the request was sent to a target.
+func callerDisconnected(ctx context.Context) bool {
+	conn, ok := ctx.Value(connContextKey{}).(*callerConn)
+	return ok && peerClosed(conn.Conn)
 }
 
-// leftEvents are those of a connection that the other end has closed.
-const leftEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
+// disconnectEvents are the poll events of a connection that the peer has closed.
+const disconnectEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 
-// hungUp tells whether the other end has closed the connection.
-func hungUp(conn net.Conn) bool { return polled(conn, leftEvents) }
+// peerClosed reports whether the peer has closed the connection.
+func peerClosed(conn net.Conn) bool { return pollConn(conn, disconnectEvents) }
 
-// hasUnread tells whether something waits to be read on the connection.
-func hasUnread(conn net.Conn) bool { return polled(conn, unix.POLLIN) }
+// hasUnreadData reports whether the connection has data to be read.
+func hasUnreadData(conn net.Conn) bool { return pollConn(conn, unix.POLLIN) }
 
-// polled tells whether one of these events holds for a connection now.
-func polled(conn net.Conn, events int16) bool {
+// pollConn reports whether one of these poll events is set for a connection.
+func pollConn(conn net.Conn, events int16) bool {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -221,23 +226,23 @@
 	if err != nil {
 		return false
 	}
-	holds := false
+	occurred := false
 	err = raw.Control(func(fd uintptr) {
 		fds := []unix.PollFd{{Fd: int32(fd), Events: events}}
 		n, err := unix.Poll(fds, 0)
-		holds = err == nil && n > 0 && fds[0].Revents&events != 0
+		occurred = err == nil && n > 0 && fds[0].Revents&events != 0
 	})
-	return err == nil && holds
+	return err == nil && occurred
 }
 
-// closing asks callers to open a new connection for their next request from the
-// begin of a planned stop on, which the balancer then leads elsewhere. Closing
-// unused connections at that moment instead would cut off the requests that are
-// on their way on them.
-func closing(life *Life, next http.Handler) http.Handler {
-	going := map[chart.State]bool{StateStarting: true, StateReady: true}
+// closeWhenStopping is middleware that asks callers, from the beginning of a planned stop,
+// to open a new connection for their next request, which the balancer then directs to
+// another daemon. Closing idle connections at that moment instead would cut off requests
+// that are in transit on them.
+func closeWhenStopping(life *Lifecycle, next http.Handler) http.Handler {
+	serving := map[chart.State]bool{StateStarting: true, StateReady: true}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !going[life.State()] {
+		if !serving[life.State()] {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
--- a/internal/daemon/listener_test.go
+++ b/internal/daemon/listener_test.go
@@ -8,10 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// A daemon that is short of processor time is replaced. Callers have connected
-// and sent their requests, but it has not come to accept their connections when
-// the balancer has noticed the stop: closing the listener would reset them.
-func TestDrainedListenerAcceptsWhoHasConnected(t *testing.T) {
+// Guards against resetting the connections of callers that have connected and sent their
+// requests when a daemon short of processor time is stopped before it could accept them.
+func TestDrainingListenerAcceptsPendingConnections(t *testing.T) {
 	is := is.New(t)
 	l, err := listenDrainable("127.0.0.1:0")
 	is.NoErr(err)
@@ -32,9 +31,9 @@
 	is.NoErr(l.Close())
 }
 
-// The stop comes while the server waits for a connection and none comes. The
-// wait must end, or the daemon never stops.
-func TestDrainEndsAWaitingAccept(t *testing.T) {
+// Guards against a daemon that never stops because its server is blocked in Accept and no
+// further connection arrives.
+func TestDrainEndsBlockedAccept(t *testing.T) {
 	is := is.New(t)
 	l, err := listenDrainable("127.0.0.1:0")
 	is.NoErr(err)
--- a/internal/daemon/load.go
+++ b/internal/daemon/load.go
@@ -17,125 +17,129 @@
 	"github.com/savorystall/savorystall/internal/settings"
 )
 
-// probeTurnEvery is how often the wait for a turn is measured; it costs some
-// microseconds.
-const probeTurnEvery = 20 * time.Millisecond
+// latencyProbeInterval is how often the scheduling latency is measured. A measurement costs
+// some microseconds.
+const latencyProbeInterval = 20 * time.Millisecond
 
-// loadWatch measures whether the daemon has processor time for its work.
+// loadMonitor measures whether the daemon has enough processor time.
 //
-// A timer does not tell: the runtime gives a goroutine that a timer wakes the next
-// turn. One that yields goes behind all that are ready.
-type loadWatch struct {
-	// over tells that the balancer is to pass the daemon over.
-	over atomic.Bool
-	// accepts is how many new connections a second are taken; zero: all.
-	accepts atomic.Int64
-	// shed is the part of new requests to refuse, in thousandths.
-	shed atomic.Int64
-	// since is when the daemon became overloaded, in nanoseconds since started; zero: it
-	// is not.
-	since   atomic.Int64
-	started time.Time
-	// probed is when the present measurement began, in nanoseconds since started, zero
-	// between two, and waited the last wait for a turn.
-	probed, waited atomic.Int64
-	// confirmed is when the store last told which routes are in force, in nanoseconds since
-	// started; zero: it has not.
-	confirmed atomic.Int64
-	// lag is how long the balancer takes to notice.
-	lag time.Duration
-	// zone is how many daemons the availability zone has.
-	zone atomic.Int64
+// It cannot use the delay of a timer, because the runtime schedules a goroutine that a
+// timer wakes next. A goroutine that yields is queued behind all runnable ones.
+type loadMonitor struct {
+	// overloadedNow reports whether the balancer is to skip the daemon.
+	overloadedNow atomic.Bool
+	// measuredAcceptRate is how many new connections to accept per second; zero means no
+	// limit.
+	measuredAcceptRate atomic.Int64
+	// shedPermille is the fraction of new requests to refuse, in thousandths.
+	shedPermille atomic.Int64
+	// overloadedSince is when the daemon became overloaded, in nanoseconds since started;
+	// zero if it is not overloaded.
+	overloadedSince atomic.Int64
+	started         time.Time
+	// probeStart is when the current measurement began, in nanoseconds since started, or
+	// zero if none is in progress. lastLatency is the result of the last measurement.
+	probeStart, lastLatency atomic.Int64
+	// routesConfirmedAt is when the store last reported which routes are in force, in
+	// nanoseconds since started; zero if it has not yet.
+	routesConfirmedAt atomic.Int64
+	// balancerLag is how long the balancer takes to notice that the daemon is not ready.
+	balancerLag time.Duration
+	// zoneDaemons is the number of daemons in the availability zone.
+	zoneDaemons atomic.Int64
 }
 
-// holdFrom is the number of daemons in a zone from which on one that is overloaded may
-// stay out for longer than its load lasts.
-const holdFrom = 4
+// minZoneDaemonsForHold is the number of daemons in an availability zone from which on an
+// overloaded one may stay out of rotation for longer than its load lasts.
+const minZoneDaemonsForHold = 4
 
-func newLoadWatch(s settings.Settings) *loadWatch {
-	return &loadWatch{started: time.Now(), lag: s.Stop.BalancerLag}
+func newLoadMonitor(s settings.Settings) *loadMonitor {
+	return &loadMonitor{started: time.Now(), balancerLag: s.Stop.BalancerLag}
 }
 
-// overloaded tells whether the daemon has too little processor time.
-func (l *loadWatch) overloaded() bool { return l.over.Load() }
+// overloaded reports whether the daemon has too little processor time.
+func (l *loadMonitor) overloaded() bool { return l.overloadedNow.Load() }
 
-// sheds tells whether a new request is to be refused at once, by its context.
-func (l *loadWatch) sheds(ctx context.Context) bool {
-	share := l.shedShare()
-	if conn := readingConnOf(ctx); conn != nil && firstOnConnection(ctx) && (conn.admitted || conn.crowded) {
-		return conn.crowded
+// shouldShed reports whether the new request with the given context is to be refused at
+// once.
+func (l *loadMonitor) shouldShed(ctx context.Context) bool {
+	fraction := l.shedFraction()
+	if conn := trackedConnOf(ctx); conn != nil && isFirstRequest(ctx) && (conn.mustServe || conn.mustRefuse) {
+		return conn.mustRefuse
 	}
-	if share == 0 {
+	if fraction == 0 {
 		return false
 	}
-	return rand.Float64() < overload.ShedFractionFor(share, firstOnConnection(ctx))
+	return rand.Float64() < overload.ShedFractionFor(fraction, isFirstRequest(ctx))
 }
 
-// shedShare is the part of new requests to refuse.
-func (l *loadWatch) shedShare() float64 {
-	return max(float64(l.shed.Load())/shedUnit, overload.PendingShedFraction(l.waiting()))
+// shedFraction returns the fraction of new requests to refuse.
+func (l *loadMonitor) shedFraction() float64 {
+	return max(float64(l.shedPermille.Load())/shedScale, overload.PendingShedFraction(l.pendingLatency()))
 }
 
-// busy tells whether a part of new requests is refused at once.
-func (l *loadWatch) busy() bool { return l.shedShare() > 0 }
+// shedding reports whether a fraction of new requests is refused.
+func (l *loadMonitor) shedding() bool { return l.shedFraction() > 0 }
 
-// shedUnit is the unit of loadWatch.shed.
-const shedUnit = 1000
+// shedScale is the scale of loadMonitor.shedPermille.
+const shedScale = 1000
 
-// confirm notes that the store has just told which routes are in force.
-func (l *loadWatch) confirm() { l.confirmed.Store(int64(time.Since(l.started))) }
+// confirmRoutes records that the store has just reported which routes are in force.
+func (l *loadMonitor) confirmRoutes() { l.routesConfirmedAt.Store(int64(time.Since(l.started))) }
 
-// confirmedFor is for how long a daemon without processor time goes by the routes that it
-// knows: with the turn that a new version takes to be read it stays within two seconds.
-const confirmedFor = time.Second
+// maxRoutesAge is how long a daemon without processor time may use its known routes without
+// a confirmation. Including the time until a new version is read, it stays within two
+// seconds.
+const maxRoutesAge = time.Second
 
-// stale tells whether the routes may have changed without this daemon having come to read
-// them. One that keeps up is told of a change as it happens.
-func (l *loadWatch) stale() bool {
-	return l.busy() && time.Since(l.started)-time.Duration(l.confirmed.Load()) > confirmedFor
+// routesStale reports whether the routes may have changed without this daemon having read
+// the change. A daemon that keeps up is notified of a change as it happens.
+func (l *loadMonitor) routesStale() bool {
+	return l.shedding() && time.Since(l.started)-time.Duration(l.routesConfirmedAt.Load()) > maxRoutesAge
 }
 
-// left tells whether the balancer has noticed that the daemon is overloaded.
-func (l *loadWatch) left() bool {
-	since := l.since.Load()
-	return since > 0 && time.Since(l.started)-time.Duration(since) > l.lag
+// balancerNoticed reports whether the balancer has noticed that the daemon is overloaded.
+func (l *loadMonitor) balancerNoticed() bool {
+	since := l.overloadedSince.Load()
+	return since > 0 && time.Since(l.started)-time.Duration(since) > l.balancerLag
 }
 
-// acceptRate is how many new connections a second are to be taken; zero: all.
-func (l *loadWatch) acceptRate() rate.Limit {
-	measured, now := l.accepts.Load(), int64(overload.AcceptRate(l.waiting()))
-	if measured == 0 || now > 0 && now < measured {
-		return rate.Limit(now)
+// acceptRate returns how many new connections to accept per second; zero means no limit.
+func (l *loadMonitor) acceptRate() rate.Limit {
+	measured, current := l.measuredAcceptRate.Load(), int64(overload.AcceptRate(l.pendingLatency()))
+	if measured == 0 || current > 0 && current < measured {
+		return rate.Limit(current)
 	}
 	return rate.Limit(measured)
 }
 
-// slowFrom is the wait for a turn from which on a turn is slow.
-const slowFrom = 20 * time.Millisecond
+// slowLatency is the scheduling latency from which on it counts as high.
+const slowLatency = 20 * time.Millisecond
 
-// slow tells whether goroutines wait long for their turns, also while the measurement is
-// still waiting for its own.
-func (l *loadWatch) slow() bool {
-	return max(time.Duration(l.waited.Load()), l.waiting()) >= slowFrom
+// slow reports whether the scheduling latency is high, also while the current measurement
+// has not completed.
+func (l *loadMonitor) slow() bool {
+	return max(time.Duration(l.lastLatency.Load()), l.pendingLatency()) >= slowLatency
 }
 
-// late tells how long ago a request has come that is read now, by its context.
-func (l *loadWatch) late(ctx context.Context) time.Duration {
+// readDelay returns how long ago the request with the given context arrived that is being
+// read now.
+func (l *loadMonitor) readDelay(ctx context.Context) time.Duration {
 	if !l.slow() {
 		return 0
 	}
-	if conn, ok := ctx.Value(connKey{}).(*callerConn); ok {
-		if since, ok := sinceData(conn.Conn); ok {
+	if conn, ok := ctx.Value(connContextKey{}).(*callerConn); ok {
+		if since, ok := sinceLastData(conn.Conn); ok {
 			return since
 		}
 	}
-	return max(time.Duration(l.waited.Load()), l.waiting())
+	return max(time.Duration(l.lastLatency.Load()), l.pendingLatency())
 }
 
-// sinceData returns how long ago the last bytes have come on a connection, by the kernel;
-// false where it does not tell.
-func sinceData(conn net.Conn) (since time.Duration, ok bool) {
-	fd := descriptor(conn)
+// sinceLastData returns how long ago the last data arrived on a connection according to the
+// kernel, and false if the kernel does not tell.
+func sinceLastData(conn net.Conn) (since time.Duration, ok bool) {
+	fd := fileDescriptor(conn)
 	if fd < 0 {
 		return 0, false
 	}
@@ -146,29 +150,30 @@
 	return time.Duration(info.Last_data_recv) * time.Millisecond, true
 }
 
-// waiting is how long the present measurement has waited for its turn; zero between two.
-func (l *loadWatch) waiting() time.Duration {
-	probed := l.probed.Load()
+// pendingLatency returns how long the current measurement has waited to be scheduled; zero
+// if none is in progress.
+func (l *loadMonitor) pendingLatency() time.Duration {
+	probed := l.probeStart.Load()
 	if probed == 0 {
 		return 0
 	}
 	return max(0, time.Since(l.started)-time.Duration(probed))
 }
 
-// probe measures the wait for a turn.
-func (l *loadWatch) probe() (now time.Time, wait time.Duration) {
+// measureLatency measures the scheduling latency.
+func (l *loadMonitor) measureLatency() (now time.Time, latency time.Duration) {
 	before := time.Now()
-	l.probed.Store(int64(before.Sub(l.started)))
+	l.probeStart.Store(int64(before.Sub(l.started)))
 	runtime.Gosched()
 	now = time.Now()
-	wait = now.Sub(before)
-	l.waited.Store(int64(wait))
-	l.probed.Store(0)
-	return now, wait
+	latency = now.Sub(before)
+	l.lastLatency.Store(int64(latency))
+	l.probeStart.Store(0)
+	return now, latency
 }
 
-func (l *loadWatch) run(ctx context.Context, log *slog.Logger, conns *connections) {
-	ticker := time.NewTicker(probeTurnEvery)
+func (l *loadMonitor) run(ctx context.Context, log *slog.Logger, conns *connTracker) {
+	ticker := time.NewTicker(latencyProbeInterval)
 	defer ticker.Stop()
 	var detector overload.Detector
 	var shedder overload.Shedder
@@ -178,23 +183,23 @@
 			return
 		case <-ticker.C:
 		}
-		now, wait := l.probe()
-		share := shedder.Observe(now, wait)
-		l.accepts.Store(int64(overload.AcceptRate(detector.MeanLatency())))
-		l.shed.Store(int64(shedUnit * share))
-		over := detector.Observe(now, overload.Observation{
-			SchedLatency: wait, ShedFraction: share, MayHold: l.zone.Load() >= holdFrom, NewConns: conns.arrived(),
+		now, latency := l.measureLatency()
+		shedFraction := shedder.Observe(now, latency)
+		l.measuredAcceptRate.Store(int64(overload.AcceptRate(detector.MeanLatency())))
+		l.shedPermille.Store(int64(shedScale * shedFraction))
+		overloaded := detector.Observe(now, overload.Observation{
+			SchedLatency: latency, ShedFraction: shedFraction, MayHold: l.zoneDaemons.Load() >= minZoneDaemonsForHold, NewConns: conns.takeOpenedConns(),
 		})
-		if l.over.Swap(over) == over {
+		if l.overloadedNow.Swap(overloaded) == overloaded {
 			continue
 		}
-		line, since := event.OverloadEnded, time.Duration(0)
-		lasted := now.Sub(l.started) - time.Duration(l.since.Load())
-		if over {
-			line, since, lasted = event.Overloaded, now.Sub(l.started), 0
+		ev, since := event.OverloadEnded, time.Duration(0)
+		duration := now.Sub(l.started) - time.Duration(l.overloadedSince.Load())
+		if overloaded {
+			ev, since, duration = event.Overloaded, now.Sub(l.started), 0
 		}
-		l.since.Store(int64(since))
-		line.Log(log, "wait_ms", detector.MeanLatency().Milliseconds(), "sheds", share, "callers", conns.open(),
-			"hold_ms", detector.Hold().Milliseconds(), "lasted_ms", lasted.Milliseconds(), "arrived", detector.NewConns(), "zone_daemons", l.zone.Load())
+		l.overloadedSince.Store(int64(since))
+		ev.Log(log, "wait_ms", detector.MeanLatency().Milliseconds(), "sheds", shedFraction, "callers", conns.countOpen(),
+			"hold_ms", detector.Hold().Milliseconds(), "lasted_ms", duration.Milliseconds(), "arrived", detector.NewConns(), "zone_daemons", l.zoneDaemons.Load())
 	}
 }
--- a/internal/daemon/load_test.go
+++ b/internal/daemon/load_test.go
@@ -16,13 +16,13 @@
 	"github.com/savorystall/savorystall/internal/settings"
 )
 
-// A daemon short of processor time refuses new connections first. It has to tell a first
-// request from the later ones of a connection.
-func TestTheFirstRequestOfAConnectionIsKnown(t *testing.T) {
+// A daemon short of processor time refuses new connections first, and therefore has to
+// distinguish the first request of a connection from later ones.
+func TestIsFirstRequest(t *testing.T) {
 	is := is.New(t)
 	var firsts []bool
-	handler := counting(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		firsts = append(firsts, firstOnConnection(r.Context()))
+	handler := countRequests(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+		firsts = append(firsts, isFirstRequest(r.Context()))
 	}))
 	server, client := net.Pipe()
 	t.Cleanup(func() { _, _ = server.Close(), client.Close() })
@@ -32,43 +32,43 @@
 		handler.ServeHTTP(httptest.NewRecorder(), r)
 	}
 	is.Equal(firsts, []bool{true, false, false})
-	is.True(!firstOnConnection(context.Background()))
+	is.True(!isFirstRequest(context.Background()))
 }
 
-// A daemon is flooded at once, and takes on everything until its measurements of that have had
-// their turns: each of the nine that it goes by ends after one.
-func TestAFloodIsRefusedWhileItIsBeingMeasured(t *testing.T) {
-	const turn, busy = 2000 * time.Millisecond, 2 * time.Millisecond
+// Guards against a daemon that accepts an entire sudden flood until its measurements
+// complete: its decision needs nine of them, and each has to wait to be scheduled.
+func TestFloodIsShedBeforeMeasurementCompletes(t *testing.T) {
+	const latency, spin = 2000 * time.Millisecond, 2 * time.Millisecond
 	is := is.New(t)
-	load := newLoadWatch(settings.Settings{})
+	monitor := newLoadMonitor(settings.Settings{})
 	ctx, cancel := context.WithCancel(context.Background())
-	measuring := make(chan struct{})
+	monitorDone := make(chan struct{})
 	go func() {
-		defer close(measuring)
-		load.run(ctx, slog.New(slog.DiscardHandler), newConnections(0))
+		defer close(monitorDone)
+		monitor.run(ctx, slog.New(slog.DiscardHandler), newConnTracker(0))
 	}()
 	time.Sleep(100 * time.Millisecond)
-	is.True(!load.sheds(t.Context()))
-	is.Equal(load.acceptRate(), rate.Limit(0))
+	is.True(!monitor.shouldShed(t.Context()))
+	is.Equal(monitor.acceptRate(), rate.Limit(0))
 
-	former := runtime.GOMAXPROCS(1)
-	defer runtime.GOMAXPROCS(former)
-	for range int(turn / busy) {
+	previous := runtime.GOMAXPROCS(1)
+	defer runtime.GOMAXPROCS(previous)
+	for range int(latency / spin) {
 		go func() {
 			for ctx.Err() == nil {
-				for end := time.Now().Add(busy); time.Now().Before(end); {
+				for end := time.Now().Add(spin); time.Now().Before(end); {
 				}
 				runtime.Gosched()
 			}
 		}()
 	}
 	flooded := time.Now()
-	for time.Since(flooded) < turn && (load.shedShare() == 0 || load.acceptRate() == 0) {
+	for time.Since(flooded) < latency && (monitor.shedFraction() == 0 || monitor.acceptRate() == 0) {
 		time.Sleep(50 * time.Millisecond)
 	}
 	took := time.Since(flooded)
-	t.Logf("refuses after %v", took)
+	t.Logf("shedding began after %v", took)
 	cancel()
-	<-measuring
-	is.True(took < turn/2)
+	<-monitorDone
+	is.True(took < latency/2)
 }
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -18,7 +18,7 @@
 // operators serves the operators' port.
 type operators struct {
 	identity identity
-	life     *Life
+	life     *Lifecycle
 	loop     *control.Loop
 	store    *config.Store
 	bridge   *bridge
--- a/internal/daemon/passage.go
+++ b/internal/daemon/passage.go
@@ -16,159 +16,165 @@
 )
 
 const (
-	// passageChunk is how many bytes are carried at once.
-	passageChunk = 4 << 10
-	// lastRead is how long a caller may take to close after its answer. Closing with its
-	// bytes unread would reset the connection, and the answer might be lost.
-	lastRead = 500 * time.Millisecond
-	// takesNothing is how long either side may take none of what is sent to it.
-	takesNothing = 5 * time.Second
+	// proxyBufferSize is how many bytes are copied at once.
+	proxyBufferSize = 4 << 10
+	// callerCloseTimeout is how long a caller may take to close after its answer. Closing
+	// the connection with unread data would reset it, and the answer might be lost.
+	callerCloseTimeout = 500 * time.Millisecond
+	// proxyWriteTimeout is how long either side may accept none of the data sent to it.
+	proxyWriteTimeout = 5 * time.Second
 )
 
-// passage carries the bytes of one connection between a caller and the neighbour that
-// serves it, without reading them as requests. The neighbour ends the connection with its
-// first answer, so that its end tells whether one is owed.
-type passage struct {
+// connProxy copies the bytes of one connection between a caller and the neighbour that
+// serves it, without parsing requests. The neighbour closes the connection after its first
+// answer, so that the end of the connection shows whether an answer is outstanding.
+type connProxy struct {
 	caller    tcpConn
 	neighbour *net.TCPConn
-	// accepted is when the caller's connection was, and sending takes how long its first bytes
-	// waited from then on; it may be nil.
-	accepted time.Time
-	sending  *waits
-	// asked tells that bytes of the caller may have reached the neighbour, answered that
-	// some of its answer came, left that the caller closed its connection.
-	asked, answered, left atomic.Bool
+	// acceptedAt is when the caller's connection was accepted. sendDelays records how long
+	// its first bytes waited from then on; it may be nil.
+	acceptedAt time.Time
+	sendDelays *waits
+	// requestSent reports that bytes of the caller may have reached the neighbour,
+	// responseStarted that part of its answer arrived, and callerLeft that the caller
+	// closed its connection.
+	requestSent, responseStarted, callerLeft atomic.Bool
 
 	mu sync.Mutex
-	// ending tells that the neighbour has ended.
-	ending bool
+	// neighbourEnded reports that the neighbour has closed the connection.
+	neighbourEnded bool
 }
 
-var passageBuffers = sync.Pool{New: func() any { b := make([]byte, passageChunk); return &b }}
+var proxyBuffers = sync.Pool{New: func() any { b := make([]byte, proxyBufferSize); return &b }}
 
-// run carries bytes until both ends are closed, and tells whether the neighbour ended it
-// with an answer or the caller by leaving.
-func (p *passage) run() (whole bool) {
-	_ = p.caller.SetReadDeadline(time.Now().Add(firstRequest)) // fails only on a closed connection
-	asking := make(chan struct{})
+// run copies bytes until both ends are closed, and reports whether the neighbour ended the
+// connection with an answer or the caller closed it.
+func (p *connProxy) run() (complete bool) {
+	_ = p.caller.SetReadDeadline(time.Now().Add(firstRequestTimeout)) // fails only on a closed connection
+	requestDone := make(chan struct{})
 	go func() {
-		defer close(asking)
-		p.ask()
+		defer close(requestDone)
+		p.copyRequest()
 	}()
-	whole = p.answer()
+	complete = p.copyResponse()
 	_ = p.neighbour.Close()
-	<-asking
+	<-requestDone
 	_ = p.caller.Close()
-	return whole
+	return complete
 }
 
-// ask carries what the caller sends, and its close.
-func (p *passage) ask() {
-	err := carryBytes(p.neighbour, p.caller, func([]byte) { p.begin() })
+// copyRequest copies the data that the caller sends, and forwards its close.
+func (p *connProxy) copyRequest() {
+	err := copyBytes(p.neighbour, p.caller, func([]byte) { p.onRequestData() })
 	if err == nil || errors.As(err, new(readError)) {
-		p.left.Store(true) // or sent nothing in time
+		p.callerLeft.Store(true) // or the caller sent nothing in time
 		_ = p.neighbour.Close()
 		return
 	}
-	// The neighbour takes no more. What the caller still sends is read all the same, or the
-	// close would reset its connection and it might lose an answer.
+	// The neighbour accepts no more data. Further data of the caller must still be read:
+	// otherwise closing would reset its connection, and it might lose an answer.
 	_, _ = io.Copy(io.Discard, p.caller)
 }
 
-// hangUp lets the neighbour know at once that the caller has left: on a daemon whose turns take long
-// the goroutine that reads the caller's close waits for its own. It does not wait for those that
-// use the connection, as a close does.
-func (p *passage) hangUp() {
-	p.left.Store(true)
-	_, _ = p.neighbour.CloseWrite(), p.neighbour.CloseRead() // fail where the neighbour has ended
+// abortNeighbour notifies the neighbour at once that the caller has disconnected: on a
+// daemon with a high scheduling latency, the goroutine that reads from the caller has to
+// wait to be scheduled. Unlike Close, it does not wait for goroutines that use the
+// connection.
+func (p *connProxy) abortNeighbour() {
+	p.callerLeft.Store(true)
+	_, _ = p.neighbour.CloseWrite(), p.neighbour.CloseRead() // fail if the neighbour has closed the connection
 }
 
-// begin notes that bytes of the caller go to the neighbour. From then on it may be silent.
-func (p *passage) begin() {
-	if p.asked.Swap(true) {
+// onRequestData records that bytes of the caller are sent to the neighbour. From then on
+// the caller may be silent.
+func (p *connProxy) onRequestData() {
+	if p.requestSent.Swap(true) {
 		return
 	}
-	if p.sending != nil {
-		p.sending.note(time.Since(p.accepted))
+	if p.sendDelays != nil {
+		p.sendDelays.note(time.Since(p.acceptedAt))
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.ending {
+	if !p.neighbourEnded {
 		_ = p.caller.SetReadDeadline(time.Time{})
 	}
 }
 
-// end bounds what is still read of the caller once the neighbour has ended.
-func (p *passage) end() {
+// limitCallerRead bounds how long the caller's data is still read after the neighbour has
+// closed the connection.
+func (p *connProxy) limitCallerRead() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ending = true
-	_ = p.caller.SetReadDeadline(time.Now().Add(lastRead))
+	p.neighbourEnded = true
+	_ = p.caller.SetReadDeadline(time.Now().Add(callerCloseTimeout))
 }
 
-// continues is how that begins which a server says before it reads a body, and headerEnd how it
-// ends. It is no answer.
-var continues, headerEnd = []byte("HTTP/1.1 100 "), []byte("\r\n\r\n")
+// continuePrefix is the beginning, and headerEnd the end, of the interim response that a
+// server sends before it reads a body. It does not count as an answer.
+var continuePrefix, headerEnd = []byte("HTTP/1.1 100 "), []byte("\r\n\r\n")
 
-// afterContinues returns what follows in a chunk of an answer's beginning.
-func afterContinues(chunk []byte) []byte {
-	for bytes.HasPrefix(chunk, continues) {
+// skipContinues returns the part of the first chunk of an answer after any "100 Continue"
+// responses.
+func skipContinues(chunk []byte) []byte {
+	for bytes.HasPrefix(chunk, continuePrefix) {
 		_, chunk, _ = bytes.Cut(chunk, headerEnd)
 	}
 	return chunk
 }
 
-// answer carries what the neighbour answers, and its end. It tells whether an answer came,
-// if one was owed.
-func (p *passage) answer() (whole bool) {
-	err := carryBytes(p.caller, p.neighbour, func(chunk []byte) {
-		if len(afterContinues(chunk)) > 0 {
-			p.answered.Store(true)
+// copyResponse copies the answer of the neighbour, and its close. It reports whether an
+// answer arrived, if one was outstanding.
+func (p *connProxy) copyResponse() (complete bool) {
+	err := copyBytes(p.caller, p.neighbour, func(chunk []byte) {
+		if len(skipContinues(chunk)) > 0 {
+			p.responseStarted.Store(true)
 		}
 	})
-	defer p.end()
+	defer p.limitCallerRead()
 	switch {
-	case p.left.Load() || hungUp(p.caller):
+	case p.callerLeft.Load() || peerClosed(p.caller):
 		return true
-	case p.asked.Load() && !p.answered.Load():
-		p.fail()
-	case err != nil && p.answered.Load():
-		_ = p.caller.SetLinger(0) // an answer that is cut off must not look complete
+	case p.requestSent.Load() && !p.responseStarted.Load():
+		p.sendFailure()
+	case err != nil && p.responseStarted.Load():
+		_ = p.caller.SetLinger(0) // a truncated answer must not look complete
 		_ = p.caller.Close()
 		return false
 	default:
-		whole = true
+		complete = true
 	}
 	_ = p.caller.CloseWrite()
-	return whole
+	return complete
 }
 
-// fail answers a request whose neighbour ended without an answer. It may have run.
-func (p *passage) fail() {
+// sendFailure answers a request whose neighbour closed the connection without an answer.
+// The request may have run.
+func (p *connProxy) sendFailure() {
 	f := resultcode.Fail(resultcode.NeighbourLost, "")
 	body := string(gateway.FailureBody(f))
-	answer := http.Response{
+	response := http.Response{
 		StatusCode: f.Code.HTTPStatus, ProtoMajor: 1, ProtoMinor: 1, Close: true,
 		Header: http.Header{"Content-Type": {"application/json"}}, ContentLength: int64(len(body)), Body: io.NopCloser(strings.NewReader(body)),
 	}
-	_ = answer.Write(p.caller) // a caller that has left needs no answer
+	_ = response.Write(p.caller) // fails if the caller has disconnected, which is harmless
 }
 
 // readError is an error of the connection that is read from.
 type readError struct{ error }
 
-// carryBytes copies until the end of from, and shows each chunk before it is written. Errors
-// of from are a readError.
-func carryBytes(to net.Conn, from io.Reader, show func([]byte)) error {
-	b := passageBuffers.Get().(*[]byte)
-	defer passageBuffers.Put(b)
+// copyBytes copies until the end of from, and calls onChunk with each chunk before it is
+// written. Errors of from are returned as a readError.
+func copyBytes(to net.Conn, from io.Reader, onChunk func([]byte)) error {
+	b := proxyBuffers.Get().(*[]byte)
+	defer proxyBuffers.Put(b)
 	for {
 		n, err := from.Read(*b)
 		if n > 0 {
-			show((*b)[:n])
-			_ = to.SetWriteDeadline(time.Now().Add(takesNothing)) // fails only on a closed connection
-			if _, werr := to.Write((*b)[:n]); werr != nil {
-				return werr
+			onChunk((*b)[:n])
+			_ = to.SetWriteDeadline(time.Now().Add(proxyWriteTimeout)) // fails only on a closed connection
+			if _, writeErr := to.Write((*b)[:n]); writeErr != nil {
+				return writeErr
 			}
 		}
 		if errors.Is(err, io.EOF) {
--- a/internal/daemon/passage_test.go
+++ b/internal/daemon/passage_test.go
@@ -16,8 +16,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// script stands in for a neighbour that marks each connection and then does what it is told.
-func script(t *testing.T, serve func(net.Conn)) string {
+// startScriptedNeighbour starts a fake neighbour that accepts each forwarded connection and
+// then calls serve.
+func startScriptedNeighbour(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,26 +31,26 @@
 			if err != nil {
 				return
 			}
-			_, _ = conn.Write(markOf(0))
+			_, _ = conn.Write(acceptMessage(0))
 			go serve(conn)
 		}
 	}()
 	return l.Addr().String()
 }
 
-// ends tells whether nothing is passed on any more within so long.
-func (s *starved) ends(within time.Duration) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+// waitEnded reports whether no connection is being forwarded any more within the timeout.
+func (s *overloadedDaemon) waitEnded(timeout time.Duration) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	s.handovers.settle(ctx)
-	return s.handovers.active.Load() == 0
+	s.forwarder.wait(ctx)
+	return s.forwarder.active.Load() == 0
 }
 
-// A caller whose first bytes come just after its neighbour closed must not hold the passage
-// for as long as it keeps its connection.
-func TestAPassageWhoseNeighbourClosedFirstEnds(t *testing.T) {
+// A caller whose first bytes arrive just after its neighbour closed must not keep the proxy
+// running for as long as it keeps its connection open.
+func TestProxyEndsWhenNeighbourClosesFirst(t *testing.T) {
 	is := is.New(t)
-	s := newStarved(t, script(t, func(conn net.Conn) {
+	s := newOverloadedDaemon(t, startScriptedNeighbour(t, func(conn net.Conn) {
 		time.Sleep(100 * time.Millisecond)
 		_ = conn.Close()
 	}))
@@ -59,16 +60,17 @@
 	time.Sleep(300 * time.Millisecond)
 	_, err = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	is.NoErr(err)
-	is.True(s.ends(4 * time.Second))
+	is.True(s.waitEnded(4 * time.Second))
 }
 
-// A caller that takes no more of its answer must not hold the passage once its neighbour ended.
-func TestAPassageWhoseCallerReadsNothingEnds(t *testing.T) {
+// A caller that stops reading its answer must not keep the proxy running once its neighbour
+// has ended.
+func TestProxyEndsWhenCallerStopsReading(t *testing.T) {
 	is := is.New(t)
-	s := newStarved(t, script(t, func(conn net.Conn) {
+	s := newOverloadedDaemon(t, startScriptedNeighbour(t, func(conn net.Conn) {
 		_, _ = conn.Read(make([]byte, 1000))
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100000000\r\n\r\n")
-		_ = conn.SetWriteDeadline(time.Now().Add(3 * time.Second)) // the bound of the neighbour
+		_ = conn.SetWriteDeadline(time.Now().Add(3 * time.Second)) // the write timeout of the neighbour
 		n, err := conn.Write(make([]byte, 100000000))
 		t.Log("neighbour wrote", n, err)
 		_ = conn.Close()
@@ -79,27 +81,28 @@
 	_, err = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	is.NoErr(err)
 	time.Sleep(4 * time.Second)
-	t.Log("passed", s.handovers.passed.Load(), "active", s.handovers.active.Load())
-	is.True(s.ends(8 * time.Second))
+	t.Log("passed", s.forwarder.forwarded.Load(), "active", s.forwarder.active.Load())
+	is.True(s.waitEnded(8 * time.Second))
 }
 
-// A caller that sends its next request before the first answer gets the first answer whole.
-func TestACallerThatPipelinesGetsItsFirstAnswer(t *testing.T) {
-	for _, hop := range []bool{false, true} {
-		t.Run(fmt.Sprintf("hop=%v", hop), func(t *testing.T) {
+// A caller that sends its next request before the first answer must get the first answer
+// completely.
+func TestPipeliningCallerGetsFirstAnswer(t *testing.T) {
+	for _, forwarded := range []bool{false, true} {
+		t.Run(fmt.Sprintf("forwarded=%v", forwarded), func(t *testing.T) {
 			is := is.New(t)
 			const size = 8 << 20
-			n := newNeighbour(t, func(w http.ResponseWriter, _ *http.Request) {
+			n := newTestNeighbour(t, func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Content-Length", fmt.Sprint(size))
 				_, _ = w.Write(make([]byte, size))
 			})
-			s := newStarved(t, n.address)
-			if !hop {
+			s := newOverloadedDaemon(t, n.address)
+			if !forwarded {
 				s.handler.Store(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 					w.Header().Set("Content-Length", fmt.Sprint(size))
 					_, _ = w.Write(make([]byte, size))
 				}))
-				s.load.shed.Store(0)
+				s.monitor.shedPermille.Store(0)
 			}
 			conn, err := net.Dial("tcp", s.address)
 			is.NoErr(err)
@@ -117,11 +120,12 @@
 	}
 }
 
-// A neighbour that was lost before it acknowledged what was sent is found in seconds, not by
-// the kernel's retransmissions: keep-alive says nothing while bytes are under way.
-func TestAHopThatGoesSilentWithBytesUnderWayIsFound(t *testing.T) {
+// A neighbour that was lost before it acknowledged sent data must be detected within
+// seconds, not after the retransmissions of the kernel; keep-alive probes are not sent
+// while data is unacknowledged.
+func TestConnectionToNeighbourHasUserTimeout(t *testing.T) {
 	is := is.New(t)
-	conn, err := takeover(script(t, func(net.Conn) {}), 0)
+	conn, err := offerConn(startScriptedNeighbour(t, func(net.Conn) {}), 0)
 	is.NoErr(err)
 	defer func() { _ = conn.Close() }()
 	raw, err := conn.SyscallConn()
@@ -132,10 +136,10 @@
 	is.True(ms > 0)
 }
 
-// A neighbour that breaks after it said "100 Continue" owes an answer.
-func TestAContinueIsNoAnswer(t *testing.T) {
+// A neighbour that fails after "100 Continue" still owes an answer.
+func TestContinueIsNotAnAnswer(t *testing.T) {
 	is := is.New(t)
-	s := newStarved(t, script(t, func(conn net.Conn) {
+	s := newOverloadedDaemon(t, startScriptedNeighbour(t, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
 		r, err := http.ReadRequest(in)
 		if err != nil {
@@ -143,7 +147,7 @@
 		}
 		_, _ = io.WriteString(conn, "HTTP/1.1 100 Continue\r\n\r\n")
 		_, _ = io.ReadAll(r.Body)
-		_ = conn.Close() // dies
+		_ = conn.Close() // ends without an answer
 	}))
 	conn, err := net.Dial("tcp", s.address)
 	is.NoErr(err)
@@ -161,10 +165,11 @@
 	is.Equal(w.StatusCode, 502)
 }
 
-// Guards against a second answer to a caller whose first one came together with "100 Continue".
-func TestAnAnswerRightBehindAContinueIsTheOnlyOne(t *testing.T) {
+// Guards against sending a second answer to a caller whose first one arrived together with
+// "100 Continue".
+func TestAnswerDirectlyAfterContinueIsTheOnlyOne(t *testing.T) {
 	is := is.New(t)
-	s := newStarved(t, script(t, func(conn net.Conn) {
+	s := newOverloadedDaemon(t, startScriptedNeighbour(t, func(conn net.Conn) {
 		if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 			return
 		}
@@ -181,10 +186,11 @@
 	is.True(strings.HasSuffix(string(text), "\r\n\r\nok"))
 }
 
-// A caller that leaves a stream rudely is no fault of the neighbour.
-func TestACallerThatResetsIsNoLostNeighbour(t *testing.T) {
+// A caller that resets its connection during a stream must not count as a failure of the
+// neighbour.
+func TestCallerResetDoesNotCountAsLostNeighbour(t *testing.T) {
 	is := is.New(t)
-	s := newStarved(t, newNeighbour(t, func(w http.ResponseWriter, r *http.Request) {
+	s := newOverloadedDaemon(t, newTestNeighbour(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, "event\n")
 		_ = http.NewResponseController(w).Flush()
 		<-r.Context().Done()
@@ -197,30 +203,31 @@
 	is.NoErr(err)
 	is.NoErr(conn.(*net.TCPConn).SetLinger(0))
 	is.NoErr(conn.Close())
-	is.True(s.ends(4 * time.Second))
-	is.Equal(s.handovers.lost.Load(), int64(0))
+	is.True(s.waitEnded(4 * time.Second))
+	is.Equal(s.forwarder.lost.Load(), int64(0))
 }
 
-// A request that came while the VM stood still is read when it wakes, past the deadline.
-func TestARequestThatWaitedPastTheDeadlineIsPassedOn(t *testing.T) {
+// A request that arrived while the VM was paused must be read when the VM resumes, even
+// past the deadline.
+func TestRequestWaitingPastDeadlineIsForwarded(t *testing.T) {
 	is := is.New(t)
-	a, b := tcpPair(t)
-	fd := b.(*net.TCPConn)
-	_, err := io.WriteString(a, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+	caller, accepted := tcpPair(t)
+	acceptedTCP := accepted.(*net.TCPConn)
+	_, err := io.WriteString(caller, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	is.NoErr(err)
 	time.Sleep(50 * time.Millisecond)
-	hop, far := tcpPair(t)
-	var asked atomic.Bool
+	toNeighbour, neighbour := tcpPair(t)
+	var received atomic.Bool
 	go func() {
-		_, err := far.Read(make([]byte, 100))
-		asked.Store(err == nil)
-		_ = far.Close()
+		_, err := neighbour.Read(make([]byte, 100))
+		received.Store(err == nil)
+		_ = neighbour.Close()
 	}()
-	_ = fd.SetReadDeadline(time.Now().Add(-time.Second)) // what a VM finds that wakes after firstRequest
-	p := passage{caller: newReadingConn(fd), neighbour: hop.(*net.TCPConn)}
-	go p.ask()
+	_ = acceptedTCP.SetReadDeadline(time.Now().Add(-time.Second)) // as on a VM that resumes after firstRequestTimeout
+	p := connProxy{caller: newTrackedConn(acceptedTCP), neighbour: toNeighbour.(*net.TCPConn)}
+	go p.copyRequest()
 	time.Sleep(100 * time.Millisecond)
-	is.True(asked.Load())
+	is.True(received.Load())
 }
 
 func tcpPair(t *testing.T) (net.Conn, net.Conn) {
--- a/internal/daemon/readingconn.go
+++ b/internal/daemon/readingconn.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// restOfRequest is how long a request may take to arrive that begins just as its connection
-// was to be closed as unused.
-const restOfRequest = 5 * time.Second
+// requestRestTimeout is how long a request may take to arrive that begins just as its
+// connection was to be closed as idle.
+const requestRestTimeout = 5 * time.Second
 
-// tcpConn is what the daemon needs of a caller's TCP connection.
+// tcpConn is the subset of a TCP connection's methods that the daemon needs of a caller's.
 type tcpConn interface {
 	net.Conn
 	syscall.Conn
@@ -21,83 +21,85 @@
 	SetLinger(sec int) error
 }
 
-// readingConn is a caller's connection that knows whether something has been read from it
-// since its last request was answered, and that can be closed as unused without losing a
-// request. It is safe for concurrent use.
+// trackedConn is a caller's connection that tracks whether data has been read from it since
+// its last request was answered, and that can be closed as idle without losing a request.
+// It is safe for concurrent use.
 //
-// The server tells of a request only when it has read its whole header. Until then neither
-// the server nor the kernel shows that the bytes have been taken from the socket, for as long
-// as the goroutine that took them waits for its turn.
-type readingConn struct {
+// The server reports a request only after it has read its whole header. Until then neither
+// the server nor the kernel shows that data has been read from the socket, for as long as
+// the goroutine that read it waits to be scheduled.
+type trackedConn struct {
 	tcpConn
 	mu sync.Mutex
-	// read tells that something has been read of a request that is not answered yet, and
-	// retired that the connection is to end unless a request comes.
-	read, retired bool
-	// passedOn tells that a neighbour took the connection first and passes it on, admitted that
-	// its first request is to be served here and not refused for want of processor time, since
-	// others were passed on in its place, crowded that it is to be refused, since neither this
-	// daemon nor a neighbour would read it in time.
-	passedOn, admitted, crowded bool
+	// requestStarted reports that part of a request was read that is not answered yet, and
+	// closePending that the connection is to be closed unless a request arrives.
+	requestStarted, closePending bool
+	// forwarded reports that the connection was forwarded by a neighbour. mustServe reports
+	// that its first request is to be served here and not refused for lack of processor
+	// time, because other connections were forwarded in its place. mustRefuse reports that
+	// it is to be refused, because neither this daemon nor a neighbour would read it in
+	// time.
+	forwarded, mustServe, mustRefuse bool
 }
 
-func newReadingConn(conn tcpConn) *readingConn { return &readingConn{tcpConn: conn} }
+func newTrackedConn(conn tcpConn) *trackedConn { return &trackedConn{tcpConn: conn} }
 
 // Read implements net.Conn.
-func (c *readingConn) Read(b []byte) (n int, err error) {
+func (c *trackedConn) Read(b []byte) (n int, err error) {
 	for {
 		n, err = c.tcpConn.Read(b)
 		switch {
 		case n > 0:
-			c.begun()
+			c.onRequestData()
 			return n, err
-		case !errors.Is(err, os.ErrDeadlineExceeded) || !c.requested():
+		case !errors.Is(err, os.ErrDeadlineExceeded) || !c.hasWaitingRequest():
 			return n, err
 		}
 	}
 }
 
-// begun notes that a request has begun to arrive.
-func (c *readingConn) begun() {
+// onRequestData records that a request has begun to arrive.
+func (c *trackedConn) onRequestData() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.read = true
-	if c.retired {
-		c.retired = false
-		_ = c.SetReadDeadline(time.Now().Add(restOfRequest)) // a closed connection shows at the next read
+	c.requestStarted = true
+	if c.closePending {
+		c.closePending = false
+		_ = c.SetReadDeadline(time.Now().Add(requestRestTimeout)) // fails only on a closed connection, which the next read reports
 	}
 }
 
-// requested tells, past a deadline, whether a request has come on an unused connection and
-// waits to be read. The runtime does not look: on a VM that stood still it reports the
-// deadline of a connection that has had bytes for long.
-func (c *readingConn) requested() bool {
+// hasWaitingRequest reports, after a deadline, whether a request has arrived on an idle
+// connection and waits to be read. The runtime does not check: on a VM that was paused, it
+// reports the deadline of a connection that received data long before.
+func (c *trackedConn) hasWaitingRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.read || !hasUnread(c.tcpConn) {
+	if c.requestStarted || !hasUnreadData(c.tcpConn) {
 		return false
 	}
-	c.retired = false
-	return c.SetReadDeadline(time.Now().Add(restOfRequest)) == nil
+	c.closePending = false
+	return c.SetReadDeadline(time.Now().Add(requestRestTimeout)) == nil
 }
 
-// retire closes the connection unless a request has come or comes first, and tells whether
-// none had. Closing is left to the goroutine that reads: it alone knows what it has taken.
-func (c *readingConn) retire() bool {
+// closeIfIdle closes the connection unless a request has arrived or arrives first, and
+// reports whether none had. Closing is left to the reading goroutine: only it knows what it
+// has read.
+func (c *trackedConn) closeIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.read {
+	if c.requestStarted {
 		return false
 	}
-	c.retired = true
-	_ = c.SetReadDeadline(time.Now()) // fails only once it is closed
+	c.closePending = true
+	_ = c.SetReadDeadline(time.Now()) // fails only on a closed connection
 	return true
 }
 
-// answered notes that a request was answered. What has come of the next one by then, should
-// its caller have been so quick, waits in the kernel but for a byte.
-func (c *readingConn) answered() {
+// onRequestDone records that a request was answered. Any data of the next request that has
+// arrived by then is still in the kernel, except for one byte.
+func (c *trackedConn) onRequestDone() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.read = false
+	c.requestStarted = false
 }
--- a/internal/daemon/restore_test.go
+++ b/internal/daemon/restore_test.go
@@ -63,7 +63,7 @@
 		usable: map[ident.Target]bool{}, met: map[ident.Target]bool{}, over: map[ident.Target]bool{},
 	}
 	d.site = newSite(routedParts{
-		Settings: set, Log: log, Load: newLoadWatch(set), Routes: &route.Holder{}, Metrics: metrics, Identity: id,
+		Settings: set, Log: log, Load: newLoadMonitor(set), Routes: &route.Holder{}, Metrics: metrics, Identity: id,
 		Relay: relay.New(relay.Config{Self: id.Daemon, Zone: id.Zone, Store: s, Peers: peers, HeartbeatTable: beatTable, Logger: log}),
 	})
 	d.site.rows = s
--- a/internal/daemon/returned.go
+++ b/internal/daemon/returned.go
@@ -5,24 +5,24 @@
 	"sync"
 )
 
-// returnedListener brings connections back to the server that no neighbour took.
+// returnedListener hands connections that no neighbour accepted back to the server.
 type returnedListener struct {
-	conns chan net.Conn
-	done  chan struct{}
-	close func()
+	conns     chan net.Conn
+	done      chan struct{}
+	closeOnce func()
 }
 
 var _ net.Listener = (*returnedListener)(nil)
 
 func newReturnedListener() *returnedListener {
 	l := &returnedListener{conns: make(chan net.Conn), done: make(chan struct{})}
-	l.close = sync.OnceFunc(func() { close(l.done) })
+	l.closeOnce = sync.OnceFunc(func() { close(l.done) })
 	return l
 }
 
-// give hands a connection to the server; a server that has stopped leaves its caller to
-// another daemon.
-func (l *returnedListener) give(conn net.Conn) {
+// handBack hands a connection to the server. If the server has stopped, it closes the
+// connection, so that its caller can reach another daemon.
+func (l *returnedListener) handBack(conn net.Conn) {
 	select {
 	case l.conns <- conn:
 	case <-l.done:
@@ -42,7 +42,7 @@
 
 // Close implements net.Listener.
 func (l *returnedListener) Close() error {
-	l.close()
+	l.closeOnce()
 	return nil
 }
 
--- a/internal/daemon/routed.go
+++ b/internal/daemon/routed.go
@@ -32,13 +32,13 @@
 	fx.Provide(
 		newStore,
 		newRoutedIdentity,
-		NewLife,
+		NewLifecycle,
 		telemetry.NewMetrics,
 		newTracing,
 		func() *route.Holder { return &route.Holder{} },
-		newLoadWatch,
-		newHandovers,
-		newHangups,
+		newLoadMonitor,
+		newConnForwarder,
+		newDisconnectWatcher,
 		newRoutedBridge,
 		newRelay,
 		newRoutedLoop,
@@ -78,7 +78,7 @@
 	return b.node, err
 }
 
-func newGateway(s settings.Settings, routes *route.Holder, loop *control.BookingLoop, pool *targetconn.Pool, b *routedBridge, load *loadWatch, left *hangups,
+func newGateway(s settings.Settings, routes *route.Holder, loop *control.BookingLoop, pool *targetconn.Pool, b *routedBridge, load *loadMonitor, left *disconnectWatcher,
 	metrics *telemetry.Metrics, tracing *telemetry.Tracing, log *slog.Logger) *gateway.Server {
 	b.gateway = gateway.New(gateway.Deps{
 		Config: gateway.Config{
@@ -87,7 +87,7 @@
 			},
 			ConnectionShare: s.Routing.ConnectionShare,
 		},
-		Routes: routes, Dialect: platform.Dialect{}, Placer: loop, Pool: pool, CallerGone: callerGone, OnCallerGone: left.watch, ShouldShed: load.sheds, Shedding: load.busy, RoutesMayBeStale: load.stale, ReadDelay: load.late, OutOfRotation: load.left,
+		Routes: routes, Dialect: platform.Dialect{}, Placer: loop, Pool: pool, CallerGone: callerDisconnected, OnCallerGone: left.watch, ShouldShed: load.shouldShed, Shedding: load.shedding, RoutesMayBeStale: load.routesStale, ReadDelay: load.readDelay, OutOfRotation: load.balancerNoticed,
 		Metrics: metrics, Tracing: tracing, Log: log,
 	})
 	return b.gateway
@@ -101,7 +101,7 @@
 	loops   sync.WaitGroup
 	endLoop context.CancelFunc
 	// accepting tells when callers' connections are accepted no more.
-	accepting accepting
+	accepting acceptLoops
 }
 
 type routedParts struct {
@@ -109,9 +109,9 @@
 
 	Settings  settings.Settings
 	Identity  identity
-	Life      *Life
+	Life      *Lifecycle
 	Loop      *control.BookingLoop
-	Load      *loadWatch
+	Load      *loadMonitor
 	Node      *fleet.Node
 	Bridge    *routedBridge
 	Routes    *route.Holder
@@ -120,7 +120,7 @@
 	Pool      *targetconn.Pool
 	Gateway   *gateway.Server
 	Servers   *routedServers
-	Handovers *handovers
+	Handovers *connForwarder
 	Metrics   *telemetry.Metrics
 	Tracing   *telemetry.Tracing
 	Log       *slog.Logger
@@ -147,10 +147,10 @@
 	for _, run := range site.tasks() {
 		d.tasks.Go(func() { run(taskCtx) })
 	}
-	d.accepting.callers = d.serve(d.p.Servers.callers, newSheddingListener(d.p.Servers.callersListener, d.p.Load.acceptRate, d.p.Handovers.passOn))
+	d.accepting.callers = d.serve(d.p.Servers.callers, newRateLimitedListener(d.p.Servers.callersListener, d.p.Load.acceptRate, d.p.Handovers.tryForward))
 	d.accepting.returned = d.serve(d.p.Servers.callers, d.p.Handovers.returned)
 	if d.p.Servers.takeoverListener != nil {
-		d.accepting.takeovers = d.serve(d.p.Servers.callers, d.p.Servers.takeoverListener)
+		d.accepting.forwarded = d.serve(d.p.Servers.callers, d.p.Servers.takeoverListener)
 	}
 	d.serve(d.p.Servers.operators, d.p.Servers.operatorsListener)
 	if d.p.Servers.readinessListener != nil {
@@ -172,25 +172,25 @@
 // stop is the planned stop: see Daemon.stop, whose order it keeps.
 func (d *Routed) stop(ctx context.Context) error {
 	wasReady := d.p.Life.State() == StateReady
-	d.p.Life.fire(triggerStop)
+	d.p.Life.applyTrigger(triggerStop)
 	event.DaemonDraining.Log(d.p.Log, "daemon", d.p.Identity.Daemon)
 	d.p.Node.AnnounceLeaving()
 	d.p.Loop.Leave()
 	if wasReady {
 		pause(ctx, d.p.Settings.Stop.BalancerLag)
 	}
-	d.p.Life.fire(triggerBalancerNoticed)
+	d.p.Life.applyTrigger(triggerBalancerNoticed)
 	// From here on a request may be too long to end before the process is killed:
 	// one on a kept connection is refused as not run, and unused connections are
 	// closed, so that their callers take new ones elsewhere.
 	d.p.Gateway.Close()
 	drainCtx, drained := context.WithCancel(ctx)
 	d.tasks.Go(func() {
-		d.p.Servers.warnOfDrain(drainCtx, max(d.p.Settings.Stop.WarnAfter, time.Second), d.p.Handovers, d.p.Log)
+		d.p.Servers.logDrainProgress(drainCtx, max(d.p.Settings.Stop.WarnAfter, time.Second), d.p.Handovers, d.p.Log)
 	})
 	d.p.Servers.drain(ctx, d.p.Handovers, d.accepting)
 	drained()
-	d.p.Life.fire(triggerDrained)
+	d.p.Life.applyTrigger(triggerDrained)
 	d.cancel()
 	_ = d.p.Node.Stop(ctx)
 	_ = d.p.Servers.operators.Close()
@@ -215,7 +215,7 @@
 	}
 }
 
-func (d *Routed) life() *Life { return d.p.Life }
+func (d *Routed) life() *Lifecycle { return d.p.Life }
 
 func (d *Routed) addresses() Addresses {
 	return Addresses{
--- a/internal/daemon/routedbridge.go
+++ b/internal/daemon/routedbridge.go
@@ -29,14 +29,14 @@
 	gateway *gateway.Server
 	relay   *relay.Feed
 	zone    ident.Zone
-	load    *loadWatch
+	load    *loadMonitor
 	// handovers passes connections on to the neighbours in the zone.
-	handovers *handovers
+	handovers *connForwarder
 }
 
 var _ fleet.Handler = (*routedBridge)(nil)
 
-func newRoutedBridge(id identity, load *loadWatch, h *handovers) *routedBridge {
+func newRoutedBridge(id identity, load *loadMonitor, h *connForwarder) *routedBridge {
 	return &routedBridge{load: load, zone: id.Zone, handovers: h}
 }
 
@@ -61,7 +61,7 @@
 	}
 	b.loop.SetPeers(list)
 	b.relay.Elect(members)
-	b.load.zone.Store(int64(len(neighbours)) + 1)
+	b.load.zoneDaemons.Store(int64(len(neighbours)) + 1)
 	b.handovers.setNeighbours(neighbours, live)
 	b.gateway.SetDaemons(len(peers) + 1)
 }
--- a/internal/daemon/routedoperators.go
+++ b/internal/daemon/routedoperators.go
@@ -12,9 +12,9 @@
 
 // routedOperators serves the operators' port of a daemon that serves routes.
 type routedOperators struct {
-	life    *Life
+	life    *Lifecycle
 	loop    *control.BookingLoop
-	load    *loadWatch
+	load    *loadMonitor
 	metrics *telemetry.Metrics
 }
 
--- a/internal/daemon/routedservers.go
+++ b/internal/daemon/routedservers.go
@@ -20,19 +20,19 @@
 type routedServers struct {
 	callers, operators, readiness *http.Server
 	callersListener               *drainableListener
-	connections                   *connections
+	connections                   *connTracker
 	// takeoverListener takes connections over from neighbours; nil: none are taken.
-	takeoverListener  *takeoverListener
+	takeoverListener  *forwardedListener
 	operatorsListener net.Listener
 	readinessListener net.Listener
 }
 
-func newRoutedServers(s settings.Settings, g *gateway.Server, life *Life, loop *control.BookingLoop, load *loadWatch, h *handovers, left *hangups,
+func newRoutedServers(s settings.Settings, g *gateway.Server, life *Lifecycle, loop *control.BookingLoop, load *loadMonitor, h *connForwarder, left *disconnectWatcher,
 	routes *route.Holder, metrics *telemetry.Metrics) (*routedServers, error) {
 	ops := &routedOperators{life: life, loop: loop, load: load, metrics: metrics}
-	r := &routedServers{connections: newConnections(callersConnections(s.Memory))}
-	h.unread = r.connections.unread
-	h.version = routesVersion(routes)
+	r := &routedServers{connections: newConnTracker(callersConnections(s.Memory))}
+	h.unreadConns = r.connections.countUnread
+	h.routesVersion = routesVersion(routes)
 	var err error
 	if r.callersListener, err = listenDrainable(s.Callers.Listen); err != nil {
 		return nil, merry.Prepend(err, "callers' listener")
@@ -46,15 +46,18 @@
 		}
 	}
 	if s.Fleet.Handover != settings.HandoverNone {
-		takes := func() bool { return h.load().AcceptsForwarded() && life.State() == StateReady }
-		if r.takeoverListener, err = listenTakeover(s.Fleet, takes, h.version); err != nil {
+		takes := func() bool { return h.currentLoad().AcceptsForwarded() && life.State() == StateReady }
+		if r.takeoverListener, err = listenForwarded(s.Fleet, takes, h.routesVersion); err != nil {
 			return nil, merry.Prepend(err, "listener for connections of neighbours")
 		}
 	}
 	r.callers = &http.Server{
-		ConnState:         func(c net.Conn, state http.ConnState) { r.connections.note(c, state); left.note(c, state) },
+		ConnState: func(c net.Conn, state http.ConnState) {
+			r.connections.track(c, state)
+			left.pollIfDue(c, state)
+		},
 		ConnContext:       withConn,
-		Handler:           keeping(s.Callers.IdleTimeout, r.connections.pressed, closing(life, counting(g))),
+		Handler:           keeping(s.Callers.IdleTimeout, r.connections.nearLimit, closeWhenStopping(life, countRequests(g))),
 		ReadHeaderTimeout: s.Callers.HeaderTimeout,
 		MaxHeaderBytes:    s.Callers.HeaderBytes,
 		IdleTimeout:       s.Callers.IdleTimeout,
@@ -99,7 +102,7 @@
 func keeping(idle time.Duration, pressed func() bool, next http.Handler) http.Handler {
 	value := "timeout=" + strconv.Itoa(int(max(time.Second, idle-idleMargin).Seconds()))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if pressed() || passedOn(r.Context()) {
+		if pressed() || isForwarded(r.Context()) {
 			w.Header().Set("Connection", "close")
 		} else {
 			w.Header().Set("Keep-Alive", value)
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -44,7 +44,7 @@
 
 	Settings settings.Settings
 	Identity identity
-	Life     *Life
+	Life     *Lifecycle
 	Loop     *control.Loop
 	Node     *fleet.Node
 	Bridge   *bridge
@@ -132,19 +132,19 @@
 // request in flight, waiting or running, is brought to its end.
 func (d *Daemon) stop(ctx context.Context) error {
 	wasReady := d.p.Life.State() == StateReady
-	d.p.Life.fire(triggerStop)
+	d.p.Life.applyTrigger(triggerStop)
 	event.DaemonDraining.Log(d.p.Log, "daemon", d.p.Identity.Daemon)
 	d.p.Node.AnnounceLeaving()
 	d.p.Loop.Leave()
 	if wasReady {
 		pause(ctx, d.p.Settings.Stop.BalancerLag)
 	}
-	d.p.Life.fire(triggerBalancerNoticed)
+	d.p.Life.applyTrigger(triggerBalancerNoticed)
 	d.p.Servers.callersListener.drain()
 	<-d.callers
 	d.drain(ctx)
 	_ = d.p.Claimer.Flush(ctx) // an open record is then told as "may have run"
-	d.p.Life.fire(triggerDrained)
+	d.p.Life.applyTrigger(triggerDrained)
 	d.cancel()
 	_ = d.p.Node.Stop(ctx)
 	_ = d.p.Servers.operators.Close()
@@ -165,7 +165,7 @@
 	drained := make(chan struct{})
 	go func() {
 		defer close(drained)
-		d.p.Servers.connections.settle(ctx)
+		d.p.Servers.connections.drain(ctx)
 		_ = d.p.Servers.callers.Shutdown(ctx)
 	}()
 	warn := time.NewTicker(max(d.p.Settings.Stop.WarnAfter, time.Second))
@@ -194,11 +194,11 @@
 
 // running is a daemon as Run sees it.
 type running interface {
-	life() *Life
+	life() *Lifecycle
 	addresses() Addresses
 }
 
-func (d *Daemon) life() *Life { return d.p.Life }
+func (d *Daemon) life() *Lifecycle { return d.p.Life }
 
 // binding returns the parts of a daemon for the platform's binding, and a
 // function that returns the daemon once the parts are built.
--- a/internal/daemon/seeds_test.go
+++ b/internal/daemon/seeds_test.go
@@ -10,10 +10,10 @@
 	"github.com/savorystall/savorystall/internal/settings"
 )
 
-// The platform is out, and a VM is replaced by one under a new name. It can read
-// neither the documents nor the list of VMs: it must take the configuration from
-// the peer that its settings name, and serve its callers with that one's slots.
-func TestNewDaemonStartsFromASeedWhileThePlatformIsOut(t *testing.T) {
+// A VM is replaced by one with a new name during an outage of the platform and can read
+// neither the documents nor the list of VMs. It must load the configuration from the peer
+// that its settings name as a seed, and serve its callers with that peer's slots.
+func TestDaemonStartsFromSeedDuringPlatformOutage(t *testing.T) {
 	is := is.New(t)
 	_, first := startDev(t)
 	second := startDaemon(t, func(s *settings.Settings) {
@@ -21,7 +21,7 @@
 		s.Platform.URL = "http://127.0.0.1:9" // nothing listens there
 		s.Fleet.Seeds = []settings.Seed{{Daemon: ident.Daemon("dev"), Address: first.Fleet}}
 	})
-	status, _, body := ask(t, second.Callers, "seeded", nil, "")
+	status, _, body := postCompletion(t, second.Callers, "seeded", nil, "")
 	is.Equal(status, http.StatusOK)
-	is.True(len(answerText(t, body)) > 0)
+	is.True(len(completionText(t, body)) > 0)
 }
--- a/internal/daemon/sharing_bench_test.go
+++ b/internal/daemon/sharing_bench_test.go
@@ -23,9 +23,10 @@
 
 var benchZones = []ident.Zone{"z0", "z1", "z2", "z3"}
 
-// BenchmarkSharing is the processor time of one second's line about shares, in a fleet of
-// 68 daemons before 60 targets with 30 workspaces, all of which lack: at a daemon that only
-// refuses for want of processor time and at the hub of a zone.
+// BenchmarkSharing measures the processor time of one second's log lines about shares in a
+// fleet of 68 daemons with 60 targets and 30 workspaces, all of which get less than they
+// request: at a daemon that only sheds requests for lack of processor time, and at the hub
+// of a zone.
 func BenchmarkSharing(b *testing.B) {
 	members := benchMembers()
 	hub := membership.NewOwners(members).Lookup("", "sums", benchZones[0])
@@ -45,11 +46,11 @@
 	return members
 }
 
-// counted counts what is written.
-type counted struct{ lines, bytes int }
+// countingWriter counts the lines and bytes written to it.
+type countingWriter struct{ lines, bytes int }
 
 // Write implements io.Writer.
-func (c *counted) Write(p []byte) (int, error) {
+func (c *countingWriter) Write(p []byte) (int, error) {
 	c.lines++
 	c.bytes += len(p)
 	return len(p), nil
@@ -67,7 +68,7 @@
 		}
 	}
 	c.SetPeers(now, peers)
-	// Sums that are told for a later time do not fade until then.
+	// Usage reported for a later time does not decay until then.
 	later := now.Add(1000 * time.Hour)
 	for _, p := range peers {
 		for _, scope := range []booking.Scope{booking.ScopeOwn, booking.ScopeZone, booking.ScopeFleet} {
@@ -78,7 +79,7 @@
 			c.Receive(later, p.ID, m)
 		}
 	}
-	out := &counted{}
+	out := &countingWriter{}
 	writer := logging.NewWriter(io.Discard)
 	defer writer.Close()
 	log := slog.New(slog.NewJSONHandler(io.MultiWriter(out, writer), nil))
--- a/internal/daemon/sharing_test.go
+++ b/internal/daemon/sharing_test.go
@@ -14,8 +14,9 @@
 	"github.com/savorystall/savorystall/internal/event"
 )
 
-// Guards against a line about shares that those who read an incident from it cannot read.
-func TestTheFieldsOfALineAboutShares(t *testing.T) {
+// Guards against changes to the fields of the log line about shares, from which incidents
+// are analysed.
+func TestSharingLogFields(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	c := booking.New(booking.Config{Self: "a", Incarnation: 1, Zone: benchZones[0]}, rand.New(rand.NewPCG(1, 1)))
--- a/internal/daemon/shed_test.go
+++ b/internal/daemon/shed_test.go
@@ -10,38 +10,39 @@
 	"golang.org/x/time/rate"
 )
 
-// A workspace that asks for ten times its share brings its callers back on a new
-// connection each time. An overloaded daemon reads them all in turn, and every request
-// is read seconds late. It has to take a few a second, and none of those whose callers
-// have given up meanwhile; and all of them when it is not overloaded any more.
-func TestAnOverloadedDaemonTakesFewNewConnections(t *testing.T) {
+// The callers of a workspace that requests ten times its share retry on a new connection
+// each time. Guards against an overloaded daemon that reads all of them in order, so that
+// every request is read seconds late. It must accept a few connections per second, none of
+// those whose callers have disconnected meanwhile, and all of them once it is no longer
+// overloaded.
+func TestOverloadedDaemonLimitsNewConnections(t *testing.T) {
 	is := is.New(t)
 	inner, err := listenDrainable("127.0.0.1:0")
 	is.NoErr(err)
-	const shedRate = 150
-	var over atomic.Bool
-	l := newSheddingListener(inner, func() rate.Limit {
-		if over.Load() {
-			return shedRate
+	const limit = 150
+	var overloaded atomic.Bool
+	l := newRateLimitedListener(inner, func() rate.Limit {
+		if overloaded.Load() {
+			return limit
 		}
 		return 0
 	}, nil)
 	t.Cleanup(func() { _ = l.Close() })
-	var taken, stale atomic.Int64
+	var accepted, abandoned atomic.Int64
 	go func() {
 		for {
 			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
-			if hungUp(conn) {
-				stale.Add(1)
+			if peerClosed(conn) {
+				abandoned.Add(1)
 			}
-			taken.Add(1)
+			accepted.Add(1)
 			t.Cleanup(func() { _ = conn.Close() })
 		}
 	}()
-	knock := func(n int) (conns []net.Conn) {
+	dial := func(n int) (conns []net.Conn) {
 		for range n {
 			conn, err := net.Dial("tcp", l.Addr().String())
 			is.NoErr(err)
@@ -50,30 +51,30 @@
 		}
 		return conns
 	}
-	eventually := func(n int64) {
+	waitAccepted := func(n int64) {
 		t.Helper()
-		for end := time.Now().Add(5 * time.Second); taken.Load() < n; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(5 * time.Second); accepted.Load() < n; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%d taken, want %d", taken.Load(), n)
+				t.Fatalf("%d connections accepted, want %d", accepted.Load(), n)
 			}
 		}
 	}
-	knock(10)
-	eventually(10)
-	over.Store(true)
+	dial(10)
+	waitAccepted(10)
+	overloaded.Store(true)
 	began := time.Now()
-	waiting := knock(shedBurst + 60)
+	flood := dial(acceptBurst + 60)
 	time.Sleep(100 * time.Millisecond)
-	most := 1 + shedBurst + int64(time.Since(began).Seconds()*shedRate)
-	is.True(taken.Load()-10 <= most+1) // one Accept was under way
-	for _, conn := range waiting[len(waiting)-20:] {
+	maxAccepted := 1 + acceptBurst + int64(time.Since(began).Seconds()*limit)
+	is.True(accepted.Load()-10 <= maxAccepted+1) // one Accept was in progress
+	for _, conn := range flood[len(flood)-20:] {
 		is.NoErr(conn.Close())
 	}
 	time.Sleep(500 * time.Millisecond)
-	is.Equal(stale.Load(), int64(0))
-	is.True(taken.Load()-10 <= int64(len(waiting)))
-	over.Store(false)
-	before := taken.Load()
-	knock(10)
-	eventually(before + 10)
+	is.Equal(abandoned.Load(), int64(0))
+	is.True(accepted.Load()-10 <= int64(len(flood)))
+	overloaded.Store(false)
+	before := accepted.Load()
+	dial(10)
+	waitAccepted(before + 10)
 }
--- a/internal/daemon/site.go
+++ b/internal/daemon/site.go
@@ -95,7 +95,7 @@
 func (s *site) follow(group *store.FeedGroup, table string, wait, gather time.Duration, to store.Subscriber) func(context.Context) {
 	cfg := store.FollowerConfig{Feed: s.p.Relay, Table: table, Wait: wait, Gather: gather, Group: group, Logger: s.p.Log}
 	if table == beatTable {
-		cfg.Beats, cfg.Answered = true, s.p.Load.confirm
+		cfg.Beats, cfg.Answered = true, s.p.Load.confirmRoutes
 	}
 	return store.NewFollower(cfg, to).Run
 }
@@ -124,7 +124,7 @@
 		return
 	}
 	s.p.Loop.Configure(routedServices(v.table, v.targets))
-	if v.heard && s.p.Life.fire(triggerConfigured) {
+	if v.heard && s.p.Life.applyTrigger(triggerConfigured) {
 		event.DaemonReady.Log(s.p.Log, "routes_version", v.table.Version, "targets", len(v.targets))
 	}
 }
@@ -287,7 +287,7 @@
 			return
 		case <-ticker.C:
 			s.gauges()
-			s.p.Handovers.report()
+			s.p.Handovers.logReport()
 			s.p.Gateway.LogDroppedLines()
 		case <-sharing.C:
 			s.logSharing()
@@ -299,7 +299,7 @@
 func (s *site) logSharing() {
 	var list []booking.ShareReport
 	s.p.Loop.Inspect(func(c *booking.Core) { list = c.ShareReports(time.Now()) })
-	sheds := float64(s.p.Load.shed.Load()) / shedUnit
+	sheds := float64(s.p.Load.shedPermille.Load()) / shedScale
 	for _, b := range list {
 		event.ServiceShared.Log(s.p.Log, sharingFields(b, sheds)...)
 	}
