--- a/internal/daemon/takeover.go
+++ b/internal/daemon/takeover.go
@@ -16,44 +16,46 @@
 )
 
 const (
-	// takeoverWait bounds the wait for a neighbour to take a connection.
-	takeoverWait = 400 * time.Millisecond
-	// takeoverMark begins what a daemon writes first on a connection that it takes over; the
-	// version of its routes follows. Until then none of the caller's bytes go there: the kernel
-	// accepts connections for a process that stands still or is busy, too.
-	takeoverMark = 'T'
-	takeoverSize = 1 + 8
-	// lingerMost is how long a connection that was taken over may stay open after its answer
-	// while its neighbour sends more.
-	lingerMost = 500 * time.Millisecond
+	// forwardAcceptTimeout bounds the wait for a neighbour to accept a connection.
+	forwardAcceptTimeout = 400 * time.Millisecond
+	// acceptMarker is the first byte that a daemon writes on a forwarded connection that it
+	// accepts; the version of its routes follows. No data of the caller is sent before that
+	// message arrives, because the kernel accepts connections even for a process that is
+	// paused or busy.
+	acceptMarker      = 'T'
+	acceptMessageSize = 1 + 8
+	// lingerTimeout is how long a forwarded connection may stay open after its answer while
+	// the forwarding neighbour sends more data.
+	lingerTimeout = 500 * time.Millisecond
 )
 
-// takeoverListener takes connections over that neighbours pass on, unless this daemon is
-// short of processor time itself or does not serve. A connection is only taken once the mark
-// is written, so that a neighbour whose connection is closed before knows that nothing was
-// read of it.
-type takeoverListener struct {
+// forwardedListener accepts connections that neighbours forward, unless this daemon is
+// short of processor time itself or does not serve. A connection counts as accepted only
+// once the accept message is written, so that a neighbour whose connection is closed
+// earlier knows that nothing was read from it.
+type forwardedListener struct {
 	*net.TCPListener
-	// takes tells whether connections are taken now, and version which routes are in force.
-	takes   func() bool
-	version func() uint64
-	// named tells that the settings name its address.
-	named bool
+	// accepts reports whether connections are accepted now, and routesVersion which routes
+	// are in force.
+	accepts       func() bool
+	routesVersion func() uint64
+	// explicitAddress reports that the settings specify the address.
+	explicitAddress bool
 }
 
-// listenTakeover opens the listener at the address of the settings. Where they name none it
-// is any free port of the host of the fleet's listener, the next one if possible.
-func listenTakeover(s settings.Fleet, takes func() bool, version func() uint64) (*takeoverListener, error) {
+// listenForwarded opens the listener at the address of the settings. If they specify none,
+// it uses any free port on the host of the fleet's listener, preferably the next one.
+func listenForwarded(s settings.Fleet, accepts func() bool, routesVersion func() uint64) (*forwardedListener, error) {
 	addresses := []string{s.Handover}
 	if s.Handover == "" {
 		addresses = s.DefaultHandover()
 	}
 	config := net.ListenConfig{KeepAlive: -1}
-	var failed error
+	var lastErr error
 	for _, address := range addresses {
 		l, err := config.Listen(context.Background(), "tcp", address)
 		if err != nil {
-			failed = err
+			lastErr = err
 			continue
 		}
 		tcp, ok := l.(*net.TCPListener)
@@ -61,121 +63,125 @@
 			_ = l.Close()
 			return nil, merry.Errorf("%s: not a TCP listener", address)
 		}
-		return &takeoverListener{TCPListener: tcp, takes: takes, version: version, named: s.Handover != ""}, nil
+		return &forwardedListener{TCPListener: tcp, accepts: accepts, routesVersion: routesVersion, explicitAddress: s.Handover != ""}, nil
 	}
-	return nil, failed
+	return nil, lastErr
 }
 
 // Accept implements net.Listener.
-func (l *takeoverListener) Accept() (net.Conn, error) {
+func (l *forwardedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.AcceptTCP()
 		if err != nil {
 			return nil, err
 		}
-		if l.takes() && l.mark(conn) == nil {
-			taken := newReadingConn(conn)
-			taken.passedOn = true
-			return taken, nil
+		if l.accepts() && l.sendAccept(conn) == nil {
+			tracked := newTrackedConn(conn)
+			tracked.forwarded = true
+			return tracked, nil
 		}
-		_ = conn.Close() // the neighbour asks another one
+		_ = conn.Close() // the neighbour offers the connection to another daemon
 	}
 }
 
-func (l *takeoverListener) mark(conn *net.TCPConn) error {
-	_, err := conn.Write(binary.BigEndian.AppendUint64([]byte{takeoverMark}, l.version()))
+func (l *forwardedListener) sendAccept(conn *net.TCPConn) error {
+	_, err := conn.Write(binary.BigEndian.AppendUint64([]byte{acceptMarker}, l.routesVersion()))
 	return err
 }
 
-// hopUnacked is how long bytes for a neighbour may stay unacknowledged: a hop that went silent.
-const hopUnacked = time.Second
-
-// hopDialer sets up no probes: they take four system calls a connection, and a hop that goes
-// silent with nothing under way ends with its caller.
-var hopDialer = dialing.New(dialing.Config{ConnectTimeout: takeoverWait, UserTimeout: hopUnacked})
-
-// takeover opens a connection to a neighbour that takes it. Version is that of the routes in
-// force here: a caller that was answered by them must not be answered by older ones.
-func takeover(address string, version uint64) (*net.TCPConn, error) {
-	deadline := time.Now().Add(takeoverWait)
-	conn, err := hopDialer.DialContext(context.Background(), "tcp", address)
+// neighbourUserTimeout is how long data sent to a neighbour may stay unacknowledged before
+// the connection counts as lost.
+const neighbourUserTimeout = time.Second
+
+// neighbourDialer does not enable keep-alive probes: they take four system calls per
+// connection, and a connection that goes silent without data in flight ends with its
+// caller.
+var neighbourDialer = dialing.New(dialing.Config{ConnectTimeout: forwardAcceptTimeout, UserTimeout: neighbourUserTimeout})
+
+// offerConn opens a connection to a neighbour and waits until the neighbour accepts it.
+// routesVersion is the version of the routes in force here: a caller that was answered by
+// them must not be answered by older ones.
+func offerConn(address string, routesVersion uint64) (*net.TCPConn, error) {
+	deadline := time.Now().Add(forwardAcceptTimeout)
+	conn, err := neighbourDialer.DialContext(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	if err := takenOver(conn, deadline, version); err != nil {
+	if err := awaitAccept(conn, deadline, routesVersion); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
 	return conn.(*net.TCPConn), nil
 }
 
-// takenOver waits for the mark.
-func takenOver(conn net.Conn, deadline time.Time, version uint64) error {
+// awaitAccept waits for the accept message.
+func awaitAccept(conn net.Conn, deadline time.Time, routesVersion uint64) error {
 	if err := conn.SetReadDeadline(deadline); err != nil {
 		return err
 	}
-	var mark [takeoverSize]byte
-	_, err := io.ReadFull(conn, mark[:])
-	if errors.Is(err, os.ErrDeadlineExceeded) && hasUnread(conn) {
-		// It came in time and waited for this goroutine's turn.
-		_ = conn.SetReadDeadline(time.Now().Add(takeoverWait)) // fails only on a closed connection
-		_, err = io.ReadFull(conn, mark[:])
+	var message [acceptMessageSize]byte
+	_, err := io.ReadFull(conn, message[:])
+	if errors.Is(err, os.ErrDeadlineExceeded) && hasUnreadData(conn) {
+		// It arrived in time while this goroutine waited to be scheduled.
+		_ = conn.SetReadDeadline(time.Now().Add(forwardAcceptTimeout)) // fails only on a closed connection
+		_, err = io.ReadFull(conn, message[:])
 	}
 	if err != nil {
 		return err
 	}
-	if mark[0] != takeoverMark {
-		return merry.Errorf("%s takes no connections over", conn.RemoteAddr())
+	if message[0] != acceptMarker {
+		return merry.Errorf("%s does not accept forwarded connections", conn.RemoteAddr())
 	}
-	if theirs := binary.BigEndian.Uint64(mark[1:]); theirs < version {
-		return merry.Errorf("%s has routes of version %d, this daemon %d", conn.RemoteAddr(), theirs, version)
+	if theirs := binary.BigEndian.Uint64(message[1:]); theirs < routesVersion {
+		return merry.Errorf("%s has routes of version %d, this daemon %d", conn.RemoteAddr(), theirs, routesVersion)
 	}
 	return conn.SetReadDeadline(time.Time{})
 }
 
-// passedOn tells whether a neighbour passed the connection of a request on.
-func passedOn(ctx context.Context) bool {
-	conn := readingConnOf(ctx)
-	return conn != nil && conn.passedOn
+// isForwarded reports whether a neighbour forwarded the connection of a request.
+func isForwarded(ctx context.Context) bool {
+	conn := trackedConnOf(ctx)
+	return conn != nil && conn.forwarded
 }
 
-func readingConnOf(ctx context.Context) *readingConn {
-	conn, ok := ctx.Value(connKey{}).(*callerConn)
+func trackedConnOf(ctx context.Context) *trackedConn {
+	conn, ok := ctx.Value(connContextKey{}).(*callerConn)
 	if !ok {
 		return nil
 	}
-	reader, ok := conn.Conn.(*readingConn)
+	reader, ok := conn.Conn.(*trackedConn)
 	if !ok {
 		return nil
 	}
 	return reader
 }
 
-// Close implements net.Conn. One that a neighbour passed on and on which more has come lingers:
-// with bytes unread the close would be a reset, and the answer might be lost on its way.
-func (c *readingConn) Close() error {
-	if !c.passedOn || !hasUnread(c.tcpConn) || c.CloseWrite() != nil {
+// Close implements net.Conn. A connection that a neighbour forwarded and that has unread
+// data lingers: closing it at once would reset it, and the answer might be lost.
+func (c *trackedConn) Close() error {
+	if !c.forwarded || !hasUnreadData(c.tcpConn) || c.CloseWrite() != nil {
 		return c.tcpConn.Close()
 	}
 	go func() {
-		_ = c.tcpConn.SetReadDeadline(time.Now().Add(lingerMost))
+		_ = c.tcpConn.SetReadDeadline(time.Now().Add(lingerTimeout))
 		_, _ = io.Copy(io.Discard, c.tcpConn)
 		_ = c.tcpConn.Close()
 	}()
 	return nil
 }
 
-// handoverAddress is where neighbours reach the listener; empty: there is none. Its host is
-// that of the address at which they reach the daemon, unless the settings name one.
-func (r *routedServers) handoverAddress(fleet string) string {
+// handoverAddress returns the address at which neighbours reach the listener, or an empty
+// string if there is none. Its host is the one at which neighbours reach the daemon, unless
+// the settings specify one.
+func (r *routedServers) handoverAddress(fleetAddress string) string {
 	if r.takeoverListener == nil {
 		return ""
 	}
 	address := r.takeoverListener.Addr().(*net.TCPAddr)
-	if r.takeoverListener.named && !address.IP.IsUnspecified() {
+	if r.takeoverListener.explicitAddress && !address.IP.IsUnspecified() {
 		return address.String()
 	}
-	host, _, err := net.SplitHostPort(fleet)
+	host, _, err := net.SplitHostPort(fleetAddress)
 	if err != nil {
 		return ""
 	}
--- a/internal/daemon/trace_test.go
+++ b/internal/daemon/trace_test.go
@@ -17,29 +17,29 @@
 	"github.com/savorystall/savorystall/internal/settings"
 )
 
-// spanLine is what the file exporter writes for a span, as far as it is read here.
+// spanLine holds the fields of a span in the file exporter's output that the test reads.
 type spanLine struct {
 	Name        string
 	SpanContext struct{ TraceID string }
 	Parent      struct{ SpanID string }
 }
 
-// A caller sends its own trace context. Every hop must make a span of that
-// trace, and the engine must be handed the same trace.
-func TestSpanOfEachHopCarriesTheCallersTrace(t *testing.T) {
+// If a caller sends its own trace context, every hop must record a span of that trace, and
+// the engine must receive the same trace.
+func TestSpansCarryCallerTrace(t *testing.T) {
 	is := is.New(t)
 	file := filepath.Join(t.TempDir(), "spans.json")
 	const trace = "0af7651916cd43dd8448eb211c80319c"
 	t.Run("request", func(t *testing.T) {
 		is := is.New(t)
-		site, a := startDev(t, func(s *settings.Settings) { s.Trace.File = file })
-		status, _, _ := ask(t, a.Callers, "traced", map[string]string{"traceparent": "00-" + trace + "-b7ad6b7169203331-01"}, "")
+		emu, addrs := startDev(t, func(s *settings.Settings) { s.Trace.File = file })
+		status, _, _ := postCompletion(t, addrs.Callers, "traced", map[string]string{"traceparent": "00-" + trace + "-b7ad6b7169203331-01"}, "")
 		is.Equal(status, http.StatusOK)
 		seen := ""
-		for _, engine := range site.Engines {
+		for _, engine := range emu.Engines {
 			seen += engine.Trace("traced")
 		}
-		is.True(strings.Contains(seen, trace)) // the engine got the caller's trace
+		is.True(strings.Contains(seen, trace)) // the engine received the caller's trace
 	})
 	text, err := os.ReadFile(file) // the daemon has stopped and flushed
 	is.NoErr(err)
@@ -55,9 +55,9 @@
 	is.Equal(spans, map[string]int{"ingress": 1, "queue": 1, "grant": 1, "target": 1})
 }
 
-// An operator sets the address of a collector. The spans of a request must reach
-// it by the time that the daemon has stopped.
-func TestSpansReachTheCollector(t *testing.T) {
+// The spans of a request must reach the configured collector by the time the daemon has
+// stopped.
+func TestSpansReachCollector(t *testing.T) {
 	is := is.New(t)
 	var received atomic.Int64
 	collector := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -67,10 +67,10 @@
 	}))
 	defer collector.Close()
 	t.Run("request", func(t *testing.T) {
-		_, a := startDev(t, func(s *settings.Settings) {
+		_, addrs := startDev(t, func(s *settings.Settings) {
 			s.Trace.OTLP, s.Trace.Sample = collector.URL+"/v1/traces", 1
 		})
-		status, _, _ := ask(t, a.Callers, "collected", nil, "")
+		status, _, _ := postCompletion(t, addrs.Callers, "collected", nil, "")
 		is.Equal(status, http.StatusOK)
 	})
 	is.True(received.Load() > 0)
