--- a/internal/daemon/applier_test.go
+++ b/internal/daemon/applier_test.go
@@ -9,40 +9,40 @@
 	"github.com/matryer/is"
 )
 
-// A user sees every request to one daemon refused with "no usable target", for minutes.
-// The store came back, and routes and targets were read at once: the goroutine that had
-// read the routes looked at both before the targets were there, lost its turn on a busy
-// VM, and put its view in force after the one that had them.
-func TestAnOlderViewIsNotPutInForceAfterANewerOne(t *testing.T) {
+// The test guards against a daemon that refuses every request with "no usable target" for
+// minutes. After an outage of the store, routes and targets are read at the same time. The
+// goroutine that read the routes takes its snapshot before the targets are there, is
+// descheduled on a busy VM, and installs it after the newer snapshot.
+func TestOlderViewIsNotInstalledAfterNewerOne(t *testing.T) {
 	is := is.New(t)
-	var read, inForce atomic.Int64
-	looked, newerDone := make(chan struct{}), make(chan struct{})
-	var others atomic.Bool
-	loseTurn := func() {
-		close(looked)
+	var latest, installed atomic.Int64
+	snapshotTaken, newerDone := make(chan struct{}), make(chan struct{})
+	var firstTaken atomic.Bool
+	stall := func() {
+		close(snapshotTaken)
 		select {
-		case <-newerDone: // the newer view overtook this one
-		case <-time.After(50 * time.Millisecond): // it waits
+		case <-newerDone: // the newer view was installed first
+		case <-time.After(50 * time.Millisecond): // the newer view waits for this one
 		}
 	}
-	a := applier[int64]{
-		look: func() int64 {
-			seen := read.Load()
-			if !others.Swap(true) {
-				loseTurn()
+	a := viewApplier[int64]{
+		snapshot: func() int64 {
+			seen := latest.Load()
+			if !firstTaken.Swap(true) {
+				stall()
 			}
 			return seen
 		},
-		put: inForce.Store,
+		install: installed.Store,
 	}
-	var all sync.WaitGroup
-	all.Go(a.apply)
-	<-looked
-	read.Store(1)
-	all.Go(func() {
+	var applies sync.WaitGroup
+	applies.Go(a.apply)
+	<-snapshotTaken
+	latest.Store(1)
+	applies.Go(func() {
 		a.apply()
 		close(newerDone)
 	})
-	all.Wait()
-	is.Equal(inForce.Load(), int64(1))
+	applies.Wait()
+	is.Equal(installed.Load(), int64(1))
 }
--- a/internal/daemon/bridge.go
+++ b/internal/daemon/bridge.go
@@ -17,31 +17,31 @@
 	"github.com/savorystall/savorystall/internal/scheduler"
 )
 
-// bridge joins the fleet's links to the control loop, the configuration and the
-// claims. It is a fleet.Handler, control.Actions and a claim.Asker.
+// bridge connects the fleet's links to the control loop, the configuration and the claims.
+// It implements fleet.Handler, control.Actions and claim.Querier.
 type bridge struct {
 	store *config.Store
 	// node, loop and claimer are set once, before the node starts.
-	node    *fleet.Node
-	loop    *control.Loop
-	claimer *claim.Claimer
-	self    ident.Daemon
-	log     *slog.Logger
-	fetches fetches
+	node       *fleet.Node
+	loop       *control.Loop
+	claimer    *claim.Claimer
+	self       ident.Daemon
+	log        *slog.Logger
+	fetchGuard fetchGuard
 
 	mu    sync.Mutex
 	peers []scheduler.Peer
 }
 
-// fetches keeps one reading of a peer's configuration at a time, so that many
-// peers with a higher head after an outage cost one answer and not one each.
-type fetches struct {
-	mu   sync.Mutex
-	busy bool
-	wg   sync.WaitGroup
+// fetchGuard allows only one fetch of a peer's configuration at a time. After an outage,
+// many peers with a higher head then cost one response instead of one each.
+type fetchGuard struct {
+	mu     sync.Mutex
+	active bool
+	wg     sync.WaitGroup
 }
 
-// fetchTimeout bounds the reading of a peer's configuration.
+// fetchTimeout bounds a fetch of a peer's configuration.
 const fetchTimeout = 5 * time.Second
 
 // Send implements control.Actions.
@@ -53,12 +53,13 @@
 	b.peers = peers
 	b.mu.Unlock()
 	b.loop.SetPeers(peers)
-	b.claimer.SetWritesPerSecond(fleetWrites / float64(len(peers)+1))
+	b.claimer.SetWritesPerSecond(maxFleetClaimWrites / float64(len(peers)+1))
 }
 
-// fleetWrites is what all claim writers may take together of the table's several
-// hundred writes a second; the rest is left to leases and configuration.
-const fleetWrites = 240
+// maxFleetClaimWrites is the rate of writes a second that all claim writers of the fleet
+// may use together. The table accepts several hundred a second; the rest is left to leases
+// and configuration.
+const maxFleetClaimWrites = 240
 
 // members returns the other live daemons.
 func (b *bridge) members() []scheduler.Peer {
@@ -76,15 +77,15 @@
 // Receive implements fleet.Handler.
 func (b *bridge) Receive(from ident.Daemon, m scheduler.Message) { b.loop.Receive(from, m) }
 
-// Head implements fleet.Handler. A peer with a higher configuration is asked
-// for it: that reaches a daemon that cannot read the platform's table, or that
-// was restarted without state while the table is down.
+// Head implements fleet.Handler. It fetches the configuration of a peer with a higher head.
+// That way the configuration also reaches a daemon that cannot read the platform's table,
+// or that restarted without state while the table is unavailable.
 func (b *bridge) Head(from ident.Daemon, head uint64) {
-	if head <= b.store.Head() || !b.fetches.begin() {
+	if head <= b.store.Head() || !b.fetchGuard.tryBegin() {
 		return
 	}
 	go func() {
-		defer b.fetches.end()
+		defer b.fetchGuard.end()
 		ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 		defer cancel()
 		b.fetch(ctx, from, head)
@@ -94,7 +95,7 @@
 func (b *bridge) fetch(ctx context.Context, from ident.Daemon, head uint64) {
 	received, err := b.node.Entries(ctx, from, b.store.Head())
 	if err != nil {
-		return // the next heartbeat tries again
+		return // retried at the next heartbeat
 	}
 	entries := make([]config.Entry, len(received))
 	for i, e := range received {
@@ -111,20 +112,20 @@
 	}
 }
 
-func (f *fetches) begin() bool {
+func (f *fetchGuard) tryBegin() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.busy {
+	if f.active {
 		return false
 	}
-	f.busy = true
+	f.active = true
 	f.wg.Add(1)
 	return true
 }
 
-func (f *fetches) end() {
+func (f *fetchGuard) end() {
 	f.mu.Lock()
-	f.busy = false
+	f.active = false
 	f.mu.Unlock()
 	f.wg.Done()
 }
@@ -140,7 +141,7 @@
 	return entries
 }
 
-// Follow implements fleet.Handler. Each daemon polls the table by itself.
+// Follow implements fleet.Handler. It always fails: each daemon polls the table itself.
 func (b *bridge) Follow(context.Context, platform.FeedQuery) (platform.FeedAnswer, error) {
 	return platform.FeedAnswer{}, platform.ErrFeedUnfit
 }
@@ -165,7 +166,7 @@
 	return reply
 }
 
-// Ask implements claim.Asker.
+// QueryClaim implements claim.Querier.
 func (b *bridge) QueryClaim(ctx context.Context, daemon ident.Daemon, incarnation uint64, key claim.Key, attempt ident.Attempt) (claim.Status, error) {
 	reply, err := b.node.AskClaim(ctx, daemon, fleet.ClaimQuery{
 		Service: key.Service, Workspace: key.Workspace, Key: key.IdempotencyKey,
--- a/internal/daemon/cache.go
+++ b/internal/daemon/cache.go
@@ -17,78 +17,77 @@
 )
 
 const (
-	// cachePollEvery is the mean interval of the polls of one engine.
-	cachePollEvery = time.Second
-	// cachePollsMost bounds the polls of a daemon in an interval. A poll with a
-	// full page takes 0.5 ms of a core with the engine's part
-	// (go test -run xxx -bench CacheEvents ./internal/attempt), so that these take
-	// 0.4%. The plan has nine engines a daemon.
-	cachePollsMost = 8
-	// cacheEventsRate bounds the events a second, of some 60 bytes each. Where
-	// more come the polls become rare, and the owner, which is behind then, says
-	// nothing of the cache.
-	cacheEventsRate = 32
-	// cacheRetry is how long an engine without cache events is left alone.
-	cacheRetry = time.Minute
+	// cachePollInterval is the mean interval between polls of one engine.
+	cachePollInterval = time.Second
+	// maxCachePolls bounds the polls of a daemon per interval. A poll with a full page
+	// takes 0.5 ms of a core including the engine's part (go test -run xxx -bench
+	// CacheEvents ./internal/attempt), so these polls take 0.4% of a core. Nine engines per
+	// daemon are planned.
+	maxCachePolls = 8
+	// maxCacheEventRate bounds the number of events a second, of about 60 bytes each. If
+	// there are more, the polls become less frequent; the owner then lags behind and
+	// reports nothing about the cache.
+	maxCacheEventRate = 32
+	// cacheRetryDelay is how long an engine without cache events is not polled.
+	cacheRetryDelay = time.Minute
 )
 
-// cachePoller asks the engines that this daemon owns what has entered and left
-// their prefix caches. Where more are owned than cachePollsMost, each is asked
-// less often.
+// cachePoller polls the engines that this daemon owns for the changes of their prefix
+// caches. If it owns more than maxCachePolls engines, each is polled less often.
 type cachePoller struct {
 	store  *config.Store
 	loop   *control.Loop
 	runner *attempt.Runner
-	// from is the place in the list of engines where the next round begins.
-	from int
+	// nextIndex is the index in the list of engines at which the next batch begins.
+	nextIndex int
 
 	mu sync.Mutex
-	// quiet holds the engines that are left alone, until when.
-	quiet map[probed]time.Time
+	// backoffUntil holds the engines that are not polled, and until when.
+	backoffUntil map[targetKey]time.Time
 }
 
-// cachePoll is one engine to ask.
-type cachePoll struct {
-	probed
+// cacheQuery is a query for the cache events of one engine.
+type cacheQuery struct {
+	targetKey
 	address string
 	after   uint64
 }
 
 func (p *cachePoller) run(ctx context.Context) {
-	p.quiet = map[probed]time.Time{}
+	p.backoffUntil = map[targetKey]time.Time{}
 	for {
-		events := p.round(ctx)
-		wait := max(cachePollEvery, time.Duration(events)*time.Second/cacheEventsRate)
+		events := p.pollBatch(ctx)
+		wait := max(cachePollInterval, time.Duration(events)*time.Second/maxCacheEventRate)
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(jittered(wait)):
+		case <-time.After(withJitter(wait)):
 		}
 	}
 }
 
-// jittered spreads a wait over half to one and a half of it, so that the daemons
-// do not poll in step.
-func jittered(wait time.Duration) time.Duration {
+// withJitter returns a random duration between half and one and a half times wait, so that
+// the daemons do not poll in lockstep.
+func withJitter(wait time.Duration) time.Duration {
 	return wait/2 + rand.N(wait)
 }
 
-// round asks the engines whose turn it is, at the same time, so that a silent one
-// does not hold up the others, and returns how many events there were.
-func (p *cachePoller) round(ctx context.Context) int {
-	var asked sync.WaitGroup
+// pollBatch polls the engines that are due concurrently, so that one that does not answer
+// does not delay the others. It returns the number of events.
+func (p *cachePoller) pollBatch(ctx context.Context) int {
+	var polls sync.WaitGroup
 	var events atomic.Int64
-	for _, poll := range p.due() {
-		asked.Go(func() { events.Add(int64(p.ask(ctx, poll))) })
+	for _, query := range p.due() {
+		polls.Go(func() { events.Add(int64(p.pollEngine(ctx, query))) })
 	}
-	asked.Wait()
+	polls.Wait()
 	return int(events.Load())
 }
 
-func (p *cachePoller) due() []cachePoll {
-	var all []cachePoll
+func (p *cachePoller) due() []cacheQuery {
+	var all []cacheQuery
 	now := time.Now()
-	p.wake(now)
+	p.dropExpiredBackoffs(now)
 	p.loop.Inspect(func(c *scheduler.Core) {
 		owned := c.OwnedTargets()
 		for _, s := range p.store.Snapshot().Services() {
@@ -96,49 +95,49 @@
 				continue
 			}
 			for _, t := range s.Document.Targets {
-				key := probed{s.Document.Service, t.Name}
-				if owned[key.service][key.target] && !p.isQuiet(key) {
-					all = append(all, cachePoll{key, t.Address, c.CacheCursor(key.service, key.target)})
+				key := targetKey{s.Document.Service, t.Name}
+				if owned[key.service][key.target] && !p.isBackedOff(key) {
+					all = append(all, cacheQuery{key, t.Address, c.CacheCursor(key.service, key.target)})
 				}
 			}
 		}
 	})
-	if len(all) <= cachePollsMost {
+	if len(all) <= maxCachePolls {
 		return all
 	}
-	var turn []cachePoll
-	for i := range cachePollsMost {
-		turn = append(turn, all[(p.from+i)%len(all)])
+	var batch []cacheQuery
+	for i := range maxCachePolls {
+		batch = append(batch, all[(p.nextIndex+i)%len(all)])
 	}
-	p.from = (p.from + cachePollsMost) % len(all)
-	return turn
+	p.nextIndex = (p.nextIndex + maxCachePolls) % len(all)
+	return batch
 }
 
-func (p *cachePoller) ask(ctx context.Context, poll cachePoll) (events int) {
-	page, err := p.runner.CacheEvents(ctx, poll.address, poll.after)
+func (p *cachePoller) pollEngine(ctx context.Context, query cacheQuery) (events int) {
+	page, err := p.runner.CacheEvents(ctx, query.address, query.after)
 	switch {
 	case errors.Is(err, attempt.ErrCacheEventsUnsupported):
 		p.mu.Lock()
-		p.quiet[poll.probed] = time.Now().Add(cacheRetry)
+		p.backoffUntil[query.targetKey] = time.Now().Add(cacheRetryDelay)
 		p.mu.Unlock()
 	case err == nil:
-		p.loop.ApplyCachePage(poll.service, poll.target, page)
+		p.loop.ApplyCachePage(query.service, query.target, page)
 	}
-	// What else failed is asked again in its turn: whether the target is well is
-	// the prober's matter.
+	// After other errors the engine is polled again in its turn: monitoring the target's
+	// health is the task of the prober.
 	return len(page.Events)
 }
 
-// wake forgets the engines whose time of quiet is over.
-func (p *cachePoller) wake(now time.Time) {
+// dropExpiredBackoffs removes the engines whose backoff is over.
+func (p *cachePoller) dropExpiredBackoffs(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	maps.DeleteFunc(p.quiet, func(_ probed, until time.Time) bool { return !now.Before(until) })
+	maps.DeleteFunc(p.backoffUntil, func(_ targetKey, until time.Time) bool { return !now.Before(until) })
 }
 
-func (p *cachePoller) isQuiet(key probed) bool {
+func (p *cachePoller) isBackedOff(key targetKey) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_, quiet := p.quiet[key]
+	_, quiet := p.backoffUntil[key]
 	return quiet
 }
--- a/internal/daemon/cache_test.go
+++ b/internal/daemon/cache_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// The owner of the engines asks each of them about its cache, again and again.
+// The daemon that owns the engines must poll each of them for cache events repeatedly.
 func TestCacheEventsArePolled(t *testing.T) {
 	is := is.New(t)
 	site, _ := startDev(t)
--- a/internal/daemon/cutzone_test.go
+++ b/internal/daemon/cutzone_test.go
@@ -118,7 +118,7 @@
 
 // testSite is the part of a daemon that follows the targets in a store.
 type testSite struct {
-	*site
+	*storeSync
 	inTouch time.Duration
 
 	mu     sync.Mutex
@@ -130,18 +130,18 @@
 	log := slog.New(slog.DiscardHandler)
 	s, err := settings.Parse(nil, func(s *settings.Settings) { s.Daemon, s.Zone, s.Platform.URL = "d", "a", "http://127.0.0.1:9" })
 	is.New(t).NoErr(err)
-	f := &testSite{site: newSite(routedParts{
-		Settings: s, Log: log, Routes: &route.Holder{}, Load: newLoadMonitor(s), Relay: relay.New(relay.Config{Self: "d", Zone: "a", Store: feed, HeartbeatTable: beatTable, Logger: log}),
+	f := &testSite{storeSync: newStoreSync(routedDependencies{
+		Settings: s, Log: log, Routes: &route.Holder{}, Load: newLoadMonitor(s), Relay: relay.New(relay.Config{Self: "d", Zone: "a", Store: feed, HeartbeatTable: heartbeatTable, Logger: log}),
 	}), inTouch: s.Routing.InTouch}
-	f.view.put = f.recordView
+	f.view.install = f.recordView
 	ctx, cancel := context.WithCancel(context.Background())
 	group := store.NewFeedGroup()
-	targets := &targetRows{site: f.site, read: func(key string, _ []byte) (registry.Entry, error) {
+	targets := &targetSubscriber{storeSync: f.storeSync, decodeEntry: func(key string, _ []byte) (registry.Entry, error) {
 		return registry.Entry{Identity: ident.Target(key), Address: key}, nil
 	}}
 	var tasks sync.WaitGroup
 	for _, run := range []func(context.Context){
-		f.followRoutes(group), f.follow(group, platform.TableTargets, longWait, targetGather, targets), f.expire,
+		f.followRoutes(group), f.follow(group, platform.TableTargets, longPollWait, targetGatherPeriod, targets), f.expire,
 	} {
 		tasks.Go(func() { run(ctx) })
 	}
@@ -152,7 +152,7 @@
 	return f
 }
 
-func (f *testSite) recordView(v siteView) {
+func (f *testSite) recordView(v routingView) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.usable = nil
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon wires the parts of savorystalld together with fx and runs the
-// daemon's life: start, service and planned stop.
+// Package daemon assembles the components of savorystalld with fx and manages the lifecycle
+// of the process: start, operation and graceful shutdown.
 package daemon
 
 import (
@@ -28,8 +28,8 @@
 	"github.com/savorystall/savorystall/internal/telemetry"
 )
 
-// identity is who this process is. Incarnations grow with the time of the
-// start, so that a restarted daemon is never taken for its predecessor.
+// identity identifies this process. The incarnation is derived from the start time, so that
+// a restarted daemon is never mistaken for its predecessor.
 type identity struct {
 	Daemon      ident.Daemon
 	Zone        ident.Zone
@@ -40,7 +40,7 @@
 	return identity{Daemon: s.Daemon, Zone: s.Zone, Incarnation: uint64(time.Now().UnixMicro())}
 }
 
-// Module provides every part of a daemon from its settings and a logger.
+// Module provides all components of a daemon from its settings and a logger.
 var Module = fx.Module("savorystalld",
 	fx.Provide(
 		newIdentity,
@@ -114,7 +114,7 @@
 	}, err
 }
 
-// loadIdentity returns the certificates of the fleet, nil where none are set.
+// loadIdentity loads the fleet's TLS certificates. It returns nil if none are configured.
 func loadIdentity(s settings.Settings) (*certs.Identity, error) {
 	if s.Fleet.TLS == nil {
 		return nil, nil
@@ -122,8 +122,8 @@
 	return certs.Load(certs.Files{Cert: s.Fleet.TLS.Certificate, Key: s.Fleet.TLS.Key, CA: s.Fleet.TLS.Authority})
 }
 
-// CheckFiles reads the files that the settings name, as the daemon does at its
-// start, and returns the first error.
+// CheckFiles reads the files named in the settings, as the daemon does when it starts, and
+// returns the first error.
 func CheckFiles(s settings.Settings) error {
 	_, err := loadIdentity(s)
 	return err
@@ -155,7 +155,8 @@
 	})
 }
 
-// servers are the HTTP servers towards callers and operators, already bound.
+// servers holds the HTTP servers for callers and operators together with their bound
+// listeners.
 type servers struct {
 	callers, operators *http.Server
 	callersListener    *drainableListener
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -41,7 +41,7 @@
 	servers.takeoverListener, err = listenForwarded(settings.Fleet{Handover: "127.0.0.1:0"}, func() bool { return true }, func() uint64 { return 0 })
 	is.NoErr(err)
 	servers.callers = &http.Server{
-		Handler:     keeping(time.Minute, func() bool { return false }, http.HandlerFunc(echo)),
+		Handler:     withConnectionHeaders(time.Minute, func() bool { return false }, http.HandlerFunc(echo)),
 		ConnContext: withConn,
 		ConnState: func(c net.Conn, state http.ConnState) {
 			if state == http.StateNew {
--- a/internal/daemon/follow.go
+++ b/internal/daemon/follow.go
@@ -19,8 +19,8 @@
 	"github.com/savorystall/savorystall/internal/scheduler"
 )
 
-// configFollower carries each new snapshot to the control loop and its revision
-// to the peers, and makes the daemon ready at the first one.
+// configFollower passes each new configuration snapshot to the control loop and its
+// revision to the peers. The first snapshot makes the daemon ready.
 type configFollower struct {
 	store *config.Store
 	loop  *control.Loop
@@ -46,9 +46,9 @@
 	}
 }
 
-// vmFollower reads the platform's VM list: it seeds the members of the fleet
+// vmPoller polls the platform's VM list. The list provides the initial members of the fleet
 // and tells which targets are leaving.
-type vmFollower struct {
+type vmPoller struct {
 	vms      platform.VMs
 	interval time.Duration
 	timeout  time.Duration
@@ -56,22 +56,22 @@
 	loop     *control.Loop
 	node     *fleet.Node
 	leaving  atomic.Pointer[map[string]bool]
-	// seeds stand in for the list until it was read once.
+	// seeds replace the list until it has been read for the first time.
 	seeds []platform.VM
 }
 
-// isLeaving tells whether the list last read says that a target leaves.
-func (f *vmFollower) isLeaving(name ident.Target) bool {
+// isLeaving reports whether the target is leaving according to the list last read.
+func (f *vmPoller) isLeaving(name ident.Target) bool {
 	leaving := f.leaving.Load()
 	return leaving != nil && (*leaving)[string(name)]
 }
 
-func (f *vmFollower) run(ctx context.Context) {
+func (f *vmPoller) run(ctx context.Context) {
 	f.node.SetVMs(f.seeds)
 	ticker := time.NewTicker(f.interval)
 	defer ticker.Stop()
 	for {
-		f.read(ctx)
+		f.poll(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -80,9 +80,9 @@
 	}
 }
 
-// read takes the list once. While the list cannot be read, what is known stays:
-// heartbeats and the targets' own word go on telling who is live.
-func (f *vmFollower) read(ctx context.Context) {
+// poll reads the list once. If that fails, the previous state is kept: heartbeats and the
+// status reported by the targets still tell who is live.
+func (f *vmPoller) poll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, f.timeout)
 	defer cancel()
 	vms, err := f.vms.ListVMs(ctx)
@@ -90,35 +90,35 @@
 		return
 	}
 	f.node.SetVMs(vms)
-	f.tellLeaving(vms)
+	f.reportLeaving(vms)
 }
 
-// tellLeaving passes on changes only: the list lags, and repeating its old word
-// would overrule what a returned target says itself.
-func (f *vmFollower) tellLeaving(vms []platform.VM) {
+// reportLeaving reports only changes. The list lags behind, and repeating an outdated state
+// would override what a target that has returned reports itself.
+func (f *vmPoller) reportLeaving(vms []platform.VM) {
 	leaving := map[string]bool{}
 	for _, vm := range vms {
 		if vm.Role == platform.RoleTarget && vm.State == platform.VMLeaving {
 			leaving[vm.Name] = true
 		}
 	}
-	before := map[string]bool{}
+	previous := map[string]bool{}
 	if last := f.leaving.Swap(&leaving); last != nil {
-		before = *last
+		previous = *last
 	}
 	for name := range leaving {
-		if !before[name] {
-			f.tell(name, scheduler.HealthLeaving)
+		if !previous[name] {
+			f.reportHealth(name, scheduler.HealthLeaving)
 		}
 	}
-	for name := range before {
+	for name := range previous {
 		if !leaving[name] {
-			f.tell(name, scheduler.HealthReturned)
+			f.reportHealth(name, scheduler.HealthReturned)
 		}
 	}
 }
 
-func (f *vmFollower) tell(name string, health scheduler.Health) {
+func (f *vmPoller) reportHealth(name string, health scheduler.Health) {
 	for _, s := range f.store.Snapshot().Services() {
 		for _, t := range s.Document.Targets {
 			if t.Name == ident.Target(name) {
@@ -128,27 +128,28 @@
 	}
 }
 
-// prober asks the targets that this daemon owns for their status: whether they
-// are leaving, and whether one that failed answers again. Its peers learn from it
-// what has changed. Each probe takes a connection of its own, so that one that
-// went silent does not speak for the target.
+// prober probes the status of the targets owned by this daemon: whether they are leaving,
+// and whether a failed one answers again. Changes are passed on to the peers. Each probe
+// opens a new connection, so that one hung connection does not make the target appear
+// failed.
 type prober struct {
 	store    *config.Store
 	loop     *control.Loop
-	vms      *vmFollower
+	vms      *vmPoller
 	runner   *attempt.Runner
 	interval time.Duration
 	log      *slog.Logger
-	// words holds the last word of each owned target.
-	words sync.Map // from probed to word
+	// results holds the last probeResult of each owned target.
+	results sync.Map // from targetKey to probeResult
 }
 
-// word is what the probes of a target found: that the last one got no answer,
-// that some got one, and whether the last answer was that it leaves.
-type word struct{ silent, heard, leaving bool }
+// probeResult is the state of a target according to its probes: whether the last probe
+// failed, whether any probe was answered, and whether the target was leaving according to
+// the last answer.
+type probeResult struct{ failed, answered, leaving bool }
 
-// probed names a target.
-type probed struct {
+// targetKey identifies a target.
+type targetKey struct {
 	service ident.Service
 	target  ident.Target
 }
@@ -157,7 +158,7 @@
 	ticker := time.NewTicker(p.interval)
 	defer ticker.Stop()
 	for {
-		p.round(ctx)
+		p.probeAll(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -166,9 +167,9 @@
 	}
 }
 
-// round probes all owned targets at once, so that a silent one does not delay
-// the others.
-func (p *prober) round(ctx context.Context) {
+// probeAll probes all owned targets concurrently, so that one that does not answer does not
+// delay the others.
+func (p *prober) probeAll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, p.interval)
 	defer cancel()
 	owned := map[ident.Service]map[ident.Target]bool{}
@@ -177,7 +178,7 @@
 	for _, s := range p.store.Snapshot().Services() {
 		for _, t := range s.Document.Targets {
 			if !owned[s.Document.Service][t.Name] {
-				p.words.Delete(probed{s.Document.Service, t.Name})
+				p.results.Delete(targetKey{s.Document.Service, t.Name})
 				continue
 			}
 			probes.Go(func() { p.probe(ctx, s.Document, t) })
@@ -189,37 +190,38 @@
 func (p *prober) probe(ctx context.Context, doc *document.Document, t document.Target) {
 	status, err := p.runner.Probe(ctx, t.Address)
 	if ctx.Err() == context.Canceled {
-		return // the daemon stops
+		return // the daemon is stopping
 	}
-	key := probed{doc.Service, t.Name}
-	before, _ := p.words.Load(key)
-	last, _ := before.(word)
-	now := word{heard: true, leaving: status.Leaving}
+	key := targetKey{doc.Service, t.Name}
+	stored, _ := p.results.Load(key)
+	last, _ := stored.(probeResult)
+	now := probeResult{answered: true, leaving: status.Leaving}
 	if err != nil || doc.Kind == document.Model && status.HTTPStatus != http.StatusOK {
-		now = word{silent: true, heard: last.heard, leaving: last.leaving}
+		now = probeResult{failed: true, answered: last.answered, leaving: last.leaving}
 	}
-	p.words.Store(key, now)
+	p.results.Store(key, now)
 	p.logChange(key, last, now)
 	switch {
-	case now.silent:
+	case now.failed:
 		p.loop.TargetHealth(key.service, key.target, scheduler.HealthFailed)
 		return
 	case now.leaving:
 		p.loop.TargetHealth(key.service, key.target, scheduler.HealthLeaving)
-	case last.leaving, !last.heard && !p.vms.isLeaving(t.Name):
-		// A new owner does not know the target's former word: unless the VM
-		// list says that it leaves, it lets it return, or nobody would.
+	case last.leaving, !last.answered && !p.vms.isLeaving(t.Name):
+		// A new owner does not know the target's previous status. Unless the VM list says
+		// that the target is leaving, the owner reports it as returned, because no other
+		// daemon would.
 		p.loop.TargetHealth(key.service, key.target, scheduler.HealthReturned)
 	}
 	p.loop.TargetHealth(key.service, key.target, scheduler.HealthAnswered)
 }
 
-func (p *prober) logChange(key probed, last, now word) {
+func (p *prober) logChange(key targetKey, last, now probeResult) {
 	log := func(e event.Event) { e.Log(p.log, "service", key.service, "target", key.target) }
 	switch {
-	case now.silent && !last.silent:
+	case now.failed && !last.failed:
 		log(event.TargetSilent)
-	case !now.silent && last.silent:
+	case !now.failed && last.failed:
 		log(event.TargetAnswers)
 	}
 	switch {
--- a/internal/daemon/gauges.go
+++ b/internal/daemon/gauges.go
@@ -8,12 +8,12 @@
 	"github.com/savorystall/savorystall/internal/telemetry"
 )
 
-// gaugeInterval is how often the gauges are set; scrapes are rarer.
+// gaugeInterval is how often the gauges are updated. Scrapes are less frequent.
 const gaugeInterval = 2 * time.Second
 
-// gaugeReporter sets the gauges of the scheduler and of the links.
+// gaugeReporter updates the gauges of the scheduler and of the links.
 type gaugeReporter struct {
-	parts parts
+	deps dependencies
 }
 
 func (g *gaugeReporter) run(ctx context.Context) {
@@ -30,18 +30,18 @@
 }
 
 func (g *gaugeReporter) report() {
-	var rows []telemetry.ServiceGauges
-	g.parts.Loop.Inspect(func(c *scheduler.Core) {
+	var services []telemetry.ServiceGauges
+	g.deps.Loop.Inspect(func(c *scheduler.Core) {
 		for _, load := range c.Loads() {
-			rows = append(rows, telemetry.ServiceGauges{
+			services = append(services, telemetry.ServiceGauges{
 				Service: load.Service, Waiting: load.Waiting, Running: load.Running,
 				Slots: load.Slots, InUse: load.InUse, Gap: load.FairnessGap,
 			})
 		}
 	})
-	for _, row := range rows {
-		g.parts.Metrics.Service(row)
+	for _, row := range services {
+		g.deps.Metrics.Service(row)
 	}
-	traffic := g.parts.Node.Traffic()
-	g.parts.Metrics.Fleet(traffic.EstimatedSent(), traffic.EstimatedReceived(), len(g.parts.Bridge.members())+1, g.parts.Store.Head())
+	traffic := g.deps.Node.Traffic()
+	g.deps.Metrics.Fleet(traffic.EstimatedSent(), traffic.EstimatedReceived(), len(g.deps.Bridge.members())+1, g.deps.Store.Head())
 }
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -30,7 +30,7 @@
 // maxForwardedConns returns the limit on connections that are forwarded at a time; zero
 // means no limit.
 func maxForwardedConns(m settings.Memory) int {
-	return int(math.Ceil(maxForwardedFraction * float64(callersConnections(m))))
+	return int(math.Ceil(maxForwardedFraction * float64(maxCallerConnections(m))))
 }
 
 // connForwarder forwards new connections of callers to neighbours while this daemon is
@@ -56,7 +56,7 @@
 	forwarded, refused, timedOut, lost atomic.Int64
 	// sendDelays are the delays since the last report from the acceptance of a connection
 	// until its first bytes were sent to a neighbour.
-	sendDelays waits
+	sendDelays waitStats
 
 	mu         sync.Mutex
 	picker     *handover.Picker
@@ -228,7 +228,7 @@
 // logReport logs what was forwarded since the last report, if anything.
 func (h *connForwarder) logReport() {
 	forwarded, refused, timedOut, lost := h.forwarded.Swap(0), h.refused.Swap(0), h.timedOut.Swap(0), h.lost.Swap(0)
-	meanDelay, maxDelay := h.sendDelays.take()
+	meanDelay, maxDelay := h.sendDelays.collect()
 	if forwarded+refused+timedOut > 0 {
 		event.HandoverReport.Log(h.log, "passed_on", forwarded, "refused", refused, "unheard", timedOut, "lost", lost, "open", h.active.Load(),
 			"sent_ms", meanDelay.Milliseconds(), "longest_ms", maxDelay.Milliseconds())
--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -104,7 +104,7 @@
 	}
 	n.address = l.Addr().String()
 	n.server = &http.Server{
-		Handler:     keeping(time.Minute, func() bool { return false }, handler),
+		Handler:     withConnectionHeaders(time.Minute, func() bool { return false }, handler),
 		ConnContext: withConn,
 	}
 	go func() { _ = n.server.Serve(l) }()
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -35,31 +35,31 @@
 }
 
 func (o *operators) healthy(w http.ResponseWriter, _ *http.Request) {
-	answerHealthy(w, o.loop.Inspect(func(*scheduler.Core) {}))
+	writeHealth(w, o.loop.Inspect(func(*scheduler.Core) {}))
 }
 
-// answerHealthy answers as long as the control goroutine does: a daemon whose loop
-// hangs serves nobody and is to be replaced.
-func answerHealthy(w http.ResponseWriter, alive bool) {
+// writeHealth reports the daemon as healthy while the control loop responds. A daemon whose
+// loop hangs serves no requests and has to be replaced.
+func writeHealth(w http.ResponseWriter, alive bool) {
 	if !alive {
 		http.Error(w, "the control loop has ended", http.StatusServiceUnavailable)
 		return
 	}
-	_, _ = w.Write([]byte("ok\n")) // a caller that has left needs no answer
+	_, _ = w.Write([]byte("ok\n")) // the caller may have disconnected
 }
 
 func (o *operators) ready(w http.ResponseWriter, _ *http.Request) {
-	answerReady(w, string(o.life.State()), o.life.State() == StateReady)
+	writeReadiness(w, string(o.life.State()), o.life.State() == StateReady)
 }
 
-// answerReady tells the balancer whether the daemon takes new connections, and the
-// reason where it does not.
-func answerReady(w http.ResponseWriter, reason string, ready bool) {
+// writeReadiness tells the load balancer whether the daemon accepts new connections, and
+// the reason if it does not.
+func writeReadiness(w http.ResponseWriter, reason string, ready bool) {
 	if !ready {
 		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
-	_, _ = w.Write([]byte("ready\n")) // as above
+	_, _ = w.Write([]byte("ready\n")) // the caller may have disconnected
 }
 
 func (o *operators) status(w http.ResponseWriter, _ *http.Request) {
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -11,25 +11,25 @@
 	"github.com/savorystall/savorystall/internal/scheduler"
 )
 
-// orderInterval is how soon a change of ownership or of the document reaches the
-// reconciler. Orders take seconds to minutes, so that a second is soon enough.
-const orderInterval = time.Second
+// desiredStateInterval bounds the delay until a change of ownership or of the document
+// reaches the reconciler. Orders take seconds to minutes, so a second is short enough.
+const desiredStateInterval = time.Second
 
-// orderFollower hands the wanted state of the owned targets to the reconciler.
-// Ownership is soft and may be double for a moment; who may give orders is
-// decided by the lease of each target alone.
-type orderFollower struct {
+// desiredStatePublisher passes the desired state of the owned targets to the reconciler.
+// Ownership is not exclusive: two daemons may briefly own the same target. Only the lease
+// of a target decides which daemon may send it orders.
+type desiredStatePublisher struct {
 	store      *config.Store
 	loop       *control.Loop
 	reconciler *order.Reconciler
 }
 
-func (f *orderFollower) run(ctx context.Context) {
-	ticker := time.NewTicker(orderInterval)
+func (f *desiredStatePublisher) run(ctx context.Context) {
+	ticker := time.NewTicker(desiredStateInterval)
 	defer ticker.Stop()
 	defer f.reconciler.Stop()
 	for {
-		f.reconciler.SetTargets(f.wanted())
+		f.reconciler.SetTargets(f.desired())
 		select {
 		case <-ctx.Done():
 			return
@@ -38,16 +38,16 @@
 	}
 }
 
-func (f *orderFollower) wanted() []order.Desired {
+func (f *desiredStatePublisher) desired() []order.Desired {
 	owned := map[ident.Service]map[ident.Target]bool{}
 	f.loop.Inspect(func(c *scheduler.Core) { owned = c.OwnedTargets() })
-	var wanted []order.Desired
+	var desired []order.Desired
 	for _, s := range f.store.Snapshot().Services() {
-		for _, w := range order.FromDocument(s.Document, s.Revision) {
-			if owned[w.Service][w.Target] {
-				wanted = append(wanted, w)
+		for _, d := range order.FromDocument(s.Document, s.Revision) {
+			if owned[d.Service][d.Target] {
+				desired = append(desired, d)
 			}
 		}
 	}
-	return wanted
+	return desired
 }
--- a/internal/daemon/orders_test.go
+++ b/internal/daemon/orders_test.go
@@ -9,18 +9,18 @@
 	enginestandin "github.com/savorystall/savorystall/internal/standin/engine"
 )
 
-// The document wants a version of the model on both engines. The daemon that
-// owns them must order it once each, under a fencing number, and leave engines
-// alone that are in their wanted state.
-func TestWantedStateIsOrdered(t *testing.T) {
+// The document specifies a model version for both engines. The daemon that owns them must
+// send each one exactly one order with a fencing number, and no order to engines that are
+// in the desired state.
+func TestDesiredStateIsOrdered(t *testing.T) {
 	is := is.New(t)
 	site, _ := startDev(t)
 	for name, engine := range site.Engines {
 		orders := waitForOrder(t, engine)
-		is.Equal(len(orders), 1) // one absolute order suffices
+		is.Equal(len(orders), 1) // the order states the whole desired state, so one is enough
 		is.Equal(orders[0].Version, "1")
 		is.Equal(orders[0].Models, []string{"recap-1"})
-		is.True(orders[0].Fencing > 0) // it was given under a lease
+		is.True(orders[0].Fencing > 0) // it was sent under a lease
 		is.Equal(string(name.Service), "lm-pool")
 	}
 }
@@ -34,6 +34,6 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("no order arrived")
+	t.Fatal("the engine received no order")
 	return nil
 }
--- a/internal/daemon/ownrow.go
+++ b/internal/daemon/ownrow.go
@@ -7,86 +7,89 @@
 	store "github.com/savorystall/savorystall/internal/platform"
 )
 
-// rewriteRate is how many rows a second the daemons of a fleet write again that the store
-// has lost, on average: below the 400 writes that a store takes, with room for others.
-const rewriteRate = 240
+// maxRewritesPerSecond is the average rate at which the daemons of a fleet together rewrite
+// rows that the store has lost. The store accepts 400 writes a second; the rest is left to
+// other writers.
+const maxRewritesPerSecond = 240
 
-// rewriteDelay is how long a daemon of a fleet waits before it writes its row again. Random
-// is in [0,1).
+// rewriteDelay returns how long a daemon waits before it rewrites its row, given the number
+// of daemons in the fleet. random is in [0,1).
 func rewriteDelay(daemons int, random float64) time.Duration {
-	return time.Duration(random * float64(daemons) / rewriteRate * float64(time.Second))
+	return time.Duration(random * float64(daemons) / maxRewritesPerSecond * float64(time.Second))
 }
 
-// ownRow knows whether the store has lost the row that this daemon alone writes. It is
-// safe for concurrent use.
+// ownRow tracks whether the store has lost the row that only this daemon writes. It is safe
+// for concurrent use.
 //
-// Failure it guards against: the store comes back from a copy that is older than the row,
-// or holds the one of a former incarnation, and daemons that start never find this one.
+// It guards against the following failure: the store is restored from a backup that is
+// older than the row or holds the row of a previous incarnation, and daemons that start
+// afterwards never find this one.
 type ownRow struct {
 	mu sync.Mutex
-	// written is the revision of the last write, zero before it; lostAt the latest one at
-	// which the store did not hold what was written.
-	written, lostAt store.Revision
-	// daemons is how many the store listed before or after it lost the row.
+	// written is the revision of the last write, zero before the first. missingAt is the
+	// latest revision at which the store did not hold the row.
+	written, missingAt store.Revision
+	// daemons is the number of daemons listed before or after the row was lost, whichever
+	// is higher.
 	daemons int
-	// lost is signalled when the row has to be written again.
-	lost chan struct{}
+	// lostSignal is signalled when the row has to be rewritten.
+	lostSignal chan struct{}
 }
 
-func newOwnRow() *ownRow { return &ownRow{lost: make(chan struct{}, 1)} }
+func newOwnRow() *ownRow { return &ownRow{lostSignal: make(chan struct{}, 1)} }
 
-// wrote notes that the store has acknowledged the row.
-func (o *ownRow) wrote(at store.Revision) {
+// recordWrite records that the store has acknowledged the row.
+func (o *ownRow) recordWrite(at store.Revision) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.written = at
-	o.signal()
+	o.notify()
 }
 
-// told takes in whether the store holds the row, or one of a later incarnation, at a
-// revision, and how many daemons may have lost theirs. What it held before the row was
-// written says nothing.
-func (o *ownRow) told(holds bool, at store.Revision, daemons int) {
+// observe records whether the store held the row, or that of a later incarnation, at a
+// revision, and how many daemons may have lost their rows. Revisions before the last write
+// are irrelevant.
+func (o *ownRow) observe(holds bool, at store.Revision, daemons int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if holds {
 		return
 	}
-	o.lostAt, o.daemons = store.Later(o.lostAt, at), max(1, daemons)
-	o.signal()
+	o.missingAt, o.daemons = store.Later(o.missingAt, at), max(1, daemons)
+	o.notify()
 }
 
-// signal wakes the writer where the row is lost. The caller holds the lock.
-func (o *ownRow) signal() {
-	if !o.lostNow() {
+// notify wakes the writer if the row is lost. The caller holds the lock.
+func (o *ownRow) notify() {
+	if !o.isLostLocked() {
 		return
 	}
 	select {
-	case o.lost <- struct{}{}:
-	default: // the writer looks again anyway
+	case o.lostSignal <- struct{}{}:
+	default: // a wake-up is already pending
 	}
 }
 
-// delay is how long to wait before the row is written again. Random is in [0,1).
-func (o *ownRow) delay(random float64) time.Duration {
+// rewriteDelay returns how long to wait before the row is rewritten. random is in [0,1).
+func (o *ownRow) rewriteDelay(random float64) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return rewriteDelay(o.daemons, random)
 }
 
-// isLost tells whether the row has to be written again.
+// isLost reports whether the row has to be rewritten.
 func (o *ownRow) isLost() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.lostNow()
+	return o.isLostLocked()
 }
 
-// lostNow tells the same. The caller holds the lock.
-func (o *ownRow) lostNow() bool {
-	return o.written != (store.Revision{}) && o.lostAt != (store.Revision{}) && !o.lostAt.Before(o.written)
+// isLostLocked is isLost for callers that hold the lock.
+func (o *ownRow) isLostLocked() bool {
+	return o.written != (store.Revision{}) && o.missingAt != (store.Revision{}) && !o.missingAt.Before(o.written)
 }
 
-// revision returns that of the last write.
+// revision returns the revision of the last write.
 func (o *ownRow) revision() store.Revision {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/daemon/passage.go
+++ b/internal/daemon/passage.go
@@ -34,7 +34,7 @@
 	// acceptedAt is when the caller's connection was accepted. sendDelays records how long
 	// its first bytes waited from then on; it may be nil.
 	acceptedAt time.Time
-	sendDelays *waits
+	sendDelays *waitStats
 	// requestSent reports that bytes of the caller may have reached the neighbour,
 	// responseStarted that part of its answer arrived, and callerLeft that the caller
 	// closed its connection.
@@ -92,7 +92,7 @@
 		return
 	}
 	if p.sendDelays != nil {
-		p.sendDelays.note(time.Since(p.acceptedAt))
+		p.sendDelays.record(time.Since(p.acceptedAt))
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/daemon/passage_random_test.go
+++ b/internal/daemon/passage_random_test.go
@@ -210,7 +210,7 @@
 					_, _ = w.Write([]byte("refused"))
 				}
 				s := newOverloadedDaemon(t, newTestNeighbour(t, refuse).address)
-				s.handler.Store(http.HandlerFunc(keeping(time.Minute, func() bool { return false }, http.HandlerFunc(refuse)).ServeHTTP))
+				s.handler.Store(http.HandlerFunc(withConnectionHeaders(time.Minute, func() bool { return false }, http.HandlerFunc(refuse)).ServeHTTP))
 				if !forwarded {
 					s.monitor.shedPermille.Store(0)
 				}
--- a/internal/daemon/restore_test.go
+++ b/internal/daemon/restore_test.go
@@ -23,34 +23,38 @@
 	"github.com/savorystall/savorystall/platform"
 )
 
-// Words of the fake targets' entries.
+// States of the fake targets, as written to their rows.
 const (
 	entryReady    = "ready"
 	entryDraining = "draining"
 )
 
-// drill is a daemon that follows a copiedStore, and the truth beside it.
-type drill struct {
-	store *copiedStore
-	site  *site
+// simulation runs a daemon that follows a restorableStore and compares it with the expected
+// state.
+type simulation struct {
+	store     *restorableStore
+	storeSync *storeSync
 
 	mu sync.Mutex
-	// version is the highest that the operator has written. The version expected has to be
-	// in force when due, zero where none is, unless the store is disturbed before.
+	// version is the highest version that the operator has written. The expected version
+	// has to be in force at due, unless the store is disturbed before; a zero due means
+	// that nothing is expected.
 	version, expected uint64
 	due               time.Time
-	disturbed         time.Time
-	// truth is what the targets would write of themselves; empty where they have left.
-	truth map[ident.Target]string
-	// usable are the targets in force that take requests, met those that ever did, over
-	// those that were seen to take no more.
-	usable, met, over map[ident.Target]bool
-	highest           uint64
-	broken            []string
+	disturbedUntil    time.Time
+	// targetStates holds what the targets would write to their rows; empty for targets that
+	// have left.
+	targetStates map[ident.Target]string
+	// usable holds the targets in force that accept requests, everUsable those that have
+	// ever accepted them, and departed those that were seen to accept no more.
+	usable, everUsable, departed map[ident.Target]bool
+	highestInForce               uint64
+	violations                   []string
 }
 
-// newDrill starts a daemon in an availability zone, among peers that may read for it.
-func newDrill(ctx context.Context, s *copiedStore, id identity, peers relay.Peers, metrics *telemetry.Metrics, tasks *sync.WaitGroup) (*drill, error) {
+// newSimulation starts a daemon in an availability zone. Its peers may read the store on
+// its behalf.
+func newSimulation(ctx context.Context, s *restorableStore, id identity, peers relay.Peers, metrics *telemetry.Metrics, tasks *sync.WaitGroup) (*simulation, error) {
 	log := slog.New(slog.DiscardHandler)
 	set, err := settings.Parse(nil, func(s *settings.Settings) {
 		s.Daemon, s.Zone, s.Platform.URL = id.Daemon, id.Zone, "http://127.0.0.1:9"
@@ -58,38 +62,38 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &drill{
-		store: s, truth: map[ident.Target]string{},
-		usable: map[ident.Target]bool{}, met: map[ident.Target]bool{}, over: map[ident.Target]bool{},
+	d := &simulation{
+		store: s, targetStates: map[ident.Target]string{},
+		usable: map[ident.Target]bool{}, everUsable: map[ident.Target]bool{}, departed: map[ident.Target]bool{},
 	}
-	d.site = newSite(routedParts{
+	d.storeSync = newStoreSync(routedDependencies{
 		Settings: set, Log: log, Load: newLoadMonitor(set), Routes: &route.Holder{}, Metrics: metrics, Identity: id,
-		Relay: relay.New(relay.Config{Self: id.Daemon, Zone: id.Zone, Store: s, Peers: peers, HeartbeatTable: beatTable, Logger: log}),
+		Relay: relay.New(relay.Config{Self: id.Daemon, Zone: id.Zone, Store: s, Peers: peers, HeartbeatTable: heartbeatTable, Logger: log}),
 	})
-	d.site.rows = s
-	d.site.view.put = d.note
+	d.storeSync.rows = s
+	d.storeSync.view.install = d.checkView
 	group := store.NewFeedGroup()
-	targets := &targetRows{site: d.site, read: func(key string, value []byte) (registry.Entry, error) {
+	targets := &targetSubscriber{storeSync: d.storeSync, decodeEntry: func(key string, value []byte) (registry.Entry, error) {
 		return registry.Entry{Identity: ident.Target(key), Address: key, Draining: string(value) == entryDraining}, nil
 	}}
-	daemons := newDaemonRows(d.site, func([]store.VM, map[ident.Daemon]string) {})
+	daemons := newDaemonSubscriber(d.storeSync, func([]store.VM, map[ident.Daemon]string) {})
 	for _, run := range []func(context.Context){
-		d.site.followRoutes(group), d.site.follow(group, platform.TableTargets, longWait, targetGather, targets),
-		d.site.follow(group, platform.TableDaemons, longWait, daemonGather, daemons),
-		func(ctx context.Context) { d.site.keepOwnRow(ctx, "10.0.0.1:1", "") }, d.site.expire,
+		d.storeSync.followRoutes(group), d.storeSync.follow(group, platform.TableTargets, longPollWait, targetGatherPeriod, targets),
+		d.storeSync.follow(group, platform.TableDaemons, longPollWait, daemonGatherPeriod, daemons),
+		func(ctx context.Context) { d.storeSync.maintainOwnRow(ctx, "10.0.0.1:1", "") }, d.storeSync.expire,
 	} {
 		tasks.Go(func() { run(ctx) })
 	}
 	return d, nil
 }
 
-func (d *drill) fail(format string, args ...any) {
-	d.broken = append(d.broken, fmt.Sprintf(format, args...))
+func (d *simulation) recordViolation(format string, args ...any) {
+	d.violations = append(d.violations, fmt.Sprintf(format, args...))
 }
 
-// note takes in which targets get requests, and checks that none that is there loses them
-// and none that has left gets them again.
-func (d *drill) note(v siteView) {
+// checkView records which targets get requests. It checks that no live target is dropped
+// and that no departed target is used again.
+func (d *simulation) checkView(v routingView) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	clear(d.usable)
@@ -99,79 +103,80 @@
 		}
 	}
 	for id := range d.usable {
-		d.met[id] = true
-		if d.over[id] {
-			d.fail("target %s has left and serves again", id)
+		d.everUsable[id] = true
+		if d.departed[id] {
+			d.recordViolation("target %s has left and is used again", id)
 		}
 	}
-	for id := range d.met {
+	for id := range d.everUsable {
 		switch {
 		case d.usable[id]:
-		case d.truth[id] == entryReady:
-			d.fail("target %s is there and was taken as gone", id)
+		case d.targetStates[id] == entryReady:
+			d.recordViolation("target %s is live and was dropped", id)
 		default:
-			d.over[id] = true
+			d.departed[id] = true
 		}
 	}
 }
 
-// watch checks the configuration all the time.
-func (d *drill) watch(ctx context.Context) {
+// monitorVersion checks the version in force until ctx ends.
+func (d *simulation) monitorVersion(ctx context.Context) {
 	for ctx.Err() == nil {
-		d.look()
+		d.checkVersion()
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// inForceWithin bounds the time from the operator's write to its configuration in force.
-const inForceWithin = 2 * time.Second
+// maxApplyDelay bounds the time from the operator's write until the configuration is in
+// force.
+const maxApplyDelay = 2 * time.Second
 
-func (d *drill) look() {
+func (d *simulation) checkVersion() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var version uint64
-	if table := d.site.p.Routes.Current(); table != nil {
+	if table := d.storeSync.deps.Routes.Current(); table != nil {
 		version = table.Version
 	}
-	if version < d.highest {
-		d.fail("version %d is in force after %d", version, d.highest)
+	if version < d.highestInForce {
+		d.recordViolation("version %d is in force after %d", version, d.highestInForce)
 	}
-	d.highest = max(d.highest, version)
+	d.highestInForce = max(d.highestInForce, version)
 	if d.due.IsZero() || time.Now().Before(d.due) {
 		return
 	}
 	d.due = time.Time{}
 	if version < d.expected {
-		d.fail("version %d is not in force %s after it was written", d.expected, inForceWithin)
+		d.recordViolation("version %d is not in force %s after it was written", d.expected, maxApplyDelay)
 	}
 }
 
-// operate writes the next version.
-func (d *drill) operate() {
+// writeRoutes writes the next version of the routes.
+func (d *simulation) writeRoutes() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
-	if d.due.IsZero() && time.Since(d.disturbed) > d.site.p.Settings.Routing.InTouch {
-		d.expected, d.due = d.version, time.Now().Add(inForceWithin)
+	if d.due.IsZero() && time.Since(d.disturbedUntil) > d.storeSync.deps.Settings.Routing.InTouch {
+		d.expected, d.due = d.version, time.Now().Add(maxApplyDelay)
 	}
-	d.store.put(platform.TableOperator, platform.KeyRoutes, routesText(d.version), false)
+	d.store.put(platform.TableOperator, platform.KeyRoutes, routesDocument(d.version), false)
 }
 
-func routesText(version uint64) string { return fmt.Sprintf(`{"version":%d}`, version) }
+func routesDocument(version uint64) string { return fmt.Sprintf(`{"version":%d}`, version) }
 
-func (d *drill) target(id ident.Target, entry string) {
+func (d *simulation) writeTarget(id ident.Target, entry string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.truth[id] = entry
+	d.targetStates[id] = entry
 	d.store.put(platform.TableTargets, string(id), entry, entry == "")
 }
 
-// pick returns a target that takes requests.
-func (d *drill) pick(n int) (ident.Target, bool) {
+// pickReady returns a target that accepts requests.
+func (d *simulation) pickReady(n int) (ident.Target, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var ready []ident.Target
-	for id, entry := range d.truth {
+	for id, entry := range d.targetStates {
 		if entry == entryReady {
 			ready = append(ready, id)
 		}
@@ -183,80 +188,83 @@
 	return ready[n%len(ready)], true
 }
 
-func (d *drill) disturb(until time.Time) {
+func (d *simulation) disturb(until time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if until.After(d.disturbed) {
-		d.disturbed = until
+	if until.After(d.disturbedUntil) {
+		d.disturbedUntil = until
 	}
 	d.due = time.Time{}
 }
 
-// writeAgain is what the operator and the targets do after the store's return.
-func (d *drill) writeAgain() {
+// rewriteAll writes again what the operator and the targets write after a restore of the
+// store.
+func (d *simulation) rewriteAll() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.version > 0 {
-		d.store.put(platform.TableOperator, platform.KeyRoutes, routesText(d.version), false)
+		d.store.put(platform.TableOperator, platform.KeyRoutes, routesDocument(d.version), false)
 	}
-	for id, entry := range d.truth {
+	for id, entry := range d.targetStates {
 		d.store.put(platform.TableTargets, string(id), entry, entry == "")
 	}
 }
 
-// drillStep is one event of a drill.
-type drillStep struct {
+// simulationStep is one event of a simulation.
+type simulationStep struct {
 	Kind int
-	// Size is an age, a span or a choice, in ms, and Pause the time to the next event.
+	// Size is an age, a duration or a choice, in ms. Pause is the time in ms until the next
+	// event.
 	Size, Pause int
 }
 
-// Kinds of events.
+// Kinds of simulationStep.
 const (
-	stepOperate = iota
+	stepWriteRoutes = iota
 	stepJoin
 	stepDrain
 	stepLeave
 	stepRestore
 	stepRestoreTwice
 	stepOutage
-	stepForget
-	stepLag
-	stepKinds
+	stepDropHistory
+	stepDelay
+	stepKindCount
 )
 
 const (
-	// awayAtRestore is how long the store is away before it comes back from a copy, and
-	// againAfter how long after that the others have written again.
-	awayAtRestore = 150 * time.Millisecond
-	againAfter    = 1200 * time.Millisecond
-	mostLag       = 500
-	settleDrill   = 6 * time.Second
+	// restoreOutage is how long the store is unreachable before it is restored from a
+	// backup. rewriteAfter is how long after that the operator and the targets have written
+	// their rows again.
+	restoreOutage    = 150 * time.Millisecond
+	rewriteAfter     = 1200 * time.Millisecond
+	maxLatencyMillis = 500
+	settleTime       = 6 * time.Second
 )
 
-func (d *drill) restore(age time.Duration) {
-	d.disturb(time.Now().Add(awayAtRestore + againAfter))
-	d.store.set(true, 0)
-	time.Sleep(awayAtRestore)
+func (d *simulation) restore(age time.Duration) {
+	d.disturb(time.Now().Add(restoreOutage + rewriteAfter))
+	d.store.setFault(true, 0)
+	time.Sleep(restoreOutage)
 	d.store.restore(age)
-	d.store.set(false, 0)
-	time.AfterFunc(againAfter, d.writeAgain)
+	d.store.setFault(false, 0)
+	time.AfterFunc(rewriteAfter, d.rewriteAll)
 }
 
-func (d *drill) play(i int, s drillStep) {
+func (d *simulation) run(i int, s simulationStep) {
 	span := time.Duration(s.Size) * time.Millisecond
 	switch s.Kind {
-	case stepOperate:
-		d.operate()
+	case stepWriteRoutes:
+		d.writeRoutes()
 	case stepJoin:
-		d.target(ident.Target(fmt.Sprintf("t%d", i)), entryReady)
+		d.writeTarget(ident.Target(fmt.Sprintf("t%d", i)), entryReady)
 	case stepDrain:
-		if id, any := d.pick(s.Size); any {
-			d.target(id, entryDraining)
+		if id, ok := d.pickReady(s.Size); ok {
+			d.writeTarget(id, entryDraining)
 		}
 	case stepLeave:
-		if id, any := d.pick(s.Size); any {
-			d.target(id, "")
+		if id, ok := d.pickReady(s.Size); ok {
+			d.writeTarget(id, "")
 		}
 	case stepRestore:
 		d.restore(span)
@@ -266,84 +274,85 @@
 		d.restore(span)
 	case stepOutage:
 		d.disturb(time.Now().Add(span))
-		d.store.set(true, 0)
+		d.store.setFault(true, 0)
 		time.Sleep(span)
-		d.store.set(false, 0)
-	case stepForget:
-		d.store.forget()
-	case stepLag:
-		d.store.set(false, time.Duration(s.Size%mostLag)*time.Millisecond)
+		d.store.setFault(false, 0)
+	case stepDropHistory:
+		d.store.dropHistory()
+	case stepDelay:
+		d.store.setFault(false, time.Duration(s.Size%maxLatencyMillis)*time.Millisecond)
 	}
 	time.Sleep(time.Duration(s.Pause) * time.Millisecond)
 }
 
-// runDrill plays a drill and returns which promises were broken.
-func runDrill(t *testing.T, steps []drillStep, eraless bool, metrics *telemetry.Metrics) (broken []string) {
+// runSimulation runs a simulation and returns the violated guarantees.
+func runSimulation(t *testing.T, steps []simulationStep, withoutEras bool, metrics *telemetry.Metrics) (violations []string) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		var tasks sync.WaitGroup
-		d, err := newDrill(ctx, newCopiedStore(eraless), identity{Daemon: "d", Zone: "a", Incarnation: 7}, nil, metrics, &tasks)
+		d, err := newSimulation(ctx, newRestorableStore(withoutEras), identity{Daemon: "d", Zone: "a", Incarnation: 7}, nil, metrics, &tasks)
 		is.New(t).NoErr(err)
-		tasks.Go(func() { d.watch(ctx) })
-		d.operate()
-		d.target("t", entryReady)
+		tasks.Go(func() { d.monitorVersion(ctx) })
+		d.writeRoutes()
+		d.writeTarget("t", entryReady)
 		time.Sleep(time.Second)
 		for i, s := range steps {
-			d.play(i, s)
+			d.run(i, s)
 		}
-		d.store.set(false, 0)
-		time.Sleep(settleDrill)
-		d.settled()
+		d.store.setFault(false, 0)
+		time.Sleep(settleTime)
+		d.checkSettled()
 		cancel()
 		tasks.Wait()
-		broken = d.broken
+		violations = d.violations
 	})
-	return broken
+	return violations
 }
 
-// settled checks what holds when all has been quiet for a while.
-func (d *drill) settled() {
+// checkSettled checks the state after a period without events.
+func (d *simulation) checkSettled() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if table := d.site.p.Routes.Current(); table == nil || table.Version != d.version {
-		d.fail("version %d is not in force at the end", d.version)
+	if table := d.storeSync.deps.Routes.Current(); table == nil || table.Version != d.version {
+		d.recordViolation("version %d is not in force at the end", d.version)
 	}
-	if !d.store.holds(platform.TableDaemons, "d") {
-		d.fail("the daemon's own row is lost")
+	if !d.store.contains(platform.TableDaemons, "d") {
+		d.recordViolation("the daemon's own row is lost")
 	}
-	for id, entry := range d.truth {
+	for id, entry := range d.targetStates {
 		if d.usable[id] != (entry == entryReady) {
-			d.fail("target %s says %q, in use: %v", id, entry, d.usable[id])
+			d.recordViolation("target %s has state %q, in use: %v", id, entry, d.usable[id])
 		}
 	}
 }
 
-func TestTheStoreComesBackFromCopies(t *testing.T) {
+func TestStoreIsRestoredFromBackups(t *testing.T) {
 	metrics := telemetry.NewMetrics()
-	step := rapid.Custom(func(t *rapid.T) drillStep {
-		return drillStep{
-			Kind: rapid.IntRange(0, stepKinds-1).Draw(t, "kind"), Size: rapid.IntRange(0, 4000).Draw(t, "size"),
+	step := rapid.Custom(func(t *rapid.T) simulationStep {
+		return simulationStep{
+			Kind: rapid.IntRange(0, stepKindCount-1).Draw(t, "kind"), Size: rapid.IntRange(0, 4000).Draw(t, "size"),
 			Pause: rapid.IntRange(0, 2500).Draw(t, "pause"),
 		}
 	})
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(step, 1, 25).Draw(rt, "steps")
-		if broken := runDrill(t, steps, false, metrics); len(broken) > 0 {
-			rt.Fatalf("%v", broken)
+		if violations := runSimulation(t, steps, false, metrics); len(violations) > 0 {
+			rt.Fatalf("%v", violations)
 		}
 	})
 	is.New(t).NoErr(metrics.Close())
 }
 
-// The same versions without their eras stand for other rows unnoticed.
-func TestWithoutErasACopyIsTakenForTheTable(t *testing.T) {
+// Without eras, rows of the backup are mistaken for the current rows with the same version
+// numbers. The test checks that the simulation detects this.
+func TestWithoutErasARestoreGoesUnnoticed(t *testing.T) {
 	is := is.New(t)
 	metrics := telemetry.NewMetrics()
-	steps := []drillStep{
+	steps := []simulationStep{
 		{Kind: stepLeave, Pause: 2000},
 		{Kind: stepRestore, Size: 2500, Pause: 4000},
 	}
-	is.Equal(runDrill(t, steps, false, metrics), nil)
-	is.True(len(runDrill(t, steps, true, metrics)) > 0)
+	is.Equal(runSimulation(t, steps, false, metrics), nil)
+	is.True(len(runSimulation(t, steps, true, metrics)) > 0)
 	is.NoErr(metrics.Close())
 }
--- a/internal/daemon/routed.go
+++ b/internal/daemon/routed.go
@@ -25,9 +25,9 @@
 	"github.com/savorystall/savorystall/platform"
 )
 
-// RoutedModule provides every part of a daemon that serves routes on the users'
-// platform. What that platform makes needless is not in it: documents of
-// services, the VM list, claims, leases and orders.
+// RoutedModule provides all components of a daemon that serves routes on the users'
+// platform. It omits what that platform makes unnecessary: service documents, the VM list,
+// claims, leases and orders.
 var RoutedModule = fx.Module("savorystalld-routed",
 	fx.Provide(
 		newStore,
@@ -52,10 +52,11 @@
 
 func newStore(s settings.Settings) *platform.Store { return platform.NewStore(s.Platform.URL) }
 
-// newRelay is given to the bridge before the node starts, whose members it needs.
+// newRelay also sets the relay of the bridge. That must happen before the node starts,
+// because the bridge passes the members reported by the node to the relay.
 func newRelay(id identity, store *platform.Store, b *routedBridge, log *slog.Logger) *relay.Feed {
 	b.relay = relay.New(relay.Config{
-		Self: id.Daemon, Zone: id.Zone, Store: store, Peers: followPeers{b}, HeartbeatTable: beatTable, Logger: log,
+		Self: id.Daemon, Zone: id.Zone, Store: store, Peers: feedPeers{b}, HeartbeatTable: heartbeatTable, Logger: log,
 	})
 	return b.relay
 }
@@ -78,7 +79,7 @@
 	return b.node, err
 }
 
-func newGateway(s settings.Settings, routes *route.Holder, loop *control.BookingLoop, pool *targetconn.Pool, b *routedBridge, load *loadMonitor, left *disconnectWatcher,
+func newGateway(s settings.Settings, routes *route.Holder, loop *control.BookingLoop, pool *targetconn.Pool, b *routedBridge, load *loadMonitor, hangupWatch *disconnectWatcher,
 	metrics *telemetry.Metrics, tracing *telemetry.Tracing, log *slog.Logger) *gateway.Server {
 	b.gateway = gateway.New(gateway.Deps{
 		Config: gateway.Config{
@@ -87,7 +88,7 @@
 			},
 			ConnectionShare: s.Routing.ConnectionShare,
 		},
-		Routes: routes, Dialect: platform.Dialect{}, Placer: loop, Pool: pool, CallerGone: callerDisconnected, OnCallerGone: left.watch, ShouldShed: load.shouldShed, Shedding: load.shedding, RoutesMayBeStale: load.routesStale, ReadDelay: load.readDelay, OutOfRotation: load.balancerNoticed,
+		Routes: routes, Dialect: platform.Dialect{}, Placer: loop, Pool: pool, CallerGone: callerDisconnected, OnCallerGone: hangupWatch.watch, ShouldShed: load.shouldShed, Shedding: load.shedding, RoutesMayBeStale: load.routesStale, ReadDelay: load.readDelay, OutOfRotation: load.balancerNoticed,
 		Metrics: metrics, Tracing: tracing, Log: log,
 	})
 	return b.gateway
@@ -95,16 +96,16 @@
 
 // Routed is a running daemon that serves routes.
 type Routed struct {
-	p       routedParts
-	tasks   sync.WaitGroup
-	cancel  context.CancelFunc
-	loops   sync.WaitGroup
-	endLoop context.CancelFunc
-	// accepting tells when callers' connections are accepted no more.
+	deps       routedDependencies
+	tasks      sync.WaitGroup
+	cancel     context.CancelFunc
+	loopTasks  sync.WaitGroup
+	cancelLoop context.CancelFunc
+	// accepting tells when callers' connections are no longer accepted.
 	accepting acceptLoops
 }
 
-type routedParts struct {
+type routedDependencies struct {
 	fx.In
 
 	Settings  settings.Settings
@@ -126,87 +127,88 @@
 	Log       *slog.Logger
 }
 
-func newRouted(lc fx.Lifecycle, p routedParts) *Routed {
-	d := &Routed{p: p}
+func newRouted(lc fx.Lifecycle, p routedDependencies) *Routed {
+	d := &Routed{deps: p}
 	lc.Append(fx.Hook{OnStart: d.start, OnStop: d.stop})
 	return d
 }
 
 func (d *Routed) start(ctx context.Context) error {
-	event.DaemonStarting.Log(d.p.Log, "daemon", d.p.Identity.Daemon, "zone", d.p.Identity.Zone, "incarnation", d.p.Identity.Incarnation)
-	loopCtx, endLoop := context.WithCancel(context.Background())
-	d.endLoop = endLoop
-	d.loops.Go(func() { d.p.Loop.Run(loopCtx) })
-	if err := d.p.Node.Start(ctx); err != nil {
-		endLoop()
+	event.DaemonStarting.Log(d.deps.Log, "daemon", d.deps.Identity.Daemon, "zone", d.deps.Identity.Zone, "incarnation", d.deps.Identity.Incarnation)
+	loopCtx, cancelLoop := context.WithCancel(context.Background())
+	d.cancelLoop = cancelLoop
+	d.loopTasks.Go(func() { d.deps.Loop.Run(loopCtx) })
+	if err := d.deps.Node.Start(ctx); err != nil {
+		cancelLoop()
 		return err
 	}
 	taskCtx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
-	site := newSite(d.p)
-	for _, run := range site.tasks() {
+	storeSync := newStoreSync(d.deps)
+	for _, run := range storeSync.tasks() {
 		d.tasks.Go(func() { run(taskCtx) })
 	}
-	d.accepting.callers = d.serve(d.p.Servers.callers, newRateLimitedListener(d.p.Servers.callersListener, d.p.Load.acceptRate, d.p.Handovers.tryForward))
-	d.accepting.returned = d.serve(d.p.Servers.callers, d.p.Handovers.returned)
-	if d.p.Servers.takeoverListener != nil {
-		d.accepting.forwarded = d.serve(d.p.Servers.callers, d.p.Servers.takeoverListener)
+	d.accepting.callers = d.serve(d.deps.Servers.callers, newRateLimitedListener(d.deps.Servers.callersListener, d.deps.Load.acceptRate, d.deps.Handovers.tryForward))
+	d.accepting.returned = d.serve(d.deps.Servers.callers, d.deps.Handovers.returned)
+	if d.deps.Servers.takeoverListener != nil {
+		d.accepting.forwarded = d.serve(d.deps.Servers.callers, d.deps.Servers.takeoverListener)
 	}
-	d.serve(d.p.Servers.operators, d.p.Servers.operatorsListener)
-	if d.p.Servers.readinessListener != nil {
-		d.serve(d.p.Servers.readiness, d.p.Servers.readinessListener)
+	d.serve(d.deps.Servers.operators, d.deps.Servers.operatorsListener)
+	if d.deps.Servers.readinessListener != nil {
+		d.serve(d.deps.Servers.readiness, d.deps.Servers.readinessListener)
 	}
 	return nil
 }
 
-// serve returns a channel that is closed when the server accepts no more.
+// serve runs the server in a task. It returns a channel that is closed when the server
+// accepts no more connections.
 func (d *Routed) serve(server *http.Server, listener net.Listener) <-chan struct{} {
 	done := make(chan struct{})
 	d.tasks.Go(func() {
 		defer close(done)
-		_ = server.Serve(listener) // ends with ErrServerClosed, or when the listener is drained
+		_ = server.Serve(listener) // returns ErrServerClosed, or an error once the listener is drained
 	})
 	return done
 }
 
-// stop is the planned stop: see Daemon.stop, whose order it keeps.
+// stop performs a graceful shutdown in the same order as Daemon.stop.
 func (d *Routed) stop(ctx context.Context) error {
-	wasReady := d.p.Life.State() == StateReady
-	d.p.Life.applyTrigger(triggerStop)
-	event.DaemonDraining.Log(d.p.Log, "daemon", d.p.Identity.Daemon)
-	d.p.Node.AnnounceLeaving()
-	d.p.Loop.Leave()
+	wasReady := d.deps.Life.State() == StateReady
+	d.deps.Life.applyTrigger(triggerStop)
+	event.DaemonDraining.Log(d.deps.Log, "daemon", d.deps.Identity.Daemon)
+	d.deps.Node.AnnounceLeaving()
+	d.deps.Loop.Leave()
 	if wasReady {
-		pause(ctx, d.p.Settings.Stop.BalancerLag)
+		sleepContext(ctx, d.deps.Settings.Stop.BalancerLag)
 	}
-	d.p.Life.applyTrigger(triggerBalancerNoticed)
-	// From here on a request may be too long to end before the process is killed:
-	// one on a kept connection is refused as not run, and unused connections are
-	// closed, so that their callers take new ones elsewhere.
-	d.p.Gateway.Close()
-	drainCtx, drained := context.WithCancel(ctx)
+	d.deps.Life.applyTrigger(triggerBalancerNoticed)
+	// From here on a request may take too long to end before the process is killed.
+	// Requests on persistent connections are refused as not run, and unused connections are
+	// closed, so that their callers reconnect to other daemons.
+	d.deps.Gateway.Close()
+	drainCtx, stopWarnings := context.WithCancel(ctx)
 	d.tasks.Go(func() {
-		d.p.Servers.logDrainProgress(drainCtx, max(d.p.Settings.Stop.WarnAfter, time.Second), d.p.Handovers, d.p.Log)
+		d.deps.Servers.logDrainProgress(drainCtx, max(d.deps.Settings.Stop.WarnAfter, time.Second), d.deps.Handovers, d.deps.Log)
 	})
-	d.p.Servers.drain(ctx, d.p.Handovers, d.accepting)
-	drained()
-	d.p.Life.applyTrigger(triggerDrained)
+	d.deps.Servers.drain(ctx, d.deps.Handovers, d.accepting)
+	stopWarnings()
+	d.deps.Life.applyTrigger(triggerDrained)
 	d.cancel()
-	_ = d.p.Node.Stop(ctx)
-	_ = d.p.Servers.operators.Close()
-	_ = d.p.Servers.readiness.Close()
-	d.endLoop()
-	d.loops.Wait()
+	_ = d.deps.Node.Stop(ctx)
+	_ = d.deps.Servers.operators.Close()
+	_ = d.deps.Servers.readiness.Close()
+	d.cancelLoop()
+	d.loopTasks.Wait()
 	d.tasks.Wait()
-	d.p.Pool.Close()
-	d.p.Store.Close()
-	_ = d.p.Tracing.Close(ctx)
-	_ = d.p.Metrics.Close()
-	event.DaemonStopped.Log(d.p.Log, "daemon", d.p.Identity.Daemon)
+	d.deps.Pool.Close()
+	d.deps.Store.Close()
+	_ = d.deps.Tracing.Close(ctx)
+	_ = d.deps.Metrics.Close()
+	event.DaemonStopped.Log(d.deps.Log, "daemon", d.deps.Identity.Daemon)
 	return nil
 }
 
-func pause(ctx context.Context, wait time.Duration) {
+func sleepContext(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -215,12 +217,12 @@
 	}
 }
 
-func (d *Routed) life() *Lifecycle { return d.p.Life }
+func (d *Routed) life() *Lifecycle { return d.deps.Life }
 
 func (d *Routed) addresses() Addresses {
 	return Addresses{
-		Callers:   d.p.Servers.callersListener.Addr().String(),
-		Operators: d.p.Servers.operatorsListener.Addr().String(),
-		Fleet:     d.p.Node.Address(),
+		Callers:   d.deps.Servers.callersListener.Addr().String(),
+		Operators: d.deps.Servers.operatorsListener.Addr().String(),
+		Fleet:     d.deps.Node.Address(),
 	}
 }
--- a/internal/daemon/routedbridge.go
+++ b/internal/daemon/routedbridge.go
@@ -20,8 +20,8 @@
 	"github.com/savorystall/savorystall/platform"
 )
 
-// routedBridge joins the fleet's links to the control loop where routes are
-// served. Configuration and claims do not travel over links there.
+// routedBridge connects the fleet's links to the control loop of a daemon that serves
+// routes. Configuration and claims are not sent over links in this binding.
 type routedBridge struct {
 	// node, loop, gateway and relay are set once, before the node starts.
 	node    *fleet.Node
@@ -30,7 +30,7 @@
 	relay   *relay.Feed
 	zone    ident.Zone
 	load    *loadMonitor
-	// handovers passes connections on to the neighbours in the zone.
+	// handovers forwards connections to the neighbours in the availability zone.
 	handovers *connForwarder
 }
 
@@ -40,26 +40,26 @@
 	return &routedBridge{load: load, zone: id.Zone, handovers: h}
 }
 
-// SendBookings implements control.BookingActions.
+// SendBookingMessage implements control.BookingActions.
 func (b *routedBridge) SendBookingMessage(to ident.Daemon, m booking.Message) {
 	b.node.Send(to, scheduler.Message{Bookings: m})
 }
 
 // Peers implements fleet.Handler.
 func (b *routedBridge) Peers(peers []scheduler.Peer) {
-	list := make([]booking.Peer, len(peers))
+	bookingPeers := make([]booking.Peer, len(peers))
 	members := make([]membership.Member, len(peers))
 	var neighbours []ident.Daemon
 	live := make(map[ident.Daemon]bool, len(peers))
 	for i, p := range peers {
 		live[p.ID] = true
-		list[i] = booking.Peer(p)
+		bookingPeers[i] = booking.Peer(p)
 		members[i] = membership.Member{ID: p.ID, Zone: p.Zone, Incarnation: p.Incarnation, Leaving: p.Leaving}
 		if p.Zone == b.zone && !p.Leaving {
 			neighbours = append(neighbours, p.ID)
 		}
 	}
-	b.loop.SetPeers(list)
+	b.loop.SetPeers(bookingPeers)
 	b.relay.Elect(members)
 	b.load.zoneDaemons.Store(int64(len(neighbours)) + 1)
 	b.handovers.setNeighbours(neighbours, live)
@@ -78,10 +78,10 @@
 	b.loop.Receive(from, m.Bookings)
 }
 
-// Head implements fleet.Handler. Each daemon follows the store by itself.
+// Head implements fleet.Handler. It does nothing: each daemon follows the store itself.
 func (b *routedBridge) Head(ident.Daemon, uint64) {}
 
-// Entries implements fleet.Handler.
+// Entries implements fleet.Handler. It returns none, since links carry no configuration.
 func (b *routedBridge) Entries(uint64) []fleet.Entry { return nil }
 
 // Follow implements fleet.Handler.
@@ -89,42 +89,43 @@
 	return b.relay.ServeQuery(ctx, q)
 }
 
-// followPeers lets the relay ask peers.
-type followPeers struct{ bridge *routedBridge }
+// feedPeers sends feed queries of the relay to peers.
+type feedPeers struct{ bridge *routedBridge }
 
 // Follow implements relay.Peers.
-func (p followPeers) Follow(ctx context.Context, reader ident.Daemon, q store.FeedQuery) (store.FeedAnswer, error) {
+func (p feedPeers) Follow(ctx context.Context, reader ident.Daemon, q store.FeedQuery) (store.FeedAnswer, error) {
 	return p.bridge.node.Follow(ctx, reader, q)
 }
 
-// Claim implements fleet.Handler. No request is claimed where routes are served.
+// Claim implements fleet.Handler. Requests are not claimed when routes are served.
 func (b *routedBridge) Claim(fleet.ClaimQuery) fleet.ClaimAnswer {
 	return fleet.ClaimAnswer{State: fleet.ClaimUnknown}
 }
 
-// daemonRow is what a daemon writes of itself for the others.
+// daemonRow is the row in the store with which a daemon registers itself for the others.
 type daemonRow struct {
 	Zone ident.Zone `json:"zone"`
-	// Address is that of the fleet listener.
+	// Address is the address of the fleet listener.
 	Address string `json:"address"`
-	// Handover is where it takes connections over; empty: nowhere.
+	// Handover is the address at which the daemon accepts connections forwarded by
+	// neighbours; empty if it accepts none.
 	Handover    string `json:"handover,omitempty"`
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// identityRead bounds the reading of the former incarnation at the start. A
-// daemon that starts while the store is away must not wait for it.
-const identityRead = time.Second
+// identityReadTimeout bounds the read of the previous incarnation at the start. A daemon
+// that starts while the store is unreachable must not wait for it.
+const identityReadTimeout = time.Second
 
-// newRoutedIdentity chooses an incarnation above the last one that the store
-// knows of this daemon.
+// newRoutedIdentity chooses an incarnation higher than the last one that the store holds
+// for this daemon.
 //
-// It guards against a clock that was set back: incarnations come from the time of
-// day, and peers would refuse the links of a daemon that was restarted with a
-// lower one than before, so that it stayed alone.
+// This guards against a clock that was set back. Incarnations are derived from the time of
+// day, and peers refuse the links of a daemon that restarts with a lower incarnation than
+// before, which would leave it isolated.
 func newRoutedIdentity(s settings.Settings, store *platform.Store, log *slog.Logger) identity {
 	id := newIdentity(s)
-	ctx, cancel := context.WithTimeout(context.Background(), identityRead)
+	ctx, cancel := context.WithTimeout(context.Background(), identityReadTimeout)
 	defer cancel()
 	rows, _, err := store.ReadTable(ctx, platform.TableDaemons)
 	if err != nil {
@@ -132,9 +133,9 @@
 		return id
 	}
 	for _, row := range rows {
-		var former daemonRow
-		if row.Key == string(id.Daemon) && json.Unmarshal(row.Value, &former) == nil {
-			id.Incarnation = max(id.Incarnation, former.Incarnation+1)
+		var previous daemonRow
+		if row.Key == string(id.Daemon) && json.Unmarshal(row.Value, &previous) == nil {
+			id.Incarnation = max(id.Incarnation, previous.Incarnation+1)
 		}
 	}
 	return id
--- a/internal/daemon/routedoperators.go
+++ b/internal/daemon/routedoperators.go
@@ -27,14 +27,14 @@
 }
 
 func (o *routedOperators) healthy(w http.ResponseWriter, _ *http.Request) {
-	answerHealthy(w, o.loop.Inspect(func(*booking.Core) {}))
+	writeHealth(w, o.loop.Inspect(func(*booking.Core) {}))
 }
 
 func (o *routedOperators) ready(w http.ResponseWriter, _ *http.Request) {
 	state := o.life.State()
 	if state == StateReady && o.load.overloaded() {
-		answerReady(w, "overloaded", false)
+		writeReadiness(w, "overloaded", false)
 		return
 	}
-	answerReady(w, string(state), state == StateReady)
+	writeReadiness(w, string(state), state == StateReady)
 }
--- a/internal/daemon/routedservers.go
+++ b/internal/daemon/routedservers.go
@@ -16,21 +16,23 @@
 	"github.com/savorystall/savorystall/internal/telemetry"
 )
 
-// routedServers are the listeners of a daemon that serves routes, already bound.
+// routedServers holds the HTTP servers of a daemon that serves routes together with their
+// bound listeners.
 type routedServers struct {
 	callers, operators, readiness *http.Server
 	callersListener               *drainableListener
 	connections                   *connTracker
-	// takeoverListener takes connections over from neighbours; nil: none are taken.
+	// takeoverListener accepts connections forwarded by neighbours; nil if none are
+	// accepted.
 	takeoverListener  *forwardedListener
 	operatorsListener net.Listener
 	readinessListener net.Listener
 }
 
-func newRoutedServers(s settings.Settings, g *gateway.Server, life *Lifecycle, loop *control.BookingLoop, load *loadMonitor, h *connForwarder, left *disconnectWatcher,
+func newRoutedServers(s settings.Settings, g *gateway.Server, life *Lifecycle, loop *control.BookingLoop, load *loadMonitor, h *connForwarder, hangupWatch *disconnectWatcher,
 	routes *route.Holder, metrics *telemetry.Metrics) (*routedServers, error) {
 	ops := &routedOperators{life: life, loop: loop, load: load, metrics: metrics}
-	r := &routedServers{connections: newConnTracker(callersConnections(s.Memory))}
+	r := &routedServers{connections: newConnTracker(maxCallerConnections(s.Memory))}
 	h.unreadConns = r.connections.countUnread
 	h.routesVersion = routesVersion(routes)
 	var err error
@@ -46,18 +48,18 @@
 		}
 	}
 	if s.Fleet.Handover != settings.HandoverNone {
-		takes := func() bool { return h.currentLoad().AcceptsForwarded() && life.State() == StateReady }
-		if r.takeoverListener, err = listenForwarded(s.Fleet, takes, h.routesVersion); err != nil {
-			return nil, merry.Prepend(err, "listener for connections of neighbours")
+		accepts := func() bool { return h.currentLoad().AcceptsForwarded() && life.State() == StateReady }
+		if r.takeoverListener, err = listenForwarded(s.Fleet, accepts, h.routesVersion); err != nil {
+			return nil, merry.Prepend(err, "handover listener")
 		}
 	}
 	r.callers = &http.Server{
 		ConnState: func(c net.Conn, state http.ConnState) {
 			r.connections.track(c, state)
-			left.pollIfDue(c, state)
+			hangupWatch.pollIfDue(c, state)
 		},
 		ConnContext:       withConn,
-		Handler:           keeping(s.Callers.IdleTimeout, r.connections.nearLimit, closeWhenStopping(life, countRequests(g))),
+		Handler:           withConnectionHeaders(s.Callers.IdleTimeout, r.connections.nearLimit, closeWhenStopping(life, countRequests(g))),
 		ReadHeaderTimeout: s.Callers.HeaderTimeout,
 		MaxHeaderBytes:    s.Callers.HeaderBytes,
 		IdleTimeout:       s.Callers.IdleTimeout,
@@ -68,7 +70,8 @@
 	return r, nil
 }
 
-// routesVersion returns a function that tells the version of the routes in force; zero: none.
+// routesVersion returns a function that returns the version of the routes in force, or zero
+// if there are none.
 func routesVersion(routes *route.Holder) func() uint64 {
 	return func() uint64 {
 		if table := routes.Current(); table != nil {
@@ -78,29 +81,32 @@
 	}
 }
 
-// connectionsPerMB bounds the callers' connections by the VM's memory: each takes
-// some 20 kB with its buffers and its goroutine, so that four fill a twelfth of it.
+// connectionsPerMB bounds the callers' connections by the memory of the VM. Each connection
+// takes about 20 kB with its buffers and its goroutine, so four per MB fill a twelfth of
+// the memory.
 const connectionsPerMB = 4
 
-// callersConnections bounds the callers' connections; zero means no bound.
-func callersConnections(m settings.Memory) int {
-	bound := m.Descriptors / 2
-	if m.Limit > 0 && (bound == 0 || bound > connectionsPerMB*m.Limit) {
-		bound = connectionsPerMB * m.Limit
+// maxCallerConnections returns the limit on callers' connections; zero means no limit.
+func maxCallerConnections(m settings.Memory) int {
+	limit := m.Descriptors / 2
+	if m.Limit > 0 && (limit == 0 || limit > connectionsPerMB*m.Limit) {
+		limit = connectionsPerMB * m.Limit
 	}
-	return bound
+	return limit
 }
 
-// idleMargin is how much less than the truth callers are told of how long an
-// unused connection is kept, so that no request crosses its close.
-const idleMargin = time.Second
+// keepAliveMargin is by how much the idle timeout announced to callers is shorter than the
+// actual one, so that a caller does not send a request while its connection is being
+// closed.
+const keepAliveMargin = time.Second
 
-// keeping tells callers how long their connections are kept, and to close them
-// where descriptors or processor time run short: a new one may lead elsewhere. One that a
-// neighbour passed on ends with its first answer, so that the neighbour, which does not read
-// it, knows from its end that no answer is owed.
-func keeping(idle time.Duration, pressed func() bool, next http.Handler) http.Handler {
-	value := "timeout=" + strconv.Itoa(int(max(time.Second, idle-idleMargin).Seconds()))
+// withConnectionHeaders tells callers how long an idle connection is kept open. It asks
+// them to close it if file descriptors or processor time run short, since a new connection
+// may reach another daemon. A connection forwarded by a neighbour is closed after its first
+// response: the neighbour does not parse the response and recognizes from the close that
+// none is outstanding.
+func withConnectionHeaders(idle time.Duration, pressed func() bool, next http.Handler) http.Handler {
+	value := "timeout=" + strconv.Itoa(int(max(time.Second, idle-keepAliveMargin).Seconds()))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if pressed() || isForwarded(r.Context()) {
 			w.Header().Set("Connection", "close")
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -27,19 +27,20 @@
 
 // Daemon is a running savorystalld.
 type Daemon struct {
-	p parts
-	// tasks are the goroutines that end with ctx.
-	tasks  sync.WaitGroup
-	cancel context.CancelFunc
-	loops  sync.WaitGroup
-	// callers is closed when no connection of a caller is accepted any more.
-	callers <-chan struct{}
-	// endLoop ends the control loop and the claim writer, after the tasks.
-	endLoop context.CancelFunc
+	deps dependencies
+	// tasks tracks the goroutines that end when their context is canceled by cancel.
+	tasks     sync.WaitGroup
+	cancel    context.CancelFunc
+	loopTasks sync.WaitGroup
+	// callersDone is closed once no more connections of callers are accepted.
+	callersDone <-chan struct{}
+	// cancelLoop ends the control loop and the claim writer. It is called after the tasks
+	// have ended.
+	cancelLoop context.CancelFunc
 }
 
-// parts are what fx hands over.
-type parts struct {
+// dependencies are the components that fx injects.
+type dependencies struct {
 	fx.In
 
 	Settings settings.Settings
@@ -61,55 +62,55 @@
 	Log      *slog.Logger
 }
 
-func newDaemon(lc fx.Lifecycle, p parts) *Daemon {
-	d := &Daemon{p: p}
+func newDaemon(lc fx.Lifecycle, p dependencies) *Daemon {
+	d := &Daemon{deps: p}
 	lc.Append(fx.Hook{OnStart: d.start, OnStop: d.stop})
 	return d
 }
 
-// probeInterval is how often the owned targets are asked for their
-// status: with one lost probe a leaving target is known well within 3 s.
+// probeInterval is how often the status of the owned targets is probed. Even if one probe
+// is lost, a target that is leaving is detected well within 3 s.
 const probeInterval = time.Second
 
 func (d *Daemon) start(ctx context.Context) error {
-	event.DaemonStarting.Log(d.p.Log, "daemon", d.p.Identity.Daemon, "zone", d.p.Identity.Zone, "incarnation", d.p.Identity.Incarnation)
-	loopCtx, endLoop := context.WithCancel(context.Background())
-	d.endLoop = endLoop
-	d.loops.Go(func() { d.p.Loop.Run(loopCtx) })
-	d.loops.Go(func() { d.p.Claimer.Run(loopCtx) })
-	if err := d.p.Node.Start(ctx); err != nil {
-		endLoop()
+	event.DaemonStarting.Log(d.deps.Log, "daemon", d.deps.Identity.Daemon, "zone", d.deps.Identity.Zone, "incarnation", d.deps.Identity.Incarnation)
+	loopCtx, cancelLoop := context.WithCancel(context.Background())
+	d.cancelLoop = cancelLoop
+	d.loopTasks.Go(func() { d.deps.Loop.Run(loopCtx) })
+	d.loopTasks.Go(func() { d.deps.Claimer.Run(loopCtx) })
+	if err := d.deps.Node.Start(ctx); err != nil {
+		cancelLoop()
 		return err
 	}
 	taskCtx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
-	for _, run := range d.followers() {
+	for _, run := range d.backgroundTasks() {
 		d.tasks.Go(func() { run(taskCtx) })
 	}
-	d.callers = d.serve(d.p.Servers.callers, d.p.Servers.callersListener)
-	d.serve(d.p.Servers.operators, d.p.Servers.operatorsListener)
+	d.callersDone = d.serve(d.deps.Servers.callers, d.deps.Servers.callersListener)
+	d.serve(d.deps.Servers.operators, d.deps.Servers.operatorsListener)
 	return nil
 }
 
-func (d *Daemon) followers() []func(context.Context) {
-	p := d.p
+func (d *Daemon) backgroundTasks() []func(context.Context) {
+	p := d.deps
 	configuration := &configFollower{store: p.Store, loop: p.Loop, node: p.Node, life: p.Life, log: p.Log}
-	vms := &vmFollower{
-		vms: p.Client, seeds: seedVMs(p.Settings), interval: p.Settings.Platform.VMPoll, timeout: p.Settings.Platform.Timeout,
+	vmPoller := &vmPoller{
+		vms: p.Client, seeds: seedVMList(p.Settings), interval: p.Settings.Platform.VMPoll, timeout: p.Settings.Platform.Timeout,
 		store: p.Store, loop: p.Loop, node: p.Node,
 	}
-	probes := &prober{
-		store: p.Store, loop: p.Loop, vms: vms, runner: p.Runner, interval: probeInterval, log: p.Log,
+	prober := &prober{
+		store: p.Store, loop: p.Loop, vms: vmPoller, runner: p.Runner, interval: probeInterval, log: p.Log,
 	}
-	caches := &cachePoller{store: p.Store, loop: p.Loop, runner: p.Runner}
-	gauges := &gaugeReporter{parts: p}
-	orders := &orderFollower{store: p.Store, loop: p.Loop, reconciler: p.Orders}
-	watch := func(ctx context.Context) { _ = p.Watcher.Run(ctx) }    // ends with nil
-	archive := func(ctx context.Context) { _ = p.Archiver.Run(ctx) } // ends with nil
-	return []func(context.Context){watch, archive, configuration.run, vms.run, probes.run, caches.run, gauges.run, orders.run}
+	cachePoller := &cachePoller{store: p.Store, loop: p.Loop, runner: p.Runner}
+	gaugeReporter := &gaugeReporter{deps: p}
+	publisher := &desiredStatePublisher{store: p.Store, loop: p.Loop, reconciler: p.Orders}
+	watch := func(ctx context.Context) { _ = p.Watcher.Run(ctx) }    // always returns nil
+	archive := func(ctx context.Context) { _ = p.Archiver.Run(ctx) } // always returns nil
+	return []func(context.Context){watch, archive, configuration.run, vmPoller.run, prober.run, cachePoller.run, gaugeReporter.run, publisher.run}
 }
 
-func seedVMs(s settings.Settings) []platform.VM {
+func seedVMList(s settings.Settings) []platform.VM {
 	seeds := make([]platform.VM, len(s.Fleet.Seeds))
 	for i, seed := range s.Fleet.Seeds {
 		seeds[i] = platform.VM{Name: string(seed.Daemon), Address: seed.Address, Role: platform.RoleDaemon, State: platform.VMLive}
@@ -117,118 +118,119 @@
 	return seeds
 }
 
-// serve returns a channel that is closed when the server accepts no more.
+// serve runs the server in a task. It returns a channel that is closed when the server
+// accepts no more connections.
 func (d *Daemon) serve(server *http.Server, listener net.Listener) <-chan struct{} {
 	done := make(chan struct{})
 	d.tasks.Go(func() {
 		defer close(done)
-		_ = server.Serve(listener) // ends with ErrServerClosed, or when the listener is drained
+		_ = server.Serve(listener) // returns ErrServerClosed, or an error once the listener is drained
 	})
 	return done
 }
 
-// stop is the planned stop. Readiness fails first and the owned targets go to
-// peers; requests are accepted until the balancer has noticed, and then every
-// request in flight, waiting or running, is brought to its end.
+// stop performs a graceful shutdown. It first reports the daemon as not ready and transfers
+// the owned targets to peers. It goes on accepting requests until the load balancer has
+// noticed, and then completes every request in flight, whether it is queued or running.
 func (d *Daemon) stop(ctx context.Context) error {
-	wasReady := d.p.Life.State() == StateReady
-	d.p.Life.applyTrigger(triggerStop)
-	event.DaemonDraining.Log(d.p.Log, "daemon", d.p.Identity.Daemon)
-	d.p.Node.AnnounceLeaving()
-	d.p.Loop.Leave()
+	wasReady := d.deps.Life.State() == StateReady
+	d.deps.Life.applyTrigger(triggerStop)
+	event.DaemonDraining.Log(d.deps.Log, "daemon", d.deps.Identity.Daemon)
+	d.deps.Node.AnnounceLeaving()
+	d.deps.Loop.Leave()
 	if wasReady {
-		pause(ctx, d.p.Settings.Stop.BalancerLag)
+		sleepContext(ctx, d.deps.Settings.Stop.BalancerLag)
 	}
-	d.p.Life.applyTrigger(triggerBalancerNoticed)
-	d.p.Servers.callersListener.drain()
-	<-d.callers
+	d.deps.Life.applyTrigger(triggerBalancerNoticed)
+	d.deps.Servers.callersListener.drain()
+	<-d.callersDone
 	d.drain(ctx)
-	_ = d.p.Claimer.Flush(ctx) // an open record is then told as "may have run"
-	d.p.Life.applyTrigger(triggerDrained)
+	_ = d.deps.Claimer.Flush(ctx) // claims that remain open are reported as "may have run"
+	d.deps.Life.applyTrigger(triggerDrained)
 	d.cancel()
-	_ = d.p.Node.Stop(ctx)
-	_ = d.p.Servers.operators.Close()
-	d.endLoop()
-	d.loops.Wait()
+	_ = d.deps.Node.Stop(ctx)
+	_ = d.deps.Servers.operators.Close()
+	d.cancelLoop()
+	d.loopTasks.Wait()
 	d.tasks.Wait()
-	d.p.Bridge.fetches.wg.Wait()
-	d.p.Runner.Close()
-	_ = d.p.Tracing.Close(ctx)
-	_ = d.p.Metrics.Close()
-	event.DaemonStopped.Log(d.p.Log, "daemon", d.p.Identity.Daemon)
+	d.deps.Bridge.fetchGuard.wg.Wait()
+	d.deps.Runner.Close()
+	_ = d.deps.Tracing.Close(ctx)
+	_ = d.deps.Metrics.Close()
+	event.DaemonStopped.Log(d.deps.Log, "daemon", d.deps.Identity.Daemon)
 	return nil
 }
 
-// drain waits until no request of a caller is left, and says so in the log when
-// that takes long.
+// drain waits until no request of a caller is left. It logs a warning at intervals while it
+// waits.
 func (d *Daemon) drain(ctx context.Context) {
 	drained := make(chan struct{})
 	go func() {
 		defer close(drained)
-		d.p.Servers.connections.drain(ctx)
-		_ = d.p.Servers.callers.Shutdown(ctx)
+		d.deps.Servers.connections.drain(ctx)
+		_ = d.deps.Servers.callers.Shutdown(ctx)
 	}()
-	warn := time.NewTicker(max(d.p.Settings.Stop.WarnAfter, time.Second))
-	defer warn.Stop()
+	warnTicker := time.NewTicker(max(d.deps.Settings.Stop.WarnAfter, time.Second))
+	defer warnTicker.Stop()
 	for {
 		select {
 		case <-drained:
 			return
-		case <-warn.C:
+		case <-warnTicker.C:
 			waiting, running := d.load()
-			event.DrainStuck.Log(d.p.Log, "daemon", d.p.Identity.Daemon, "waiting", waiting, "running", running)
+			event.DrainStuck.Log(d.deps.Log, "daemon", d.deps.Identity.Daemon, "waiting", waiting, "running", running)
 		}
 	}
 }
 
 func (d *Daemon) load() (waiting, running int) {
-	d.p.Loop.Inspect(func(c *scheduler.Core) { waiting, running = c.Waiting(), c.Running() })
+	d.deps.Loop.Inspect(func(c *scheduler.Core) { waiting, running = c.Waiting(), c.Running() })
 	return waiting, running
 }
 
-// stopLimit bounds a planned stop. It is above the longest deadline of any
-// request, since none may be cut off.
-const stopLimit = 24 * time.Hour
+// stopTimeout bounds a graceful shutdown. It exceeds the longest deadline of any request,
+// because no request may be cut off.
+const stopTimeout = 24 * time.Hour
 
-const startLimit = 15 * time.Second
+const startTimeout = 15 * time.Second
 
-// running is a daemon as Run sees it.
-type running interface {
+// instance is the view that Run has of a daemon.
+type instance interface {
 	life() *Lifecycle
 	addresses() Addresses
 }
 
-func (d *Daemon) life() *Lifecycle { return d.p.Life }
+func (d *Daemon) life() *Lifecycle { return d.deps.Life }
 
-// binding returns the parts of a daemon for the platform's binding, and a
-// function that returns the daemon once the parts are built.
-func binding(s settings.Settings) (fx.Option, func() running) {
+// selectBinding returns the fx options for the platform binding in the settings, and a
+// function that returns the daemon once fx has built it.
+func selectBinding(s settings.Settings) (fx.Option, func() instance) {
 	if s.Platform.Binding == settings.BindingRoutes {
 		var d *Routed
-		return fx.Options(RoutedModule, fx.Populate(&d)), func() running { return d }
+		return fx.Options(RoutedModule, fx.Populate(&d)), func() instance { return d }
 	}
 	var d *Daemon
-	return fx.Options(Module, fx.Populate(&d)), func() running { return d }
+	return fx.Options(Module, fx.Populate(&d)), func() instance { return d }
 }
 
-// Run starts a daemon, calls ready once a configuration is in force and callers
-// are served, and stops it when ctx ends. It returns after the planned stop.
+// Run starts a daemon, calls ready once a configuration is in force and callers are served,
+// and stops the daemon when ctx ends. It returns after the graceful shutdown.
 func Run(ctx context.Context, s settings.Settings, log *slog.Logger, ready func(Addresses)) error {
-	parts, built := binding(s)
+	options, built := selectBinding(s)
 	app := fx.New(
-		parts,
+		options,
 		fx.Supply(s, log),
-		fx.StartTimeout(startLimit),
-		fx.StopTimeout(stopLimit),
+		fx.StartTimeout(startTimeout),
+		fx.StopTimeout(stopTimeout),
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
 	)
 	if err := app.Err(); err != nil {
-		// What fx adds names the constructors on the way, not the cause.
+		// fx adds the names of the constructors it was running, not the cause.
 		return dig.RootCause(err)
 	}
-	starting, cancel := context.WithTimeout(context.Background(), startLimit)
+	startCtx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
-	if err := app.Start(starting); err != nil {
+	if err := app.Start(startCtx); err != nil {
 		return err
 	}
 	d := built()
@@ -238,20 +240,20 @@
 		<-ctx.Done()
 	case <-ctx.Done():
 	}
-	stopping, cancelStop := context.WithTimeout(context.Background(), stopLimit)
+	stopCtx, cancelStop := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancelStop()
-	return app.Stop(stopping)
+	return app.Stop(stopCtx)
 }
 
-// Addresses are the bound listeners as host:port.
+// Addresses holds the addresses of the bound listeners as host:port.
 type Addresses struct {
 	Callers, Operators, Fleet string
 }
 
 func (d *Daemon) addresses() Addresses {
 	return Addresses{
-		Callers:   d.p.Servers.callersListener.Addr().String(),
-		Operators: d.p.Servers.operatorsListener.Addr().String(),
-		Fleet:     d.p.Node.Address(),
+		Callers:   d.deps.Servers.callersListener.Addr().String(),
+		Operators: d.deps.Servers.operatorsListener.Addr().String(),
+		Fleet:     d.deps.Node.Address(),
 	}
 }
--- a/internal/daemon/services.go
+++ b/internal/daemon/services.go
@@ -6,7 +6,7 @@
 	"github.com/savorystall/savorystall/internal/scheduler"
 )
 
-// schedulerServices takes from a snapshot what decisions need.
+// schedulerServices extracts from a configuration snapshot what the scheduler needs.
 func schedulerServices(snapshot *config.Snapshot) []scheduler.Service {
 	var services []scheduler.Service
 	for _, s := range snapshot.Services() {
--- a/internal/daemon/sharing_bench_test.go
+++ b/internal/daemon/sharing_bench_test.go
@@ -85,7 +85,7 @@
 	log := slog.New(slog.NewJSONHandler(io.MultiWriter(out, writer), nil))
 	b.ReportAllocs()
 	for b.Loop() {
-		now = now.Add(sharingEvery)
+		now = now.Add(sharingInterval)
 		for _, w := range service.Workspaces {
 			c.RecordShed(now, service.Name, w.Name, 98765)
 		}
--- a/internal/daemon/site.go
+++ b/internal/daemon/site.go
@@ -18,97 +18,97 @@
 	"github.com/savorystall/savorystall/platform"
 )
 
-// site brings what the store holds to the parts that use it: routes, targets, and
-// the other daemons.
-type site struct {
-	p routedParts
+// storeSync applies what the store holds to the components that use it: the routes, the
+// targets and the list of the other daemons.
+type storeSync struct {
+	deps routedDependencies
 
 	mu       sync.Mutex
 	registry *registry.Registry
-	// heard tells that the targets were read once.
-	heard bool
-	// changed wakes the goroutine that drops lapsed targets.
-	changed chan struct{}
+	// targetsRead reports whether the table of targets has been read at least once.
+	targetsRead bool
+	// targetsUpdated wakes the goroutine that removes expired targets.
+	targetsUpdated chan struct{}
 
-	view applier[siteView]
-	own  *ownRow
-	// rows writes the own row.
+	view   viewApplier[routingView]
+	ownRow *ownRow
+	// rows writes this daemon's row.
 	rows store.Rows
 }
 
-// siteView is what the store holds at one moment, as far as this daemon has read it.
-type siteView struct {
+// routingView is the content of the store at one time, as far as this daemon has read it.
+type routingView struct {
 	table   *route.Table
 	targets []registry.Entry
-	// heard tells that the targets were read once.
-	heard bool
+	// targetsRead reports whether the table of targets has been read at least once.
+	targetsRead bool
 }
 
-func newSite(p routedParts) *site {
-	s := &site{p: p, registry: registry.New(registry.Config{CatchUpTime: p.Settings.Routing.InTouch}), changed: make(chan struct{}, 1), own: newOwnRow(), rows: p.Store}
-	s.view = applier[siteView]{look: s.look, put: s.put}
+func newStoreSync(p routedDependencies) *storeSync {
+	s := &storeSync{deps: p, registry: registry.New(registry.Config{CatchUpTime: p.Settings.Routing.InTouch}), targetsUpdated: make(chan struct{}, 1), ownRow: newOwnRow(), rows: p.Store}
+	s.view = viewApplier[routingView]{snapshot: s.snapshot, install: s.install}
 	return s
 }
 
-// beatTable is the table whose calls show that the store answers.
-const beatTable = platform.TableOperator
+// heartbeatTable is the table whose calls show that the store answers.
+const heartbeatTable = platform.TableOperator
 
 const (
-	// beatMargin is by how much the wait of the table that stands for the store's
-	// heartbeat is shorter than the time after which a daemon counts as in touch with
-	// the store again: the slack of its calls, and half a second to ask anew. A
-	// heartbeat is a call, and calls are paid for: one in half a second would cost
-	// four times as many.
-	beatMargin = 1200 * time.Millisecond
-	// longWait is the wait of the others, the longest that the store allows but for
-	// a margin.
-	longWait = 25 * time.Second
-	// targetGather and daemonGather are how long changes are gathered. A target that
-	// drains serves on for two seconds and more, so that it may take some requests
-	// still; daemons also hear of each other by their links.
-	targetGather = 800 * time.Millisecond
-	daemonGather = time.Second
+	// heartbeatMargin is by how much the wait of calls for heartbeatTable is shorter than
+	// the time within which a daemon has to be in contact with the store again. It covers
+	// the slack of the calls and half a second to ask again. Each heartbeat is a call that
+	// is charged for, and one every half second would cost four times as many.
+	heartbeatMargin = 1200 * time.Millisecond
+	// longPollWait is the wait of calls for the other tables. It is the longest that the
+	// store allows, less a margin.
+	longPollWait = 25 * time.Second
+	// targetGatherPeriod and daemonGatherPeriod are how long changes are collected before
+	// they are applied. A target that drains continues to serve for at least two seconds,
+	// so it can still handle the requests it gets in the meantime. Daemons also learn of
+	// each other through their links.
+	targetGatherPeriod = 800 * time.Millisecond
+	daemonGatherPeriod = time.Second
 )
 
-func (s *site) tasks() []func(context.Context) {
+func (s *storeSync) tasks() []func(context.Context) {
 	group := store.NewFeedGroup()
 	return []func(context.Context){
 		s.followRoutes(group),
 		s.followTargets(group),
-		s.follow(group, platform.TableDaemons, longWait, daemonGather, newDaemonRows(s, s.listDaemons)),
+		s.follow(group, platform.TableDaemons, longPollWait, daemonGatherPeriod, newDaemonSubscriber(s, s.setDaemons)),
 		s.announce,
 		s.expire,
 		s.report,
-		func(ctx context.Context) { s.p.Load.run(ctx, s.p.Log, s.p.Servers.connections) },
+		func(ctx context.Context) { s.deps.Load.run(ctx, s.deps.Log, s.deps.Servers.connections) },
 	}
 }
 
-func (s *site) followRoutes(group *store.FeedGroup) func(context.Context) {
-	beat := max(beatMargin, s.p.Settings.Routing.InTouch-beatMargin)
-	return s.follow(group, beatTable, beat, 0, &routeRows{site: s})
+func (s *storeSync) followRoutes(group *store.FeedGroup) func(context.Context) {
+	wait := max(heartbeatMargin, s.deps.Settings.Routing.InTouch-heartbeatMargin)
+	return s.follow(group, heartbeatTable, wait, 0, &routeSubscriber{storeSync: s})
 }
 
-func (s *site) followTargets(group *store.FeedGroup) func(context.Context) {
-	return s.follow(group, platform.TableTargets, longWait, targetGather, &targetRows{site: s, read: platform.DecodeTarget})
+func (s *storeSync) followTargets(group *store.FeedGroup) func(context.Context) {
+	return s.follow(group, platform.TableTargets, longPollWait, targetGatherPeriod, &targetSubscriber{storeSync: s, decodeEntry: platform.DecodeTarget})
 }
 
-func (s *site) follow(group *store.FeedGroup, table string, wait, gather time.Duration, to store.Subscriber) func(context.Context) {
-	cfg := store.FollowerConfig{Feed: s.p.Relay, Table: table, Wait: wait, Gather: gather, Group: group, Logger: s.p.Log}
-	if table == beatTable {
-		cfg.Beats, cfg.Answered = true, s.p.Load.confirmRoutes
+func (s *storeSync) follow(group *store.FeedGroup, table string, wait, gather time.Duration, subscriber store.Subscriber) func(context.Context) {
+	cfg := store.FollowerConfig{Feed: s.deps.Relay, Table: table, Wait: wait, Gather: gather, Group: group, Logger: s.deps.Log}
+	if table == heartbeatTable {
+		cfg.Beats, cfg.Answered = true, s.deps.Load.confirmRoutes
 	}
-	return store.NewFollower(cfg, to).Run
+	return store.NewFollower(cfg, subscriber).Run
 }
 
-// look returns the routes and targets as they were read last.
-func (s *site) look() siteView {
+// snapshot returns the routes and targets as last read.
+func (s *storeSync) snapshot() routingView {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return siteView{table: s.p.Routes.Current(), targets: s.registry.Targets(), heard: s.heard}
+	return routingView{table: s.deps.Routes.Current(), targets: s.registry.Targets(), targetsRead: s.targetsRead}
 }
 
-// put puts routes and targets in force together.
-func (s *site) put(v siteView) {
+// install puts routes and targets into force together.
+func (s *storeSync) install(v routingView) {
 	targets := &gateway.Targets{ByIdentity: map[ident.Target]registry.Entry{}, Usable: map[ident.Service]bool{}}
 	addresses := map[string]bool{}
 	for _, e := range v.targets {
@@ -118,21 +118,21 @@
 			targets.Usable[e.Service] = true
 		}
 	}
-	s.p.Gateway.SetTargets(targets)
-	s.p.Pool.CloseIdleExcept(addresses)
+	s.deps.Gateway.SetTargets(targets)
+	s.deps.Pool.CloseIdleExcept(addresses)
 	if v.table == nil {
 		return
 	}
-	s.p.Loop.Configure(routedServices(v.table, v.targets))
-	if v.heard && s.p.Life.applyTrigger(triggerConfigured) {
-		event.DaemonReady.Log(s.p.Log, "routes_version", v.table.Version, "targets", len(v.targets))
+	s.deps.Loop.Configure(routedServices(v.table, v.targets))
+	if v.targetsRead && s.deps.Life.applyTrigger(triggerConfigured) {
+		event.DaemonReady.Log(s.deps.Log, "routes_version", v.table.Version, "targets", len(v.targets))
 	}
 }
 
-// defaultSlots stands for the slots of a target that states none.
+// defaultSlots is the least number of slots assumed for a target that specifies none.
 const defaultSlots = 4
 
-// routedServices takes from routes and targets what decisions need.
+// routedServices extracts from routes and targets what the booking core needs.
 func routedServices(table *route.Table, entries []registry.Entry) []booking.Service {
 	workspaces := []booking.Workspace{{Name: route.Anonymous, Weight: 1}}
 	for _, w := range table.Workspaces {
@@ -161,28 +161,29 @@
 	return services
 }
 
-func (s *site) targetsChanged(args ...any) {
-	event.TargetsChanged.Log(s.p.Log, args...)
+func (s *storeSync) applyTargetChange(args ...any) {
+	event.TargetsChanged.Log(s.deps.Log, args...)
 	s.view.apply()
 	select {
-	case s.changed <- struct{}{}:
-	default: // it looks again anyway
+	case s.targetsUpdated <- struct{}{}:
+	default: // a wake-up is already pending
 	}
 }
 
-// expire drops the targets that lapsed in an outage of the store and did not come
-// back, and takes in those that a copy of the store still holds after the time for doubt.
-func (s *site) expire(ctx context.Context) {
+// expire removes targets whose entries lapsed during an outage of the store and were not
+// registered again. It also accepts the entries of a restored backup that the store still
+// holds when their quarantine ends.
+func (s *storeSync) expire(ctx context.Context) {
 	for {
 		s.mu.Lock()
-		shadowed := s.registry.Quarantined()
-		dropped, next := s.registry.Expire(time.Now())
+		quarantined := s.registry.Quarantined()
+		expired, next := s.registry.Expire(time.Now())
 		if len(s.registry.Quarantined()) > 0 {
-			shadowed = nil
+			quarantined = nil
 		}
 		s.mu.Unlock()
-		if len(dropped)+len(shadowed) > 0 {
-			event.TargetsChanged.Log(s.p.Log, "lapsed", dropped, "believed", shadowed)
+		if len(expired)+len(quarantined) > 0 {
+			event.TargetsChanged.Log(s.deps.Log, "lapsed", expired, "believed", quarantined)
 			s.view.apply()
 		}
 		var due <-chan time.Time
@@ -192,37 +193,39 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.changed:
+		case <-s.targetsUpdated:
 		case <-due:
 		}
 	}
 }
 
 const (
-	// announceTimeout bounds one write of the own row; announceRetry is the wait
-	// after a failed one, which needs no haste: peers dial each other as well.
-	announceTimeout = 2 * time.Second
-	announceRetry   = time.Second
+	// announceTimeout bounds one write of this daemon's row. announceRetryDelay is the
+	// delay after a failed write, which is not urgent because peers dial each other as
+	// well.
+	announceTimeout    = 2 * time.Second
+	announceRetryDelay = time.Second
 )
 
-// listDaemons takes the list of daemons in, and where each takes connections over.
-func (s *site) listDaemons(vms []store.VM, takeovers map[ident.Daemon]string) {
-	s.p.Node.SetVMs(vms)
-	s.p.Handovers.setAddresses(takeovers)
+// setDaemons applies the list of daemons and the addresses at which they accept forwarded
+// connections.
+func (s *storeSync) setDaemons(vms []store.VM, handoverAddresses map[ident.Daemon]string) {
+	s.deps.Node.SetVMs(vms)
+	s.deps.Handovers.setAddresses(handoverAddresses)
 }
 
-// announce writes the own row, so that other daemons find this one, and takes it away at a
-// planned stop.
-func (s *site) announce(ctx context.Context) {
-	address := s.p.Node.Address()
-	s.keepOwnRow(ctx, address, s.p.Servers.handoverAddress(address))
+// announce registers this daemon in the store, so that other daemons find it, and removes
+// the registration on a graceful shutdown.
+func (s *storeSync) announce(ctx context.Context) {
+	address := s.deps.Node.Address()
+	s.maintainOwnRow(ctx, address, s.deps.Servers.handoverAddress(address))
 }
 
-// keepOwnRow writes the own row with the addresses at which other daemons reach this one, again
-// where the store has lost it, and takes it away when ctx ends.
-func (s *site) keepOwnRow(ctx context.Context, address, handover string) {
-	id := s.p.Identity
-	// A struct of texts and a number can always be written.
+// maintainOwnRow writes this daemon's row with the addresses at which other daemons reach
+// it. It writes the row again whenever the store has lost it, and deletes it when ctx ends.
+func (s *storeSync) maintainOwnRow(ctx context.Context, address, handover string) {
+	id := s.deps.Identity
+	// Marshalling cannot fail for a struct of strings and a number.
 	value, _ := json.Marshal(daemonRow{Zone: id.Zone, Address: address, Handover: handover, Incarnation: id.Incarnation})
 	if !s.writeOwnRow(ctx, value) {
 		return
@@ -230,96 +233,100 @@
 	for {
 		select {
 		case <-ctx.Done():
-			s.withdraw()
+			s.deleteOwnRow()
 			return
-		case <-s.own.lost:
+		case <-s.ownRow.lostSignal:
 		}
-		pause(ctx, s.own.delay(rand.Float64()))
-		if s.own.isLost() && s.writeOwnRow(ctx, value) {
-			event.RowWrittenAgain.Log(s.p.Log, "table", platform.TableDaemons, "key", id.Daemon, "revision", s.own.revision())
+		sleepContext(ctx, s.ownRow.rewriteDelay(rand.Float64()))
+		if s.ownRow.isLost() && s.writeOwnRow(ctx, value) {
+			event.RowWrittenAgain.Log(s.deps.Log, "table", platform.TableDaemons, "key", id.Daemon, "revision", s.ownRow.revision())
 		}
 	}
 }
 
-// writeOwnRow writes the own row until that succeeds. It returns false where ctx ended before.
-func (s *site) writeOwnRow(ctx context.Context, value []byte) bool {
+// writeOwnRow retries until this daemon's row is written. It returns false if ctx ends
+// first.
+func (s *storeSync) writeOwnRow(ctx context.Context, value []byte) bool {
 	for {
-		try, cancel := context.WithTimeout(ctx, announceTimeout)
-		at, err := s.rows.PutRow(try, platform.TableDaemons, string(s.p.Identity.Daemon), value)
+		writeCtx, cancel := context.WithTimeout(ctx, announceTimeout)
+		at, err := s.rows.PutRow(writeCtx, platform.TableDaemons, string(s.deps.Identity.Daemon), value)
 		cancel()
 		if err == nil {
-			s.own.wrote(at)
+			s.ownRow.recordWrite(at)
 			return true
 		}
 		if ctx.Err() != nil {
 			return false
 		}
-		event.RowNotWritten.Log(s.p.Log, "table", platform.TableDaemons, "error", err)
-		pause(ctx, announceRetry)
+		event.RowNotWritten.Log(s.deps.Log, "table", platform.TableDaemons, "error", err)
+		sleepContext(ctx, announceRetryDelay)
 	}
 }
 
-// withdraw removes the own row. A row that stays costs its peers some dials.
-func (s *site) withdraw() {
+// deleteOwnRow deletes this daemon's row. If that fails, the row that remains costs peers
+// only a few dial attempts.
+func (s *storeSync) deleteOwnRow() {
 	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout/4)
 	defer cancel()
-	if err := s.rows.DeleteRow(ctx, platform.TableDaemons, string(s.p.Identity.Daemon)); err != nil {
-		event.RowNotWritten.Log(s.p.Log, "table", platform.TableDaemons, "error", err)
+	if err := s.rows.DeleteRow(ctx, platform.TableDaemons, string(s.deps.Identity.Daemon)); err != nil {
+		event.RowNotWritten.Log(s.deps.Log, "table", platform.TableDaemons, "error", err)
 	}
 }
 
-// reportEvery is the interval of gauges and of the lines about what the log
-// leaves out.
-const reportEvery = 5 * time.Second
+// reportInterval is the interval at which gauges are updated and the number of suppressed
+// log lines is logged.
+const reportInterval = 5 * time.Second
 
-// sharingEvery is the interval of the lines about shares. Each tells what was decided since
-// the one before, so that daemons' figures add up second by second.
-const sharingEvery = time.Second
+// sharingInterval is the interval of the log lines about fair sharing. Each covers the
+// decisions since the previous one, so that the figures of several daemons can be added up
+// second by second.
+const sharingInterval = time.Second
 
-func (s *site) report(ctx context.Context) {
-	ticker := time.NewTicker(reportEvery)
+func (s *storeSync) report(ctx context.Context) {
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
-	sharing := time.NewTicker(sharingEvery)
+	sharing := time.NewTicker(sharingInterval)
 	defer sharing.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			s.gauges()
-			s.p.Handovers.logReport()
-			s.p.Gateway.LogDroppedLines()
+			s.updateGauges()
+			s.deps.Handovers.logReport()
+			s.deps.Gateway.LogDroppedLines()
 		case <-sharing.C:
 			s.logSharing()
 		}
 	}
 }
 
-// logSharing tells by what shares this daemon decides, where some workspace lacks.
-func (s *site) logSharing() {
-	var list []booking.ShareReport
-	s.p.Loop.Inspect(func(c *booking.Core) { list = c.ShareReports(time.Now()) })
-	sheds := float64(s.p.Load.shedPermille.Load()) / shedScale
-	for _, b := range list {
-		event.ServiceShared.Log(s.p.Log, sharingFields(b, sheds)...)
+// logSharing logs the shares that this daemon applies, for services in which a workspace is
+// underserved.
+func (s *storeSync) logSharing() {
+	var reports []booking.ShareReport
+	s.deps.Loop.Inspect(func(core *booking.Core) { reports = core.ShareReports(time.Now()) })
+	shedFraction := float64(s.deps.Load.shedPermille.Load()) / shedScale
+	for _, report := range reports {
+		event.ServiceShared.Log(s.deps.Log, sharingFields(report, shedFraction)...)
 	}
 }
 
-// sharingFields are those of a line about shares, on a daemon that refuses such a part of
-// new requests.
-func sharingFields(b booking.ShareReport, sheds float64) []any {
+// sharingFields returns the fields of a log line about fair sharing. shedFraction is the
+// fraction of new requests that this daemon refuses.
+func sharingFields(report booking.ShareReport, shedFraction float64) []any {
 	return []any{
-		"service", b.Service, "stated", b.Stated, "observed", math.Round(b.Observed),
-		"level", b.Level, "behind", b.MinUnderserved, "kept_back", b.MinShed, "most", b.TopWorkspaces,
-		"sheds", sheds, "own", b.Decisions, "targets", b.OwnedTargets,
+		"service", report.Service, "stated", report.Stated, "observed", math.Round(report.Observed),
+		"level", report.Level, "behind", report.MinUnderserved, "kept_back", report.MinShed, "most", report.TopWorkspaces,
+		"sheds", shedFraction, "own", report.Decisions, "targets", report.OwnedTargets,
 	}
 }
 
-func (s *site) gauges() {
-	head := uint64(0)
-	if table := s.p.Routes.Current(); table != nil {
-		head = table.Version
+func (s *storeSync) updateGauges() {
+	version := uint64(0)
+	if table := s.deps.Routes.Current(); table != nil {
+		version = table.Version
 	}
-	traffic := s.p.Node.Traffic()
-	s.p.Metrics.Fleet(traffic.EstimatedSent(), traffic.EstimatedReceived(), s.p.Gateway.Daemons(), head)
+	traffic := s.deps.Node.Traffic()
+	s.deps.Metrics.Fleet(traffic.EstimatedSent(), traffic.EstimatedReceived(), s.deps.Gateway.Daemons(), version)
 }
--- a/internal/daemon/siterows.go
+++ b/internal/daemon/siterows.go
@@ -15,37 +15,38 @@
 	"github.com/savorystall/savorystall/platform"
 )
 
-// routeRows takes the routes in.
-type routeRows struct {
-	site *site
-	// text is the document in force, passed the revision of the row that was passed over last.
-	text   []byte
-	passed store.Revision
+// routeSubscriber applies changes of the routes.
+type routeSubscriber struct {
+	storeSync *storeSync
+	// document is the encoded document in force, skippedAt the revision of the last row
+	// that was not applied.
+	document  []byte
+	skippedAt store.Revision
 }
 
 // Away implements store.Subscriber.
-func (r *routeRows) Away() {}
+func (r *routeSubscriber) Away() {}
 
 // Back implements store.Subscriber.
-func (r *routeRows) Back(time.Time) {}
+func (r *routeSubscriber) Back(time.Time) {}
 
 // Replace implements store.Subscriber.
-func (r *routeRows) Replace(rows []store.FeedRow, _ store.Revision) {
+func (r *routeSubscriber) Replace(rows []store.FeedRow, _ store.Revision) {
 	for _, row := range rows {
 		r.Change(row)
 	}
 }
 
-// Restored implements store.Subscriber. What is in force stays: the copy's routes are of a
-// lower version, until the operator's are written again.
-func (r *routeRows) Restored(store.Restore) { r.site.p.Metrics.Restored() }
+// Restored implements store.Subscriber. The routes in force stay: those of the backup have
+// a lower version until the operator's are written again.
+func (r *routeSubscriber) Restored(store.Restore) { r.storeSync.deps.Metrics.Restored() }
 
 // Change implements store.Subscriber.
-func (r *routeRows) Change(row store.FeedRow) {
+func (r *routeSubscriber) Change(row store.FeedRow) {
 	if row.Key != platform.KeyRoutes || row.Deleted {
 		return
 	}
-	log := r.site.p.Log
+	log := r.storeSync.deps.Log
 	document, err := platform.DecodeRoutes(row.Value)
 	if err != nil {
 		event.RowUnreadable.Log(log, "table", platform.TableOperator, "key", row.Key, "revision", row.Revision, "error", err)
@@ -56,193 +57,196 @@
 		event.RowUnreadable.Log(log, "table", platform.TableOperator, "key", row.Key, "revision", row.Revision, "error", err)
 		return
 	}
-	if !r.site.p.Routes.UpdateIfNewer(table) {
-		r.passOver(table.Version, row)
+	if !r.storeSync.deps.Routes.UpdateIfNewer(table) {
+		r.logSkipped(table.Version, row)
 		return
 	}
-	r.text = row.Value
+	r.document = row.Value
 	event.RoutesInForce.Log(log, "version", table.Version, "revision", row.Revision,
 		"routes", len(table.Routes), "services", len(table.Services), "workspaces", len(table.Workspaces))
-	r.site.view.apply()
+	r.storeSync.view.apply()
 }
 
-// passOver logs a row whose routes do not come into force, unless they are those in force.
-func (r *routeRows) passOver(version uint64, row store.FeedRow) {
-	if row.Revision == r.passed {
-		return // it was read twice
+// logSkipped logs a row whose routes are not applied, unless they are those in force.
+func (r *routeSubscriber) logSkipped(version uint64, row store.FeedRow) {
+	if row.Revision == r.skippedAt {
+		return // the row was read twice
 	}
-	r.passed = row.Revision
-	log := r.site.p.Log
-	present := r.site.p.Routes.Current()
+	r.skippedAt = row.Revision
+	log := r.storeSync.deps.Log
+	current := r.storeSync.deps.Routes.Current()
 	switch {
-	case version < present.Version:
-		event.RoutesOlder.Log(log, "version", version, "in_force", present.Version, "revision", row.Revision)
-	case version == present.Version && !bytes.Equal(row.Value, r.text):
+	case version < current.Version:
+		event.RoutesOlder.Log(log, "version", version, "in_force", current.Version, "revision", row.Revision)
+	case version == current.Version && !bytes.Equal(row.Value, r.document):
 		event.RoutesDiffer.Log(log, "version", version, "revision", row.Revision)
 	}
 }
 
-// targetRows takes the targets in.
-type targetRows struct {
-	site *site
-	// read decodes what a target says of itself.
-	read func(key string, value []byte) (registry.Entry, error)
-	// restore is the return from a copy whose rows come next; nil: none.
+// targetSubscriber applies changes of the targets.
+type targetSubscriber struct {
+	storeSync *storeSync
+	// decodeEntry decodes the row of a target.
+	decodeEntry func(key string, value []byte) (registry.Entry, error)
+	// restore describes the restore from a backup whose rows come next; nil if there is
+	// none.
 	restore *store.Restore
 }
 
-// Away implements store.Subscriber: what is known stays.
-func (t *targetRows) Away() {
-	t.site.mu.Lock()
-	t.site.registry.StoreUnreachable(time.Now())
-	t.site.mu.Unlock()
+// Away implements store.Subscriber. The known targets stay in use.
+func (t *targetSubscriber) Away() {
+	t.storeSync.mu.Lock()
+	t.storeSync.registry.StoreUnreachable(time.Now())
+	t.storeSync.mu.Unlock()
 }
 
 // Back implements store.Subscriber.
-func (t *targetRows) Back(notBefore time.Time) {
-	t.site.mu.Lock()
-	t.site.registry.StoreRecovered(time.Now(), notBefore)
-	t.site.mu.Unlock()
+func (t *targetSubscriber) Back(notBefore time.Time) {
+	t.storeSync.mu.Lock()
+	t.storeSync.registry.StoreRecovered(time.Now(), notBefore)
+	t.storeSync.mu.Unlock()
 }
 
 // Restored implements store.Subscriber.
-func (t *targetRows) Restored(r store.Restore) {
-	t.site.mu.Lock()
-	t.site.registry.StoreRestored(time.Now(), r.NotBefore)
-	t.site.mu.Unlock()
+func (t *targetSubscriber) Restored(r store.Restore) {
+	t.storeSync.mu.Lock()
+	t.storeSync.registry.StoreRestored(time.Now(), r.NotBefore)
+	t.storeSync.mu.Unlock()
 	t.restore = &r
 }
 
 // Replace implements store.Subscriber.
-func (t *targetRows) Replace(rows []store.FeedRow, _ store.Revision) {
+func (t *targetSubscriber) Replace(rows []store.FeedRow, _ store.Revision) {
 	var entries []registry.Entry
 	for _, row := range rows {
 		if e, ok := t.decode(row); ok {
 			entries = append(entries, e)
 		}
 	}
-	t.site.mu.Lock()
-	t.doubt(rows)
-	t.site.registry.Replace(time.Now(), entries)
-	t.site.heard = true
-	kept, shadowed := t.site.registry.Lapsed(), t.site.registry.Quarantined()
-	t.site.mu.Unlock()
-	if len(shadowed) > 0 {
-		event.TargetsShadowed.Log(t.site.p.Log, "targets", shadowed)
+	t.storeSync.mu.Lock()
+	t.distrustOlderRows(rows)
+	t.storeSync.registry.Replace(time.Now(), entries)
+	t.storeSync.targetsRead = true
+	lapsed, quarantined := t.storeSync.registry.Lapsed(), t.storeSync.registry.Quarantined()
+	t.storeSync.mu.Unlock()
+	if len(quarantined) > 0 {
+		event.TargetsShadowed.Log(t.storeSync.deps.Log, "targets", quarantined)
 	}
-	t.site.targetsChanged("read", len(rows), "kept", kept)
+	t.storeSync.applyTargetChange("read", len(rows), "kept", lapsed)
 }
 
-// doubt tells which of a copy's rows may be older than what is known. The caller holds the
-// site's lock.
-func (t *targetRows) doubt(rows []store.FeedRow) {
+// distrustOlderRows marks the rows of a backup that may be older than what is known. The
+// caller holds storeSync.mu.
+func (t *targetSubscriber) distrustOlderRows(rows []store.FeedRow) {
 	if t.restore == nil {
 		return
 	}
 	for _, row := range rows {
 		if t.restore.MayPrecede(row) {
-			t.site.registry.Distrust(ident.Target(row.Key))
+			t.storeSync.registry.Distrust(ident.Target(row.Key))
 		}
 	}
 	t.restore = nil
 }
 
 // Change implements store.Subscriber.
-func (t *targetRows) Change(row store.FeedRow) {
+func (t *targetSubscriber) Change(row store.FeedRow) {
 	e, ok := t.decode(row)
-	t.site.mu.Lock()
+	t.storeSync.mu.Lock()
 	if ok {
-		t.site.registry.Put(e)
+		t.storeSync.registry.Put(e)
 	} else {
-		t.site.registry.Remove(time.Now(), ident.Target(row.Key))
+		t.storeSync.registry.Remove(time.Now(), ident.Target(row.Key))
 	}
-	t.site.mu.Unlock()
-	t.site.targetsChanged("target", row.Key, "revision", row.Revision, "listed", ok, "draining", e.Draining, "service", e.Service)
+	t.storeSync.mu.Unlock()
+	t.storeSync.applyTargetChange("target", row.Key, "revision", row.Revision, "listed", ok, "draining", e.Draining, "service", e.Service)
 }
 
-// decode returns false for a row that names no target to use.
-func (t *targetRows) decode(row store.FeedRow) (registry.Entry, bool) {
+// decode decodes a row. It returns false if the row is deleted or unreadable.
+func (t *targetSubscriber) decode(row store.FeedRow) (registry.Entry, bool) {
 	if row.Deleted {
 		return registry.Entry{}, false
 	}
-	e, err := t.read(row.Key, row.Value)
+	e, err := t.decodeEntry(row.Key, row.Value)
 	if err != nil {
-		event.RowUnreadable.Log(t.site.p.Log, "table", platform.TableTargets, "key", row.Key, "revision", row.Revision, "error", err)
+		event.RowUnreadable.Log(t.storeSync.deps.Log, "table", platform.TableTargets, "key", row.Key, "revision", row.Revision, "error", err)
 		return registry.Entry{}, false
 	}
 	return e, true
 }
 
-// daemonRows takes the list of daemons in.
-type daemonRows struct {
-	site *site
-	rows map[string]daemonRow
-	// list takes whom to look for, and where each takes connections over.
-	list func(vms []store.VM, takeovers map[ident.Daemon]string)
+// daemonSubscriber applies changes of the list of daemons.
+type daemonSubscriber struct {
+	storeSync *storeSync
+	rows      map[string]daemonRow
+	// onUpdate receives the VMs of the daemons and the addresses at which they accept
+	// forwarded connections.
+	onUpdate func(vms []store.VM, takeovers map[ident.Daemon]string)
 }
 
-func newDaemonRows(s *site, list func([]store.VM, map[ident.Daemon]string)) *daemonRows {
-	return &daemonRows{site: s, rows: map[string]daemonRow{}, list: list}
+func newDaemonSubscriber(s *storeSync, list func([]store.VM, map[ident.Daemon]string)) *daemonSubscriber {
+	return &daemonSubscriber{storeSync: s, rows: map[string]daemonRow{}, onUpdate: list}
 }
 
 // Away implements store.Subscriber.
-func (d *daemonRows) Away() {}
+func (d *daemonSubscriber) Away() {}
 
 // Back implements store.Subscriber.
-func (d *daemonRows) Back(time.Time) {}
+func (d *daemonSubscriber) Back(time.Time) {}
 
-// Restored implements store.Subscriber. Who is missing from the copy writes its row again;
-// whether it lives is told by the links meanwhile.
-func (d *daemonRows) Restored(store.Restore) {}
+// Restored implements store.Subscriber. Daemons that are missing from the backup write
+// their rows again; until then, the links tell whether they are live.
+func (d *daemonSubscriber) Restored(store.Restore) {}
 
 // Replace implements store.Subscriber.
-func (d *daemonRows) Replace(rows []store.FeedRow, at store.Revision) {
+func (d *daemonSubscriber) Replace(rows []store.FeedRow, at store.Revision) {
 	before := len(d.rows)
 	clear(d.rows)
 	for _, row := range rows {
-		d.take(row)
+		d.applyRow(row)
 	}
-	d.site.own.told(d.holdsOwn(), at, max(before, len(d.rows)))
-	d.tell()
+	d.storeSync.ownRow.observe(d.hasOwnRow(), at, max(before, len(d.rows)))
+	d.publish()
 }
 
 // Change implements store.Subscriber.
-func (d *daemonRows) Change(row store.FeedRow) {
-	d.take(row)
-	if row.Key == string(d.site.p.Identity.Daemon) {
-		d.site.own.told(d.holdsOwn(), row.Revision, len(d.rows))
+func (d *daemonSubscriber) Change(row store.FeedRow) {
+	d.applyRow(row)
+	if row.Key == string(d.storeSync.deps.Identity.Daemon) {
+		d.storeSync.ownRow.observe(d.hasOwnRow(), row.Revision, len(d.rows))
 	}
-	d.tell()
+	d.publish()
 }
 
-// holdsOwn tells whether the store holds this daemon's row. That of a later incarnation
-// counts as well: two processes under one name would else write in turn without end.
-func (d *daemonRows) holdsOwn() bool {
-	id := d.site.p.Identity
+// hasOwnRow reports whether the store holds this daemon's row. The row of a later
+// incarnation counts as well, because two processes with the same name would otherwise
+// overwrite each other's row forever.
+func (d *daemonSubscriber) hasOwnRow() bool {
+	id := d.storeSync.deps.Identity
 	row, listed := d.rows[string(id.Daemon)]
 	return listed && row.Incarnation >= id.Incarnation
 }
 
-func (d *daemonRows) take(row store.FeedRow) {
+func (d *daemonSubscriber) applyRow(row store.FeedRow) {
 	if row.Deleted {
 		delete(d.rows, row.Key)
 		return
 	}
 	var decoded daemonRow
 	if err := json.Unmarshal(row.Value, &decoded); err != nil {
-		event.RowUnreadable.Log(d.site.p.Log, "table", platform.TableDaemons, "key", row.Key, "revision", row.Revision, "error", err)
+		event.RowUnreadable.Log(d.storeSync.deps.Log, "table", platform.TableDaemons, "key", row.Key, "revision", row.Revision, "error", err)
 		return
 	}
 	d.rows[row.Key] = decoded
 }
 
-func (d *daemonRows) tell() {
+func (d *daemonSubscriber) publish() {
 	var vms []store.VM
-	takeovers := map[ident.Daemon]string{}
+	handoverAddresses := map[ident.Daemon]string{}
 	for name, row := range d.rows {
-		takeovers[ident.Daemon(name)] = row.Handover
+		handoverAddresses[ident.Daemon(name)] = row.Handover
 		vms = append(vms, store.VM{Name: name, Zone: row.Zone, Address: row.Address, Role: store.RoleDaemon, State: store.VMLive})
 	}
 	slices.SortFunc(vms, func(a, b store.VM) int { return strings.Compare(a.Name, b.Name) })
-	d.list(vms, takeovers)
+	d.onUpdate(vms, handoverAddresses)
 }
--- a/internal/daemon/waits.go
+++ b/internal/daemon/waits.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// waits are the mean and the longest of some waits. It is safe for concurrent use.
-type waits struct{ sum, count, longest atomic.Int64 }
+// waitStats collects the mean and the maximum of wait times. It is safe for concurrent use.
+type waitStats struct{ sum, count, longest atomic.Int64 }
 
-func (w *waits) note(wait time.Duration) {
+func (w *waitStats) record(wait time.Duration) {
 	w.sum.Add(int64(wait))
 	w.count.Add(1)
 	for longest := w.longest.Load(); int64(wait) > longest; longest = w.longest.Load() {
@@ -18,9 +18,9 @@
 	}
 }
 
-// take returns the mean and the longest of those noted since the last call; zero where there are
-// none.
-func (w *waits) take() (mean, longest time.Duration) {
+// collect returns the mean and the maximum of the waits recorded since the previous call,
+// or zero if there were none.
+func (w *waitStats) collect() (mean, longest time.Duration) {
 	sum, count := w.sum.Swap(0), w.count.Swap(0)
 	if count > 0 {
 		mean = time.Duration(sum / count)
