--- a/cmd/savorystalld/main.go
+++ b/cmd/savorystalld/main.go
@@ -69,11 +69,11 @@
 	defer closeDev()
 	s, err := settings.Load(o.Settings, defaults, settings.FromEnvironment(os.LookupEnv), o.override)
 	if err != nil {
-		event.SettingsBad.Log(newLogger("info"), "error", err)
+		event.SettingsInvalid.Log(newLogger("info"), "error", err)
 		return exitSettings
 	}
 	if err := daemon.CheckFiles(s); err != nil {
-		event.SettingsBad.Log(newLogger("info"), "error", err)
+		event.SettingsInvalid.Log(newLogger("info"), "error", err)
 		return exitSettings
 	}
 	if o.Check {
@@ -178,10 +178,10 @@
 			case <-signals:
 			}
 			if _, err := settings.Load(o.Settings, defaults, settings.FromEnvironment(os.LookupEnv), o.override); err != nil {
-				event.SettingsBad.Log(log, "error", err)
+				event.SettingsInvalid.Log(log, "error", err)
 				continue
 			}
-			event.SettingsRead.Log(log, "file", o.Settings)
+			event.SettingsReloaded.Log(log, "file", o.Settings)
 		}
 	}()
 	return cancel
--- a/internal/claim/claimer.go
+++ b/internal/claim/claimer.go
@@ -49,7 +49,7 @@
 		ledger:          newLedger(cfg.StartTimeout),
 		idle:            make(chan struct{}),
 	}
-	c.committer = newCommitter(cfg, table, func(err error) { event.ClaimStoreFailed.Log(log, "error", err) })
+	c.committer = newCommitter(cfg, table, func(err error) { event.ClaimTransactionFailed.Log(log, "error", err) })
 	return c
 }
 
@@ -172,7 +172,7 @@
 func (c *Claimer) resolveConflict(ctx context.Context, hold *Hold, row platform.Row) (action, Decision) {
 	observed, err := decodeRow(row)
 	if err != nil {
-		event.ClaimRowBad.Log(c.log, "row", row.Key, "error", err)
+		event.ClaimRowInvalid.Log(c.log, "row", row.Key, "error", err)
 		return actionDecided, unknownOutcome("its record cannot be read")
 	}
 	act, decision := evaluateRow(observed, hold.record)
@@ -191,7 +191,7 @@
 	defer cancel()
 	status, err := c.querier.QueryClaim(ctx, row.Daemon, row.Incarnation, key, row.Token)
 	if err != nil {
-		c.queryFailureLog.Do(func() { event.ClaimantSilent.Log(c.log, "claimant", row.Daemon, "error", err) })
+		c.queryFailureLog.Do(func() { event.ClaimantUnreachable.Log(c.log, "claimant", row.Daemon, "error", err) })
 	}
 	return status, err
 }
--- a/internal/claim/hold.go
+++ b/internal/claim/hold.go
@@ -130,7 +130,7 @@
 func (c *Claimer) retryFinal(h *Hold, w *pendingWrite, row platform.Row) bool {
 	observed, err := decodeRow(row)
 	if err != nil {
-		event.ClaimRowBad.Log(c.log, "row", row.Key, "error", err)
+		event.ClaimRowInvalid.Log(c.log, "row", row.Key, "error", err)
 		return false
 	}
 	revision, settled := evaluateFinalConflict(observed, h.token)
--- a/internal/config/watcher.go
+++ b/internal/config/watcher.go
@@ -221,7 +221,7 @@
 	}
 	w.behind++
 	if w.behind == behindPollThreshold {
-		event.ConfigBehind.Log(w.config.Logger, "table", latest.Revision, "in_force", w.config.Store.newestRevision())
+		event.ConfigTableOutdated.Log(w.config.Logger, "table", latest.Revision, "in_force", w.config.Store.newestRevision())
 	}
 	return true
 }
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -44,7 +44,7 @@
 			return
 		case <-ticker.C:
 			usage := r.connections.usage()
-			event.DrainStuck.Log(log, "with_request", usage.active, "without_request", usage.pending, "closing", usage.closing, "passed_on", forwarder.active.Load())
+			event.DrainSlow.Log(log, "with_request", usage.active, "without_request", usage.pending, "closing", usage.closing, "passed_on", forwarder.active.Load())
 		}
 	}
 }
--- a/internal/daemon/follow.go
+++ b/internal/daemon/follow.go
@@ -220,9 +220,9 @@
 	log := func(e event.Event) { e.Log(p.log, "service", key.service, "target", key.target) }
 	switch {
 	case now.failed && !last.failed:
-		log(event.TargetSilent)
+		log(event.TargetUnresponsive)
 	case !now.failed && last.failed:
-		log(event.TargetAnswers)
+		log(event.TargetResponsive)
 	}
 	switch {
 	case now.leaving && !last.leaving:
--- a/internal/daemon/gauges.go
+++ b/internal/daemon/gauges.go
@@ -35,7 +35,7 @@
 		for _, load := range c.Loads() {
 			services = append(services, telemetry.ServiceGauges{
 				Service: load.Service, Waiting: load.Waiting, Running: load.Running,
-				Slots: load.Slots, InUse: load.InUse, Gap: load.FairnessGap,
+				Slots: load.Slots, InUse: load.InUse, FairnessGap: load.FairnessGap,
 			})
 		}
 	})
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -177,13 +177,13 @@
 		return
 	}
 	h.forwarded.Add(1)
-	h.metrics.PassedOn()
+	h.metrics.ConnectionForwarded()
 	defer h.disconnects.watchConn(p.caller, p.abortNeighbour)()
 	if p.run() {
 		return
 	}
 	h.lost.Add(1)
-	event.HandoverLost.Log(h.log, "neighbour", to.ID)
+	event.HandoverConnectionLost.Log(h.log, "neighbour", to.ID)
 }
 
 func (h *connForwarder) route(fraction float64) (handover.Neighbour, handover.Choice) {
@@ -230,7 +230,7 @@
 	forwarded, refused, timedOut, lost := h.forwarded.Swap(0), h.refused.Swap(0), h.timedOut.Swap(0), h.lost.Swap(0)
 	meanDelay, maxDelay := h.sendDelays.collect()
 	if forwarded+refused+timedOut > 0 {
-		event.HandoverReport.Log(h.log, "passed_on", forwarded, "refused", refused, "unheard", timedOut, "lost", lost, "open", h.active.Load(),
+		event.HandoverSummary.Log(h.log, "passed_on", forwarded, "refused", refused, "unheard", timedOut, "lost", lost, "open", h.active.Load(),
 			"sent_ms", meanDelay.Milliseconds(), "longest_ms", maxDelay.Milliseconds())
 	}
 }
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -178,7 +178,7 @@
 			return
 		case <-warnTicker.C:
 			waiting, running := d.load()
-			event.DrainStuck.Log(d.deps.Log, "daemon", d.deps.Identity.Daemon, "waiting", waiting, "running", running)
+			event.DrainSlow.Log(d.deps.Log, "daemon", d.deps.Identity.Daemon, "waiting", waiting, "running", running)
 		}
 	}
 }
--- a/internal/daemon/sharing_bench_test.go
+++ b/internal/daemon/sharing_bench_test.go
@@ -90,7 +90,7 @@
 			c.RecordShed(now, service.Name, w.Name, 98765)
 		}
 		for _, sharing := range c.ShareReports(now) {
-			event.ServiceShared.Log(log, sharingFields(sharing, 0.95)...)
+			event.ServiceShares.Log(log, sharingFields(sharing, 0.95)...)
 		}
 	}
 	b.ReportMetric(float64(out.bytes)/float64(max(1, out.lines)), "bytes/line")
--- a/internal/daemon/sharing_test.go
+++ b/internal/daemon/sharing_test.go
@@ -25,7 +25,7 @@
 	c.RecordShed(now, service.Name, service.Workspaces[0].Name, 50e6)
 	var out bytes.Buffer
 	for _, b := range c.ShareReports(now) {
-		event.ServiceShared.Log(slog.New(slog.NewJSONHandler(&out, nil)), sharingFields(b, 0.95)...)
+		event.ServiceShares.Log(slog.New(slog.NewJSONHandler(&out, nil)), sharingFields(b, 0.95)...)
 	}
 	var line map[string]any
 	is.NoErr(json.Unmarshal(out.Bytes(), &line))
--- a/internal/daemon/site.go
+++ b/internal/daemon/site.go
@@ -239,7 +239,7 @@
 		}
 		sleepContext(ctx, s.ownRow.rewriteDelay(rand.Float64()))
 		if s.ownRow.isLost() && s.writeOwnRow(ctx, value) {
-			event.RowWrittenAgain.Log(s.deps.Log, "table", platform.TableDaemons, "key", id.Daemon, "revision", s.ownRow.revision())
+			event.RowRewritten.Log(s.deps.Log, "table", platform.TableDaemons, "key", id.Daemon, "revision", s.ownRow.revision())
 		}
 	}
 }
@@ -308,7 +308,7 @@
 	s.deps.Loop.Inspect(func(core *booking.Core) { reports = core.ShareReports(time.Now()) })
 	shedFraction := float64(s.deps.Load.shedPermille.Load()) / shedScale
 	for _, report := range reports {
-		event.ServiceShared.Log(s.deps.Log, sharingFields(report, shedFraction)...)
+		event.ServiceShares.Log(s.deps.Log, sharingFields(report, shedFraction)...)
 	}
 }
 
--- a/internal/daemon/siterows.go
+++ b/internal/daemon/siterows.go
@@ -39,7 +39,7 @@
 
 // Restored implements store.Subscriber. The routes in force stay: those of the backup have
 // a lower version until the operator's are written again.
-func (r *routeSubscriber) Restored(store.Restore) { r.storeSync.deps.Metrics.Restored() }
+func (r *routeSubscriber) Restored(store.Restore) { r.storeSync.deps.Metrics.StoreRestored() }
 
 // Change implements store.Subscriber.
 func (r *routeSubscriber) Change(row store.FeedRow) {
@@ -77,9 +77,9 @@
 	current := r.storeSync.deps.Routes.Current()
 	switch {
 	case version < current.Version:
-		event.RoutesOlder.Log(log, "version", version, "in_force", current.Version, "revision", row.Revision)
+		event.RoutesOutdated.Log(log, "version", version, "in_force", current.Version, "revision", row.Revision)
 	case version == current.Version && !bytes.Equal(row.Value, r.document):
-		event.RoutesDiffer.Log(log, "version", version, "revision", row.Revision)
+		event.RoutesConflict.Log(log, "version", version, "revision", row.Revision)
 	}
 }
 
@@ -130,7 +130,7 @@
 	lapsed, quarantined := t.storeSync.registry.Lapsed(), t.storeSync.registry.Quarantined()
 	t.storeSync.mu.Unlock()
 	if len(quarantined) > 0 {
-		event.TargetsShadowed.Log(t.storeSync.deps.Log, "targets", quarantined)
+		event.TargetsQuarantined.Log(t.storeSync.deps.Log, "targets", quarantined)
 	}
 	t.storeSync.applyTargetChange("read", len(rows), "kept", lapsed)
 }
--- a/internal/document/check.go
+++ b/internal/document/check.go
@@ -7,41 +7,41 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// checker collects the problems that concern more than one field.
-type checker struct{ problems []Problem }
+// documentChecker collects the problems that concern more than one field.
+type documentChecker struct{ problems []Problem }
 
-func (c *checker) add(path, format string, args ...any) {
-	c.problems = append(c.problems, Problem{Path: path, Text: fmt.Sprintf(format, args...)})
+func (c *documentChecker) add(path, format string, args ...any) {
+	c.problems = append(c.problems, Problem{Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-// unique remembers where each value was first given.
-type unique map[string]string
+// firstPaths maps each value to the path of the field in which it first occurs.
+type firstPaths map[string]string
 
-func (c *checker) once(seen unique, value, path string) {
+func (c *documentChecker) checkUnique(seen firstPaths, value, path string) {
 	if value == "" {
 		return
 	}
-	if first, twice := seen[value]; twice {
-		c.add(path, "repeats %q of %s", value, first)
+	if firstPath, repeated := seen[value]; repeated {
+		c.add(path, "repeats %q of %s", value, firstPath)
 		return
 	}
 	seen[value] = path
 }
 
-func crossCheck(d *Document) []Problem {
-	var c checker
-	c.models(d)
-	c.workspaces(d)
-	c.operations(d)
-	c.targets(d)
-	c.ties(d)
+func checkDocument(d *Document) []Problem {
+	var c documentChecker
+	c.checkModels(d)
+	c.checkWorkspaces(d)
+	c.checkOperations(d)
+	c.checkTargets(d)
+	c.checkWorkspaceTargets(d)
 	if d.Orders != nil {
-		c.orders(d)
+		c.checkOrders(d)
 	}
 	return c.problems
 }
 
-func (c *checker) models(d *Document) {
+func (c *documentChecker) checkModels(d *Document) {
 	if d.Kind == Model && len(d.Models) == 0 {
 		c.add("models", "a model service needs at least one")
 	}
@@ -51,40 +51,40 @@
 	if d.Kind == Plain && d.Preemption {
 		c.add("preemption", "belongs to model services only")
 	}
-	seen := unique{}
+	seen := firstPaths{}
 	for i, m := range d.Models {
-		c.once(seen, m, fmt.Sprintf("models[%d]", i))
+		c.checkUnique(seen, m, fmt.Sprintf("models[%d]", i))
 	}
 }
 
-// workspaces refuses a key that two workspaces share: the key decides whose
-// share a request is charged to.
-func (c *checker) workspaces(d *Document) {
-	names, keys := unique{}, unique{}
+// checkWorkspaces rejects a key that two workspaces have in common, because the
+// key determines which workspace's share a request is charged to.
+func (c *documentChecker) checkWorkspaces(d *Document) {
+	names, keys := firstPaths{}, firstPaths{}
 	for i, w := range d.Workspaces {
 		path := fmt.Sprintf("workspaces[%d]", i)
-		c.once(names, string(w.Name), path+".name")
+		c.checkUnique(names, string(w.Name), path+".name")
 		for j, k := range w.Keys {
-			c.once(keys, k, fmt.Sprintf("%s.keys[%d]", path, j))
+			c.checkUnique(keys, k, fmt.Sprintf("%s.keys[%d]", path, j))
 		}
 	}
 }
 
-func (c *checker) operations(d *Document) {
-	names := unique{}
+func (c *documentChecker) checkOperations(d *Document) {
+	names := firstPaths{}
 	for i, o := range d.Operations {
-		c.once(names, o.Name, fmt.Sprintf("operations[%d].name", i))
+		c.checkUnique(names, o.Name, fmt.Sprintf("operations[%d].name", i))
 	}
 	switch d.Kind {
 	case Model:
-		c.modelOperations(d.Operations)
+		c.checkModelOperations(d.Operations)
 	case Plain:
-		c.plainOperations(d.Operations)
+		c.checkPlainOperations(d.Operations)
 	}
 }
 
-func (c *checker) modelOperations(operations []Operation) {
-	defaults := unique{}
+func (c *documentChecker) checkModelOperations(operations []Operation) {
+	defaults := firstPaths{}
 	for i, o := range operations {
 		path := fmt.Sprintf("operations[%d]", i)
 		if o.Method != "" {
@@ -94,7 +94,7 @@
 			c.add(path+".path", "belongs to plain services only")
 		}
 		if o.Default {
-			c.once(defaults, "default", path+".default")
+			c.checkUnique(defaults, "default", path+".default")
 		}
 	}
 	if len(operations) > 0 && len(defaults) == 0 {
@@ -102,11 +102,11 @@
 	}
 }
 
-func (c *checker) plainOperations(operations []Operation) {
+func (c *documentChecker) checkPlainOperations(operations []Operation) {
 	if len(operations) == 0 {
 		c.add("operations", "a plain service needs at least one")
 	}
-	shapes := unique{}
+	shapes := firstPaths{}
 	for i, o := range operations {
 		path := fmt.Sprintf("operations[%d]", i)
 		if o.Default {
@@ -124,20 +124,20 @@
 			c.add(path+".path", "%s", err)
 			continue
 		}
-		c.once(shapes, o.Method+" "+p.shape(), path+".path")
+		c.checkUnique(shapes, o.Method+" "+p.shape(), path+".path")
 	}
 }
 
-func (c *checker) targets(d *Document) {
-	names, addresses := unique{}, unique{}
+func (c *documentChecker) checkTargets(d *Document) {
+	names, addresses := firstPaths{}, firstPaths{}
 	for i, t := range d.Targets {
 		path := fmt.Sprintf("targets[%d]", i)
-		c.once(names, string(t.Name), path+".name")
-		c.once(addresses, t.Address, path+".address")
+		c.checkUnique(names, string(t.Name), path+".name")
+		c.checkUnique(addresses, t.Address, path+".address")
 		if t.Address == "" {
 			continue
 		}
-		if at, err := netip.ParseAddrPort(t.Address); err != nil || at.Port() == 0 {
+		if address, err := netip.ParseAddrPort(t.Address); err != nil || address.Port() == 0 {
 			c.add(path+".address", "must be IP:port")
 		}
 	}
@@ -151,14 +151,14 @@
 	return known
 }
 
-// ties checks the targets that workspaces may use.
-func (c *checker) ties(d *Document) {
+// checkWorkspaceTargets checks the targets to which workspaces are restricted.
+func (c *documentChecker) checkWorkspaceTargets(d *Document) {
 	known := d.targetNames()
 	for i, w := range d.Workspaces {
-		names := unique{}
+		names := firstPaths{}
 		for j, name := range w.Targets {
 			path := fmt.Sprintf("workspaces[%d].targets[%d]", i, j)
-			c.once(names, string(name), path)
+			c.checkUnique(names, string(name), path)
 			if !known[name] {
 				c.add(path, "no target has the name %q", name)
 			}
@@ -166,16 +166,16 @@
 	}
 }
 
-func (c *checker) orders(d *Document) {
+func (c *documentChecker) checkOrders(d *Document) {
 	known := d.targetNames()
 	models := make(map[string]bool, len(d.Models))
 	for _, m := range d.Models {
 		models[m] = true
 	}
-	names := unique{}
+	names := firstPaths{}
 	for i, t := range d.Orders.Targets {
 		path := fmt.Sprintf("orders.targets[%d]", i)
-		c.once(names, string(t.Name), path+".name")
+		c.checkUnique(names, string(t.Name), path+".name")
 		if t.Name != "" && !known[t.Name] {
 			c.add(path+".name", "no target has the name %q", t.Name)
 		}
--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -34,41 +34,41 @@
 	}
 }
 
-// fields builds a plain or model document with some of its lines replaced.
-func fields(kind string, change map[string]string) string {
-	order := []string{"service", "kind", "models", "workspaces", "operations", "targets"}
-	lines := map[string]string{
+// documentText returns a plain or model document with some of its lines overridden.
+func documentText(kind string, overrides map[string]string) string {
+	fieldOrder := []string{"service", "kind", "models", "workspaces", "operations", "targets"}
+	fieldLines := map[string]string{
 		"service":    "service: s",
 		"kind":       "kind: " + kind,
 		"workspaces": fmt.Sprintf("workspaces: [{name: w, weight: 1, keys: [%q]}]", document.HashKey("k")),
 		"targets":    `targets: [{name: t, zone: z, address: "127.0.0.1:1", slots: 1}]`,
 	}
 	if kind == "model" {
-		lines["models"] = "models: [m]"
+		fieldLines["models"] = "models: [m]"
 	} else {
-		lines["operations"] = "operations: [{name: o, method: GET, path: /x}]"
+		fieldLines["operations"] = "operations: [{name: o, method: GET, path: /x}]"
 	}
 	var text strings.Builder
-	for _, name := range order {
-		line := lines[name]
-		if changed, ok := change[name]; ok {
-			line = changed
+	for _, name := range fieldOrder {
+		line := fieldLines[name]
+		if override, ok := overrides[name]; ok {
+			line = override
 		}
 		if line != "" {
 			text.WriteString(line + "\n")
 		}
 	}
-	return text.String() + change["end"]
+	return text.String() + overrides["end"]
 }
 
-func TestParseNamesLineAndColumn(t *testing.T) {
+func TestParseReportsLineAndColumn(t *testing.T) {
 	key := document.HashKey("k")
 	workspace := func(name, weight, key string) string {
 		return fmt.Sprintf("{name: %s, weight: %s, keys: [%q]}", name, weight, key)
 	}
 	cases := map[string]struct {
 		kind         string
-		change       map[string]string
+		overrides    map[string]string
 		line, column int
 		want         string
 	}{
@@ -96,27 +96,27 @@
 		"two defaults":          {"model", map[string]string{"operations": "operations:\n  - {name: o, default: true}\n  - {name: p, default: true}"}, 7, 24, "repeats"},
 		"path of a model":       {"model", map[string]string{"operations": "operations:\n  - {name: o, default: true, path: /x}"}, 6, 36, "plain services only"},
 		"plain without method":  {"plain", map[string]string{"operations": "operations:\n  - {name: o, path: /x}"}, 5, 5, "method: is required"},
-		"same shape":            {"plain", map[string]string{"operations": "operations:\n  - {name: o, method: GET, path: '/x/{a}'}\n  - {name: p, method: GET, path: '/x/{b}'}"}, 6, 34, "repeats"},
-		"rest in the middle":    {"plain", map[string]string{"operations": "operations:\n  - {name: o, method: GET, path: '/x/**/y'}"}, 5, 34, "at the end only"},
+		"equivalent paths":      {"plain", map[string]string{"operations": "operations:\n  - {name: o, method: GET, path: '/x/{a}'}\n  - {name: p, method: GET, path: '/x/{b}'}"}, 6, 34, "repeats"},
+		"wildcard in middle":    {"plain", map[string]string{"operations": "operations:\n  - {name: o, method: GET, path: '/x/**/y'}"}, 5, 34, "at the end only"},
 		"dots in a path":        {"plain", map[string]string{"operations": "operations:\n  - {name: o, method: GET, path: /x/../y}"}, 5, 34, "'.' or '..'"},
 		"host name":             {"model", map[string]string{"targets": "targets:\n  - {name: t, zone: z, address: 'host:1', slots: 1}"}, 6, 33, "must be IP:port"},
 		"no slots":              {"model", map[string]string{"targets": "targets:\n  - {name: t, zone: z, address: '127.0.0.1:1', slots: 0}"}, 6, 55, "slots: must be greater than 0"},
 		"address twice":         {"model", map[string]string{"targets": "targets:\n  - {name: t, zone: z, address: '127.0.0.1:1', slots: 1}\n  - {name: u, zone: z, address: '127.0.0.1:1', slots: 1}"}, 7, 33, "repeats"},
 		"order without target":  {"model", map[string]string{"end": "orders:\n  fencing: ignored\n  targets: [{name: x}]\n"}, 8, 20, `no target has the name "x"`},
-		"tied to no target":     {"model", map[string]string{"workspaces": fmt.Sprintf("workspaces: [{name: w, weight: 1, keys: [%q], targets: [t, x]}]", key)}, 4, 131, `no target has the name "x"`},
-		"tied twice":            {"model", map[string]string{"workspaces": fmt.Sprintf("workspaces: [{name: w, weight: 1, keys: [%q], targets: [t, t]}]", key)}, 4, 131, `repeats "t"`},
+		"unknown restriction":   {"model", map[string]string{"workspaces": fmt.Sprintf("workspaces: [{name: w, weight: 1, keys: [%q], targets: [t, x]}]", key)}, 4, 131, `no target has the name "x"`},
+		"restricted twice":      {"model", map[string]string{"workspaces": fmt.Sprintf("workspaces: [{name: w, weight: 1, keys: [%q], targets: [t, t]}]", key)}, 4, 131, `repeats "t"`},
 		"order without model":   {"model", map[string]string{"end": "orders:\n  fencing: ignored\n  targets: [{name: t, models: [n]}]\n"}, 8, 32, `no model "n"`},
 		"no fencing":            {"model", map[string]string{"end": "orders:\n  targets: [{name: t}]\n"}, 7, 3, "fencing: is required"},
 		"alias":                 {"model", map[string]string{"models": "models: &m [m]", "end": "orders: *m\n"}, 3, 9, "anchors and aliases"},
 		"deep brackets":         {"model", map[string]string{"models": "models: " + strings.Repeat("[", 1<<20)}, 3, 41, "levels of nesting"},
-		"deep marks":            {"model", map[string]string{"models": strings.Repeat("- ", 1<<19) + "m"}, 3, 1, "levels of nesting"},
+		"deep sequences":        {"model", map[string]string{"models": strings.Repeat("- ", 1<<19) + "m"}, 3, 1, "levels of nesting"},
 		"tag":                   {"model", map[string]string{"models": "models: !!seq [m]"}, 3, 9, "tags are not supported"},
 		"two documents":         {"model", map[string]string{"end": "---\nservice: t\n"}, 1, 1, "one document"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			_, err := document.Parse([]byte(fields(c.kind, c.change)))
+			_, err := document.Parse([]byte(documentText(c.kind, c.overrides)))
 			var invalid *document.Invalid
 			is.True(errors.As(err, &invalid))
 			first := invalid.Problems[0]
@@ -126,9 +126,9 @@
 	}
 }
 
-func TestParseNamesEveryProblemInOrder(t *testing.T) {
+func TestParseReportsEveryProblemInOrder(t *testing.T) {
 	is := is.New(t)
-	_, err := document.Parse([]byte(fields("model", map[string]string{
+	_, err := document.Parse([]byte(documentText("model", map[string]string{
 		"service": "service: Upper",
 		"targets": "targets: [{name: t, zone: z, address: 'host:1', slots: 0}]",
 	})))
@@ -139,7 +139,7 @@
 	is.Equal(invalid.Problems[2].Path, "targets[0].slots")
 }
 
-func TestEmptyTextIsRefused(t *testing.T) {
+func TestTextWithoutDocumentIsRejected(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{"", "\n", "# only a comment\n", "[]", "just words"} {
 		_, err := document.Parse([]byte(text))
@@ -174,10 +174,10 @@
 	}
 }
 
-// A caller writes the slash of a path as %2F. The target takes it for another
-// operation than the router does, and an unrepeatable request runs as if it
-// could be repeated.
-func TestDecodePathRefusesHiddenSegments(t *testing.T) {
+// If a caller could escape a slash as %2F, the target could resolve the path to a
+// different operation than the router, and an unrepeatable request would be
+// handled as a repeatable one.
+func TestDecodePathRejectsAmbiguousSegments(t *testing.T) {
 	is := is.New(t)
 	for _, escaped := range []string{"/cases%2F7", "/cases%2f7", "/cases%5C7", `/cases\7`, "/a/%2e%2e/b", "/a//b", "/a/", "/%zz"} {
 		_, ok := document.DecodePath(escaped)
@@ -188,11 +188,11 @@
 	is.Equal(path, "/cases/café x")
 }
 
-// A text that the parser cannot bear would stop every daemon that reads it.
+// A text on which the parser panics would crash every daemon that reads it.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(fields("model", nil)))
-	f.Add([]byte(fields("plain", map[string]string{"end": "limits: {deadline: 1s}\norders: {fencing: ignored, targets: [{name: t}]}\n"})))
-	f.Add([]byte("service: s\nkind: model\nmodels: !00\n0: #0")) // the library panics
+	f.Add([]byte(documentText("model", nil)))
+	f.Add([]byte(documentText("plain", map[string]string{"end": "limits: {deadline: 1s}\norders: {fencing: ignored, targets: [{name: t}]}\n"})))
+	f.Add([]byte("service: s\nkind: model\nmodels: !00\n0: #0")) // the YAML library panics
 	f.Add([]byte("service: [\n- ? &a *a : |\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		d, err := document.Parse(text)
--- a/internal/document/key.go
+++ b/internal/document/key.go
@@ -14,15 +14,15 @@
 // DigestKey returns the digest of a bearer key.
 func DigestKey(bearer string) KeyDigest { return sha256.Sum256([]byte(bearer)) }
 
-// HashKey returns the form in which a document holds a bearer key:
-// "sha256:" and 64 lower-case hexadecimal digits. Bearer keys must be random
-// (128 bits or more); a digest of a guessable word can be searched.
+// HashKey returns a bearer key in the format used in documents: "sha256:" and 64
+// lower-case hexadecimal digits. Bearer keys must be random (128 bits or more),
+// because the digest of a guessable key can be found by brute force.
 func HashKey(bearer string) string {
 	digest := DigestKey(bearer)
 	return keyPrefix + hex.EncodeToString(digest[:])
 }
 
-// ParseKey returns the digest that a key of a document holds.
+// ParseKey decodes a key in the format of HashKey.
 func ParseKey(key string) (KeyDigest, bool) {
 	var digest KeyDigest
 	digits, found := strings.CutPrefix(key, keyPrefix)
--- a/internal/document/parse.go
+++ b/internal/document/parse.go
@@ -16,37 +16,37 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// MaxBytes bounds the text of a document. It keeps a row of the table, with its
-// base64 form, within a few MB.
+// MaxBytes limits the size of a document, so that a row of the table, encoded in
+// base64, remains within a few MB.
 const MaxBytes = 2 << 20
 
 const (
-	// maxNesting bounds how deep lists and maps stand in each other; a valid
-	// document needs six. The parser's time grows with the square of the depth.
+	// maxNesting limits the nesting depth of sequences and mappings; a valid
+	// document needs six levels. The parser's time grows quadratically with the depth.
 	maxNesting = 32
-	// maxProblems bounds the faults that are listed.
+	// maxProblems limits the number of problems that are reported.
 	maxProblems = 100
 )
 
-// Problem is one fault of a document.
+// Problem describes one error in a document.
 type Problem struct {
-	// Line and Column count from 1; zero means that the place is not known.
+	// Line and Column count from 1; zero means that the position is unknown.
 	Line, Column int
-	// Path is the field, such as "workspaces[0].weight"; empty for syntax.
-	Path string
-	Text string
+	// Path is the field, such as "workspaces[0].weight"; empty for a syntax error.
+	Path    string
+	Message string
 }
 
 // String returns the problem as one line.
 func (p Problem) String() string {
 	if p.Path == "" {
-		return fmt.Sprintf("%d:%d: %s", p.Line, p.Column, p.Text)
+		return fmt.Sprintf("%d:%d: %s", p.Line, p.Column, p.Message)
 	}
-	return fmt.Sprintf("%d:%d: %s: %s", p.Line, p.Column, p.Path, p.Text)
+	return fmt.Sprintf("%d:%d: %s: %s", p.Line, p.Column, p.Path, p.Message)
 }
 
-// Invalid is the error of a document that is not in order. It lists every
-// fault that was found, in the order of lines; there is at least one.
+// Invalid is the error returned for an invalid document. It lists the problems that
+// were found, at least one, sorted by line.
 type Invalid struct{ Problems []Problem }
 
 // Error implements error.
@@ -58,17 +58,17 @@
 	return "document is not valid:\n" + strings.Join(lines, "\n")
 }
 
-// Parse reads a document strictly, checks it and applies the defaults. The
-// error is an *Invalid. Unknown fields are refused: a misspelt limit would
-// otherwise be without effect and without a sign of it.
+// Parse decodes and validates a document and applies the defaults. The error is an
+// *Invalid. Unknown fields are rejected, because a misspelled limit would otherwise
+// be ignored silently.
 //
-// The YAML library panics on some malformed texts (a tag without a value is
-// one). That would end every daemon that reads the document, and the tool that
-// checks it; so a panic is reported as a fault of the text.
+// The YAML library panics on some malformed texts, such as a tag without a value.
+// That would crash every daemon that reads the document and the tool that checks it,
+// so a panic is recovered and reported as a problem of the text.
 func Parse(text []byte) (d *Document, err error) {
 	defer func() {
-		if cause := recover(); cause != nil {
-			d, err = nil, invalid(Problem{Line: 1, Column: 1, Text: fmt.Sprintf("the text is not valid YAML: %v", cause)})
+		if recovered := recover(); recovered != nil {
+			d, err = nil, invalid(Problem{Line: 1, Column: 1, Message: fmt.Sprintf("the text is not valid YAML: %v", recovered)})
 		}
 	}()
 	return parse(text)
@@ -76,10 +76,10 @@
 
 func parse(text []byte) (*Document, error) {
 	if len(text) > MaxBytes {
-		return nil, invalid(Problem{Line: 1, Column: 1, Text: fmt.Sprintf("the document has more than %d bytes", MaxBytes)})
+		return nil, invalid(Problem{Line: 1, Column: 1, Message: fmt.Sprintf("the document has more than %d bytes", MaxBytes)})
 	}
 	if !utf8.Valid(text) {
-		return nil, invalid(Problem{Line: 1, Column: 1, Text: "the document is not valid UTF-8"})
+		return nil, invalid(Problem{Line: 1, Column: 1, Message: "the document is not valid UTF-8"})
 	}
 	if p := nestingProblem(string(text)); p != nil {
 		return nil, invalid(*p)
@@ -89,7 +89,7 @@
 		return nil, syntaxProblem(err)
 	}
 	if len(file.Docs) != 1 || file.Docs[0].Body == nil {
-		return nil, invalid(Problem{Line: 1, Column: 1, Text: "the file must hold one document"})
+		return nil, invalid(Problem{Line: 1, Column: 1, Message: "the file must hold one document"})
 	}
 	body := file.Docs[0].Body
 	if problems := nodeProblems(body); len(problems) > 0 {
@@ -99,7 +99,7 @@
 	if err := yaml.NodeToValue(body, &d, yaml.Strict()); err != nil {
 		return nil, syntaxProblem(err)
 	}
-	problems := append(fieldProblems(&d), crossCheck(&d)...)
+	problems := append(fieldProblems(&d), checkDocument(&d)...)
 	if len(problems) > 0 {
 		problems = problems[:min(len(problems), maxProblems)]
 		locate(body, problems)
@@ -109,14 +109,14 @@
 	return &d, nil
 }
 
-// nestingProblem finds brackets, or list marks at the start of a line, that
-// stand too deep in each other.
+// nestingProblem detects brackets, or sequence indicators at the start of a line,
+// that are nested too deeply.
 func nestingProblem(text string) *Problem {
-	number := 0
+	lineNumber := 0
 	depth := 0
 	for line := range strings.Lines(text) {
-		number++
-		marks := strings.Count(line[:len(line)-len(strings.TrimLeft(line, " -?"))], "- ")
+		lineNumber++
+		indicators := strings.Count(line[:len(line)-len(strings.TrimLeft(line, " -?"))], "- ")
 		for column, char := range line {
 			switch char {
 			case '[', '{':
@@ -124,8 +124,8 @@
 			case ']', '}':
 				depth = max(depth-1, 0)
 			}
-			if depth > maxNesting || marks > maxNesting {
-				return &Problem{Line: number, Column: column + 1, Text: fmt.Sprintf("more than %d levels of nesting", maxNesting)}
+			if depth > maxNesting || indicators > maxNesting {
+				return &Problem{Line: lineNumber, Column: column + 1, Message: fmt.Sprintf("more than %d levels of nesting", maxNesting)}
 			}
 		}
 	}
@@ -135,10 +135,10 @@
 func invalid(problems ...Problem) *Invalid { return &Invalid{Problems: problems} }
 
 func syntaxProblem(err error) *Invalid {
-	p := Problem{Text: err.Error()}
+	p := Problem{Message: err.Error()}
 	var positioned yaml.Error
 	if errors.As(err, &positioned) {
-		p.Text = positioned.GetMessage()
+		p.Message = positioned.GetMessage()
 		if token := positioned.GetToken(); token != nil {
 			p.Line, p.Column = token.Position.Line, token.Position.Column
 		}
@@ -146,8 +146,8 @@
 	return invalid(p)
 }
 
-// durationFields are the fields that hold a duration. Their texts are checked
-// before the decoder sees them, because its error for them has no place.
+// durationFields are the fields that hold a duration. They are checked before
+// decoding, because the decoder's error for them has no position.
 var durationFields = map[string]bool{
 	"deadline":           true,
 	"first_byte_timeout": true,
@@ -155,24 +155,24 @@
 	"longest_order":      true,
 }
 
-// nodeChecker visits the nodes of a document.
+// nodeChecker collects the problems of a document's syntax tree.
 type nodeChecker struct{ problems []Problem }
 
 // Visit implements ast.Visitor.
 func (c *nodeChecker) Visit(node ast.Node) ast.Visitor {
 	switch n := node.(type) {
 	case *ast.AnchorNode, *ast.AliasNode:
-		// A few lines of aliases can stand for gigabytes, at every daemon.
+		// A few lines of aliases can expand to gigabytes, on every daemon.
 		c.add(node, "", "anchors and aliases are not supported")
 	case *ast.TagNode:
 		c.add(node, "", "tags are not supported")
 	case *ast.MappingValueNode:
-		c.duration(n)
+		c.checkDuration(n)
 	}
 	return c
 }
 
-func (c *nodeChecker) duration(field *ast.MappingValueNode) {
+func (c *nodeChecker) checkDuration(field *ast.MappingValueNode) {
 	value, ok := field.Value.(*ast.StringNode)
 	if !ok || !durationFields[field.Key.String()] {
 		return
@@ -182,9 +182,9 @@
 	}
 }
 
-func (c *nodeChecker) add(node ast.Node, path, text string) {
-	line, column := start(node)
-	c.problems = append(c.problems, Problem{Line: line, Column: column, Path: path, Text: text})
+func (c *nodeChecker) add(node ast.Node, path, message string) {
+	line, column := nodePosition(node)
+	c.problems = append(c.problems, Problem{Line: line, Column: column, Path: path, Message: message})
 }
 
 func nodeProblems(body ast.Node) []Problem {
@@ -223,19 +223,19 @@
 }
 
 func fieldProblems(d *Document) []Problem {
-	var faults validator.ValidationErrors
-	if !errors.As(fieldValidator.Struct(d), &faults) {
+	var fieldErrors validator.ValidationErrors
+	if !errors.As(fieldValidator.Struct(d), &fieldErrors) {
 		return nil
 	}
-	problems := make([]Problem, 0, len(faults))
-	for _, f := range faults {
+	problems := make([]Problem, 0, len(fieldErrors))
+	for _, f := range fieldErrors {
 		_, path, _ := strings.Cut(f.Namespace(), ".")
-		problems = append(problems, Problem{Path: path, Text: fieldText(f)})
+		problems = append(problems, Problem{Path: path, Message: fieldMessage(f)})
 	}
 	return problems
 }
 
-func fieldText(f validator.FieldError) string {
+func fieldMessage(f validator.FieldError) string {
 	switch f.Tag() {
 	case "required":
 		return "is required"
@@ -263,11 +263,11 @@
 	return "breaks the rule " + f.Tag()
 }
 
-// locate gives each problem the place of its field, or of the nearest
-// enclosing field that the text holds.
+// locate sets the position of each problem to that of its field or, if the text
+// does not contain the field, of the nearest enclosing one, and sorts the problems.
 func locate(body ast.Node, problems []Problem) {
 	for i := range problems {
-		problems[i].Line, problems[i].Column = position(body, problems[i].Path)
+		problems[i].Line, problems[i].Column = fieldPosition(body, problems[i].Path)
 	}
 	sort.SliceStable(problems, func(i, j int) bool {
 		a, b := problems[i], problems[j]
@@ -275,17 +275,17 @@
 	})
 }
 
-func position(body ast.Node, path string) (line, column int) {
+func fieldPosition(body ast.Node, path string) (line, column int) {
 	for path != "" {
-		if node := find(body, path); node != nil {
-			return start(node)
+		if node := findNode(body, path); node != nil {
+			return nodePosition(node)
 		}
-		path = parent(path)
+		path = parentPath(path)
 	}
-	return start(body)
+	return nodePosition(body)
 }
 
-func find(body ast.Node, path string) ast.Node {
+func findNode(body ast.Node, path string) ast.Node {
 	p, err := yaml.PathString("$." + path)
 	if err != nil {
 		return nil
@@ -297,19 +297,19 @@
 	return node
 }
 
-func parent(path string) string {
+func parentPath(path string) string {
 	return path[:max(strings.LastIndexAny(path, ".["), 0)]
 }
 
-// start returns where the text of a node begins. A mapping's own token is the
-// colon of its first entry, and a sequence's is its first dash.
-func start(node ast.Node) (line, column int) {
+// nodePosition returns the position at which the text of a node begins. The token of
+// a mapping is the colon of its first entry, that of a sequence its first dash.
+func nodePosition(node ast.Node) (line, column int) {
 	if m, ok := node.(*ast.MappingNode); ok && len(m.Values) > 0 && !m.IsFlowStyle {
 		node = m.Values[0]
 	}
 	if v, ok := node.(*ast.MappingValueNode); ok {
 		node = v.Key
 	}
-	at := node.GetToken().Position
-	return at.Line, at.Column
+	position := node.GetToken().Position
+	return position.Line, position.Column
 }
--- a/internal/document/pattern.go
+++ b/internal/document/pattern.go
@@ -10,19 +10,19 @@
 // Pattern is a parsed path pattern of an operation.
 type Pattern struct {
 	segments []segment
-	// rest tells that the pattern ends in /**.
-	rest bool
+	// trailingWildcard reports that the pattern ends in /**.
+	trailingWildcard bool
 }
 
 type segment struct {
 	literal string
-	// variable tells that any one segment matches.
+	// variable reports that the segment matches any single segment.
 	variable bool
 }
 
-const restSegment = "**"
+const wildcardSegment = "**"
 
-// ParsePattern reads a pattern such as /v1/cases/{id}/notices or /files/**.
+// ParsePattern parses a pattern such as /v1/cases/{id}/notices or /files/**.
 func ParsePattern(text string) (Pattern, error) {
 	var p Pattern
 	parts, ok := splitPath(text)
@@ -30,11 +30,11 @@
 		return p, merry.New("must start with / and hold no empty, '.' or '..' segment")
 	}
 	for i, part := range parts {
-		if part == restSegment {
+		if part == wildcardSegment {
 			if i != len(parts)-1 {
 				return p, merry.New("/** is allowed at the end only")
 			}
-			p.rest = true
+			p.trailingWildcard = true
 			break
 		}
 		s, err := parseSegment(part)
@@ -56,18 +56,18 @@
 	return segment{literal: part}, nil
 }
 
-// splitPath cuts a path into segments. A path with an empty, "." or ".."
-// segment has none: a target may resolve it to another path than the one that
-// was matched, and an unrepeatable operation would pass for another.
+// splitPath splits a path into segments. It rejects a path with an empty, "." or
+// ".." segment: the target could resolve it to a different path than the one that
+// was matched, and an unrepeatable operation would be handled as another one.
 func splitPath(path string) (parts []string, ok bool) {
 	if path == "/" {
 		return nil, true
 	}
-	rest, rooted := strings.CutPrefix(path, "/")
-	if !rooted {
+	relative, absolute := strings.CutPrefix(path, "/")
+	if !absolute {
 		return nil, false
 	}
-	parts = strings.Split(rest, "/")
+	parts = strings.Split(relative, "/")
 	for _, part := range parts {
 		if part == "" || part == "." || part == ".." {
 			return nil, false
@@ -76,10 +76,10 @@
 	return parts, true
 }
 
-// DecodePath returns the decoded form of an escaped URL path, for Match. It
-// refuses a path with an encoded slash or backslash, or with a segment that
-// splitPath refuses: the target could cut it into other segments than Match
-// does, and an unrepeatable operation would pass for a repeatable one.
+// DecodePath decodes an escaped URL path for Match. It rejects a path with a
+// backslash, with an encoded slash or backslash, or with a segment that splitPath
+// rejects: the target could split it into different segments than Match does, and
+// an unrepeatable operation would be handled as a repeatable one.
 func DecodePath(escaped string) (path string, ok bool) {
 	lower := strings.ToLower(escaped)
 	if strings.Contains(lower, "%2f") || strings.Contains(lower, "%5c") || strings.Contains(lower, `\`) {
@@ -93,14 +93,14 @@
 	return path, ok
 }
 
-// Match tells whether a decoded URL path matches. /files/** matches /files too.
+// Match reports whether a decoded URL path matches. /files/** also matches /files.
 func (p Pattern) Match(path string) bool {
 	parts, ok := splitPath(path)
-	return ok && p.matchParts(parts)
+	return ok && p.matchSegments(parts)
 }
 
-func (p Pattern) matchParts(parts []string) bool {
-	if len(parts) < len(p.segments) || (len(parts) > len(p.segments) && !p.rest) {
+func (p Pattern) matchSegments(parts []string) bool {
+	if len(parts) < len(p.segments) || (len(parts) > len(p.segments) && !p.trailingWildcard) {
 		return false
 	}
 	for i, s := range p.segments {
@@ -111,9 +111,9 @@
 	return true
 }
 
-// MoreSpecific tells whether p takes a path before q where both match: at the
-// first difference a literal goes before a variable, and a variable before
-// the rest.
+// MoreSpecific reports whether p takes precedence over q for a path that both match:
+// at the first difference a literal takes precedence over a variable, and a
+// variable over the trailing wildcard.
 func (p Pattern) MoreSpecific(q Pattern) bool {
 	for i := 0; i < len(p.segments) && i < len(q.segments); i++ {
 		if p.segments[i].variable != q.segments[i].variable {
@@ -123,23 +123,23 @@
 	if len(p.segments) != len(q.segments) {
 		return len(p.segments) > len(q.segments)
 	}
-	return !p.rest && q.rest
+	return !p.trailingWildcard && q.trailingWildcard
 }
 
-// shape is the pattern without the names of its variables: two patterns of one
-// shape match the same paths.
+// shape returns the pattern without the names of its variables. Two patterns of the
+// same shape match the same paths.
 func (p Pattern) shape() string {
-	var b strings.Builder
+	var builder strings.Builder
 	for _, s := range p.segments {
-		b.WriteByte('/')
+		builder.WriteByte('/')
 		if s.variable {
-			b.WriteString("{}")
+			builder.WriteString("{}")
 		} else {
-			b.WriteString(s.literal)
+			builder.WriteString(s.literal)
 		}
 	}
-	if p.rest {
-		b.WriteString("/**")
+	if p.trailingWildcard {
+		builder.WriteString("/**")
 	}
-	return b.String()
+	return builder.String()
 }
--- a/internal/event/target.go
+++ b/internal/event/target.go
@@ -2,17 +2,17 @@
 
 import "log/slog"
 
-// Events of targets, as their owners' probes see them.
+// Events of targets, as observed by the probes of their owners.
 var (
-	TargetLeaving  = define(301, slog.LevelInfo, "target says that it leaves", "none")
-	TargetReturned = define(302, slog.LevelInfo, "target does not leave any more", "none")
-	TargetSilent   = define(303, slog.LevelWarn, "target does not answer its probe", "look at the target and at the way from this VM to it")
-	TargetAnswers  = define(304, slog.LevelInfo, "target answers its probe again", "none")
+	TargetLeaving      = define(301, slog.LevelInfo, "target reports that it is leaving", "none")
+	TargetReturned     = define(302, slog.LevelInfo, "target is no longer leaving", "none")
+	TargetUnresponsive = define(303, slog.LevelWarn, "target does not respond to its probe", "check the target and the network path from this VM to it")
+	TargetResponsive   = define(304, slog.LevelInfo, "target responds to its probe again", "none")
 )
 
 // Events of targets that register themselves.
 var (
-	TargetsChanged  = define(310, slog.LevelInfo, "the registered targets of a service have changed", "none")
-	AnswerForeign   = define(311, slog.LevelWarn, "a target sent an answer that belongs to another request; it is dropped", "look at the target that the line names")
-	AnswerMalformed = define(312, slog.LevelWarn, "a target sent bytes that are no answer; its connection is dropped", "look at the target that the line names")
+	TargetsChanged     = define(310, slog.LevelInfo, "the registered targets of a service have changed", "none")
+	ResponseMismatched = define(311, slog.LevelWarn, "a target sent a response that belongs to another request; the response is discarded", "check the target that the line names")
+	ResponseMalformed  = define(312, slog.LevelWarn, "a target sent bytes that are not a valid response; its connection is closed", "check the target that the line names")
 )
--- a/internal/fleet/dial.go
+++ b/internal/fleet/dial.go
@@ -111,7 +111,7 @@
 	if status.Code(err) != codes.AlreadyExists || n.outdated.Swap(true) {
 		return
 	}
-	event.FleetOutdated.Log(n.cfg.Logger, "peer", peer, "incarnation", n.cfg.Incarnation)
+	event.FleetOldIncarnation.Log(n.cfg.Logger, "peer", peer, "incarnation", n.cfg.Incarnation)
 }
 
 func (n *Node) handshake(ctx context.Context, cancel context.CancelFunc, conn *grpc.ClientConn, peer ident.Daemon, session uint64) (*link, error) {
--- a/internal/fleet/handshake.go
+++ b/internal/fleet/handshake.go
@@ -31,7 +31,7 @@
 		return
 	}
 	c.node.handshakeLogLimit.Do(func() {
-		event.FleetHandshake.Log(c.node.cfg.Logger, "remote", conn.RemoteAddr().String(), "error", err)
+		event.FleetHandshakeFailed.Log(c.node.cfg.Logger, "remote", conn.RemoteAddr().String(), "error", err)
 	})
 }
 
--- a/internal/fleet/link.go
+++ b/internal/fleet/link.go
@@ -131,7 +131,7 @@
 		n.counters.payloadReceived.Add(uint64(proto.Size(f)))
 		m, hasMessage, err := dec.decode(f)
 		if err != nil {
-			event.FleetBadFrame.Log(n.cfg.Logger, "peer", l.peer, "error", err)
+			event.FleetInvalidFrame.Log(n.cfg.Logger, "peer", l.peer, "error", err)
 			return
 		}
 		m.Incarnation = l.incarnation
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -261,7 +261,7 @@
 		if l == nil {
 			continue
 		}
-		event.FleetLinkSilent.Log(n.cfg.Logger, "peer", peer)
+		event.FleetLinkUnresponsive.Log(n.cfg.Logger, "peer", peer)
 		n.unregister(now, l)
 		l.cancel()
 	}
@@ -335,7 +335,7 @@
 		return
 	}
 	n.refusedIncarnations[l.peer] = l.incarnation
-	event.FleetTwoOfOne.Log(n.cfg.Logger, "peer", l.peer, "refused", l.address, "kept", old.address)
+	event.FleetDuplicateName.Log(n.cfg.Logger, "peer", l.peer, "refused", l.address, "kept", old.address)
 }
 
 // unregister removes a link unless it has been replaced already.
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -78,7 +78,7 @@
 		},
 		CallerGone:  func() bool { return time.Since(dispatched) > callerCheckTTL && s.CallerGone(ctx) },
 		WatchCaller: s.watchCaller(ctx, pr),
-		OnMismatch:  func() { event.AnswerForeign.Log(s.Log, "target", entry.Identity, "request", pr.info.AttemptID) },
+		OnMismatch:  func() { event.ResponseMismatched.Log(s.Log, "target", entry.Identity, "request", pr.info.AttemptID) },
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -151,7 +151,7 @@
 )
 
 // logBudgets limits the rate of log lines about requests.
-type logBudgets struct{ failed, refused, served *logging.Budget }
+type logBudgets struct{ failed, refused, served *logging.RateLimiter }
 
 // Server is the HTTP handler for callers. It is safe for concurrent use.
 type Server struct {
@@ -179,7 +179,7 @@
 func New(deps Deps) *Server {
 	s := &Server{Deps: deps, retryBudgets: map[ident.Service]*retry.Window{}}
 	s.logBudgets = logBudgets{
-		failed: logging.NewBudget(failedLogRate), refused: logging.NewBudget(refusedLogRate), served: logging.NewBudget(servedLogRate),
+		failed: logging.NewRateLimiter(failedLogRate), refused: logging.NewRateLimiter(refusedLogRate), served: logging.NewRateLimiter(servedLogRate),
 	}
 	s.targets.Store(&Targets{})
 	s.daemons.Store(1)
@@ -188,9 +188,9 @@
 
 // LogDroppedLines logs how many lines about requests were dropped since the last call.
 func (s *Server) LogDroppedLines() {
-	failed, refused, served := s.logBudgets.failed.LeftOut(), s.logBudgets.refused.LeftOut(), s.logBudgets.served.LeftOut()
+	failed, refused, served := s.logBudgets.failed.TakeSuppressed(), s.logBudgets.refused.TakeSuppressed(), s.logBudgets.served.TakeSuppressed()
 	if failed+refused+served > 0 {
-		event.LinesDropped.Log(s.Log, "failed", failed, "refused", refused, "served", served)
+		event.LinesSuppressed.Log(s.Log, "failed", failed, "refused", refused, "served", served)
 	}
 }
 
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -129,7 +129,7 @@
 	dispatched := time.Now()
 	pr.stats.placementTime += dispatched.Sub(start)
 	pr.stats.basis = placement.Basis
-	s.Metrics.Wait(pr.service.Name, string(pr.route.Retry), dispatched.Sub(start))
+	s.Metrics.QueueWait(pr.service.Name, string(pr.route.Retry), dispatched.Sub(start))
 	return placement, dispatched
 }
 
@@ -172,7 +172,7 @@
 	}
 	pr.stats.firstByteTime = r.firstByteTime
 	if r.firstByteTime > 0 {
-		s.Metrics.First(entry.Service, r.firstByteTime)
+		s.Metrics.FirstByte(entry.Service, r.firstByteTime)
 	}
 	s.Metrics.Served(entry.Service, pr.workspace, int64(r.cost))
 }
--- a/internal/ingress/place.go
+++ b/internal/ingress/place.go
@@ -109,7 +109,7 @@
 		attribute.String("target", string(placed.Target)),
 	))
 	grant.End()
-	s.Metrics.Wait(j.serviceName(), string(j.operation.Class), time.Since(queuedAt))
+	s.Metrics.QueueWait(j.serviceName(), string(j.operation.Class), time.Since(queuedAt))
 	return placed
 }
 
@@ -198,7 +198,7 @@
 		return
 	}
 	if result.FirstByte > 0 && j.preemptions == 0 {
-		s.Metrics.First(j.serviceName(), result.FirstByte)
+		s.Metrics.FirstByte(j.serviceName(), result.FirstByte)
 	}
 	s.Metrics.Served(j.serviceName(), j.workspace, int64(served))
 	if result.Failure == nil {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,10 +1,10 @@
-// Package logging writes the log without ever making traffic wait for it, and
-// bounds its volume.
+// Package logging writes the log without ever blocking requests, and limits its
+// volume.
 //
-// Load pattern: under overload or while a target fails, each request has
-// something to tell. A log that blocks on a slow reader of standard output
-// stops requests; one without bounds costs more processor time than the
-// requests that it tells of.
+// The load pattern it addresses: under overload or while a target fails, each
+// request produces a log line. Writes that block on a slow reader of standard output
+// would stall requests, and a log without rate limits would cost more processor time
+// than the requests that it reports.
 package logging
 
 import (
@@ -16,23 +16,23 @@
 	"golang.org/x/time/rate"
 )
 
-// queued is how many lines may wait for the writer: some seconds of a bounded
-// log, about 300 KB.
-const queued = 1024
+// queueCapacity is the capacity of the queue in lines: several seconds of the
+// rate-limited log, about 300 KB.
+const queueCapacity = 1024
 
-// Writer passes lines on to another writer from one goroutine. Lines that find
-// the queue full are dropped and counted. It is safe for concurrent use.
+// Writer queues lines and writes them to another writer from one goroutine. If the
+// queue is full, lines are dropped and counted. It is safe for concurrent use.
 type Writer struct {
-	to      io.Writer
+	output  io.Writer
 	lines   chan []byte
 	dropped atomic.Uint64
 	done    chan struct{}
 	once    sync.Once
 }
 
-// NewWriter returns a Writer that is to be closed.
-func NewWriter(to io.Writer) *Writer {
-	w := &Writer{to: to, lines: make(chan []byte, queued), done: make(chan struct{})}
+// NewWriter returns a Writer that writes to output. The caller must close it.
+func NewWriter(output io.Writer) *Writer {
+	w := &Writer{output: output, lines: make(chan []byte, queueCapacity), done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -47,11 +47,11 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns how many lines have been dropped so far.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Close writes what waits and ends the goroutine, within a second. Write must
-// not be called any more.
+// Close writes the queued lines and ends the goroutine; it waits at most one second.
+// Write must not be called after Close.
 func (w *Writer) Close() {
 	w.once.Do(func() { close(w.lines) })
 	select {
@@ -68,30 +68,32 @@
 		for n := len(w.lines); n > 0; n-- {
 			batch = append(batch, <-w.lines...)
 		}
-		// There is nowhere else to tell of a failing log.
-		_, _ = w.to.Write(batch)
+		// The error is ignored: there is nowhere else to report a failing log.
+		_, _ = w.output.Write(batch)
 	}
 }
 
-// Budget bounds the lines of one kind. It is safe for concurrent use.
-type Budget struct {
-	limiter *rate.Limiter
-	left    atomic.Uint64
+// RateLimiter limits the rate of one kind of line. It is safe for concurrent use.
+type RateLimiter struct {
+	limiter    *rate.Limiter
+	suppressed atomic.Uint64
 }
 
-// NewBudget allows so many lines a second, and a burst of as many.
-func NewBudget(perSecond int) *Budget {
-	return &Budget{limiter: rate.NewLimiter(rate.Limit(perSecond), perSecond)}
+// NewRateLimiter returns a RateLimiter that allows perSecond lines a second, and a
+// burst of the same size.
+func NewRateLimiter(perSecond int) *RateLimiter {
+	return &RateLimiter{limiter: rate.NewLimiter(rate.Limit(perSecond), perSecond)}
 }
 
-// Allow tells whether a line may be written, and counts it where it may not.
-func (b *Budget) Allow() bool {
-	if b.limiter.Allow() {
+// Allow reports whether a line may be written, and counts the line as suppressed if
+// not.
+func (l *RateLimiter) Allow() bool {
+	if l.limiter.Allow() {
 		return true
 	}
-	b.left.Add(1)
+	l.suppressed.Add(1)
 	return false
 }
 
-// LeftOut returns how many lines were left out since the last call.
-func (b *Budget) LeftOut() uint64 { return b.left.Swap(0) }
+// TakeSuppressed returns how many lines have been suppressed since the last call.
+func (l *RateLimiter) TakeSuppressed() uint64 { return l.suppressed.Swap(0) }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -12,20 +12,20 @@
 	"github.com/savorystall/savorystall/internal/logging"
 )
 
-// blocked is standard output whose reader has stopped.
-type blocked struct{ until chan struct{} }
+// stalledOutput is standard output whose reader has stopped reading.
+type stalledOutput struct{ released chan struct{} }
 
 // Write implements io.Writer.
-func (b blocked) Write(p []byte) (int, error) {
-	<-b.until
+func (o stalledOutput) Write(p []byte) (int, error) {
+	<-o.released
 	return len(p), nil
 }
 
-// The reader of the log stops. Requests must not wait for it: lines are dropped, and
+// If the reader of the log stops, requests must not wait for it: lines are dropped and
 // counted.
-func TestALogThatNobodyReadsBlocksNothing(t *testing.T) {
+func TestWriteDoesNotBlockOnStalledOutput(t *testing.T) {
 	is := is.New(t)
-	out := blocked{make(chan struct{})}
+	out := stalledOutput{make(chan struct{})}
 	w := logging.NewWriter(out)
 	done := make(chan struct{})
 	go func() {
@@ -39,48 +39,48 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("a line was waited for")
+		t.Fatal("Write blocked on a stalled output")
 	}
-	// The queue holds 1,024, and the writer has taken at most as many in one go.
+	// The queue holds 1,024 lines, and the writer has taken at most as many in one batch.
 	is.True(w.Dropped() >= 5000-2*1024-1)
-	close(out.until)
+	close(out.released)
 	w.Close()
 }
 
-type buffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+type lockedBuffer struct {
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *lockedBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.b.Write(p)
+	return b.buffer.Write(p)
 }
 
-// What was logged before the end is written before the end.
-func TestCloseWritesWhatWaits(t *testing.T) {
+// Lines that were logged before Close must be written before it returns.
+func TestCloseWritesQueuedLines(t *testing.T) {
 	is := is.New(t)
-	var out buffer
+	var out lockedBuffer
 	w := logging.NewWriter(&out)
 	for range 500 {
 		_, _ = w.Write([]byte("line\n"))
 	}
 	w.Close()
-	is.Equal(strings.Count(out.b.String(), "line\n"), 500)
+	is.Equal(strings.Count(out.buffer.String(), "line\n"), 500)
 }
 
-func TestBudget(t *testing.T) {
+func TestRateLimiter(t *testing.T) {
 	is := is.New(t)
-	b := logging.NewBudget(10)
+	limiter := logging.NewRateLimiter(10)
 	allowed := 0
 	for range 100 {
-		if b.Allow() {
+		if limiter.Allow() {
 			allowed++
 		}
 	}
 	is.True(allowed >= 10 && allowed < 20)
-	is.Equal(b.LeftOut(), uint64(100-allowed))
-	is.Equal(b.LeftOut(), uint64(0))
+	is.Equal(limiter.TakeSuppressed(), uint64(100-allowed))
+	is.Equal(limiter.TakeSuppressed(), uint64(0))
 }
--- a/internal/order/worker.go
+++ b/internal/order/worker.go
@@ -152,7 +152,7 @@
 		event.LeaseHeld.Log(w.log, "target", d.Target, "holder", held.Holder, "wait", held.RetryAfter)
 		return max(held.RetryAfter, w.jitter(w.cfg.Backoff)), false
 	case errors.Is(err, lease.ErrStaleDocument):
-		event.OrderBehind.Log(w.log, "target", d.Target, "document", d.DocumentRevision)
+		event.OrderDocumentOutdated.Log(w.log, "target", d.Target, "document", d.DocumentRevision)
 		return w.jitter(2 * w.cfg.ReadInterval), false
 	}
 	return w.handleFailure(d, "failed to acquire the lease", err), false
@@ -177,7 +177,7 @@
 	switch {
 	case err == nil:
 		w.lease.OrdersAnswered()
-		event.OrderGiven.Log(w.log, "target", d.Target, "fencing", o.Fencing, "document", d.DocumentRevision)
+		event.OrderAccepted.Log(w.log, "target", d.Target, "fencing", o.Fencing, "document", d.DocumentRevision)
 		return w.handleSent(d)
 	case errors.As(err, &stale):
 		w.lease.OrdersAnswered()
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -351,7 +351,7 @@
 func (s *store) pause(ctx context.Context, try int, exempt bool) bool {
 	if !s.budget.take() && !exempt {
 		if s.budget.report() {
-			event.PlatformRetriesSpent.Log(s.config.Logger, "store", s.name)
+			event.PlatformRetriesExhausted.Log(s.config.Logger, "store", s.name)
 		}
 		return false
 	}
--- a/internal/platform/table.go
+++ b/internal/platform/table.go
@@ -166,7 +166,7 @@
 func (w *write) note(f *fault) {
 	if f.sent && w.lost == nil {
 		w.lost = f
-		event.PlatformAnswerLost.Log(w.client.config.Logger, "operation", w.tx.Operation, "error", f.cause)
+		event.PlatformResponseLost.Log(w.client.config.Logger, "operation", w.tx.Operation, "error", f.cause)
 	}
 }
 
--- a/internal/reference/commands_test.go
+++ b/internal/reference/commands_test.go
@@ -21,18 +21,18 @@
 	daemonFlag = regexp.MustCompile(`long:"([a-z-]+)"`)
 )
 
-// A new user types a command of a page, and the tool does not know it.
-func TestCommandsOfThePagesExist(t *testing.T) {
+// Guards against pages that show a command or flag that the program does not have.
+func TestDocumentedCommandsExist(t *testing.T) {
 	found := 0
-	for page, text := range pages(t) {
+	for page, text := range markdownPages(t) {
 		if strings.HasPrefix(page, "docs/design/") || page == "CHANGELOG.md" {
 			continue
 		}
-		for _, line := range commandLines(text) {
-			for _, words := range commandsIn(line) {
+		for _, line := range codeLines(text) {
+			for _, words := range invocations(line) {
 				found++
-				if complaint := unknownPart(t, words); complaint != "" {
-					t.Errorf("%s: %q: %s", page, strings.Join(words, " "), complaint)
+				if problem := checkInvocation(t, words); problem != "" {
+					t.Errorf("%s: %q: %s", page, strings.Join(words, " "), problem)
 				}
 			}
 		}
@@ -40,9 +40,9 @@
 	is.New(t).True(found > 60) // the patterns find the commands
 }
 
-// commandLines returns what a page shows as code: inline, and the lines of
-// blocks without their comments and prompts.
-func commandLines(text string) []string {
+// codeLines returns the code on a page: inline code, and the lines of code blocks
+// without comments and prompts.
+func codeLines(text string) []string {
 	var lines []string
 	for _, block := range codeBlock.FindAllStringSubmatch(text, -1) {
 		for _, line := range strings.Split(block[1], "\n") {
@@ -56,32 +56,33 @@
 	return lines
 }
 
-// commandsIn returns the calls of either program in a line of a shell.
-func commandsIn(line string) [][]string {
-	var calls [][]string
+// invocations returns the invocations of either program in a shell command line.
+func invocations(line string) [][]string {
+	var found [][]string
 	for _, part := range strings.FieldsFunc(line, func(r rune) bool { return strings.ContainsRune("|&;<>()", r) }) {
 		words := strings.Fields(part)
 		if len(words) > 0 && words[0] == "do" {
 			words = words[1:]
 		}
 		if len(words) > 1 && (words[0] == "savorystall" || words[0] == "savorystalld") {
-			calls = append(calls, words)
+			found = append(found, words)
 		}
 	}
-	return calls
+	return found
 }
 
-// unknownPart tells what of a call the program does not know.
-func unknownPart(t *testing.T, words []string) string {
+// checkInvocation returns a description of the command or flag that the program does
+// not have, or an empty string.
+func checkInvocation(t *testing.T, words []string) string {
 	var known func(flag string) bool
 	if words[0] == "savorystalld" {
 		known = daemonFlags(t)
 	} else {
 		command := subcommand(words[1:])
 		if command == nil {
-			return "" // flags alone, as in a table of them
+			return "" // only flags, as in a table of flags
 		}
-		help, ok := helpOf(command)
+		help, ok := helpText(command)
 		if !ok {
 			return "no such command"
 		}
@@ -95,8 +96,8 @@
 	return ""
 }
 
-// subcommand returns the words that choose a command, past the flags that may
-// stand before it.
+// subcommand returns the words that select a command, skipping flags that precede
+// them.
 func subcommand(words []string) []string {
 	for len(words) > 1 && strings.HasPrefix(words[0], "--") {
 		words = words[2:]
@@ -111,7 +112,7 @@
 	return words[:1]
 }
 
-func helpOf(command []string) (text string, ok bool) {
+func helpText(command []string) (text string, ok bool) {
 	var output bytes.Buffer
 	code := cli.Run(context.Background(), cli.System{Arguments: append(append([]string{}, command...), "--help"), Output: &output, Errors: &output})
 	return output.String(), code == cli.ExitOK
--- a/internal/reference/fields.go
+++ b/internal/reference/fields.go
@@ -12,7 +12,7 @@
 )
 
 // Fields renders the fields of a YAML type from its Go source: path, type and
-// doc comment. Root is the name of the struct that the whole file is read into.
+// doc comment. Root is the name of the struct into which the file is decoded.
 func Fields(source, root string) (string, error) {
 	file, err := parser.ParseFile(token.NewFileSet(), source, nil, parser.ParseComments)
 	if err != nil {
@@ -21,8 +21,8 @@
 	structs := map[string]*ast.StructType{}
 	ast.Inspect(file, func(n ast.Node) bool {
 		if spec, ok := n.(*ast.TypeSpec); ok {
-			if body, ok := spec.Type.(*ast.StructType); ok {
-				structs[spec.Name.Name] = body
+			if structType, ok := spec.Type.(*ast.StructType); ok {
+				structs[spec.Name.Name] = structType
 			}
 		}
 		return true
@@ -36,17 +36,17 @@
 	return b.String(), nil
 }
 
-func writeFields(b *strings.Builder, structs map[string]*ast.StructType, body *ast.StructType, prefix string) {
-	for _, field := range body.Fields.List {
+func writeFields(b *strings.Builder, structs map[string]*ast.StructType, structType *ast.StructType, prefix string) {
+	for _, field := range structType.Fields.List {
 		name := yamlName(field)
 		if name == "" {
 			continue
 		}
-		kind, inner := typeName(field.Type)
+		description, structName := typeName(field.Type)
 		path := prefix + name
-		fmt.Fprintf(b, "| `%s` | %s | %s |\n", path, kind, strings.Join(strings.Fields(field.Doc.Text()), " "))
-		if structs[inner] != nil {
-			writeFields(b, structs, structs[inner], path+".")
+		fmt.Fprintf(b, "| `%s` | %s | %s |\n", path, description, strings.Join(strings.Fields(field.Doc.Text()), " "))
+		if structs[structName] != nil {
+			writeFields(b, structs, structs[structName], path+".")
 		}
 	}
 }
@@ -60,24 +60,24 @@
 	return name
 }
 
-// typeName returns how a field's type reads in the page, and the struct that
-// stands behind it.
-func typeName(e ast.Expr) (kind, inner string) {
+// typeName returns the description of a field's type for the page, and the name of
+// the type if it may be a struct of the same file.
+func typeName(e ast.Expr) (description, structName string) {
 	switch t := e.(type) {
 	case *ast.Ident:
-		return words(t.Name), t.Name
+		return typeDescription(t.Name), t.Name
 	case *ast.StarExpr:
 		return typeName(t.X)
 	case *ast.SelectorExpr:
-		return words(t.Sel.Name), ""
+		return typeDescription(t.Sel.Name), ""
 	case *ast.ArrayType:
-		kind, inner = typeName(t.Elt)
-		return "list of " + kind, inner
+		description, structName = typeName(t.Elt)
+		return "list of " + description, structName
 	}
 	return "value", ""
 }
 
-func words(name string) string {
+func typeDescription(name string) string {
 	switch name {
 	case "string", "Daemon", "Zone", "Service", "Workspace", "Target":
 		return "text"
--- a/internal/reference/pages_test.go
+++ b/internal/reference/pages_test.go
@@ -18,9 +18,9 @@
 
 const root = "../.."
 
-// pages returns the Markdown files of the root and of docs/, by path from the
-// root.
-func pages(t *testing.T) map[string]string {
+// markdownPages returns the Markdown files of the root and of docs/ by their paths
+// relative to the root.
+func markdownPages(t *testing.T) map[string]string {
 	t.Helper()
 	is := is.New(t)
 	found := map[string]string{}
@@ -39,20 +39,19 @@
 	return found
 }
 
-var link = regexp.MustCompile(`\]\(([^)\s]+)\)`)
+var linkPattern = regexp.MustCompile(`\]\(([^)\s]+)\)`)
 
-// A reader follows a link of a page and finds nothing, because a page was moved
-// or misspelt.
+// Guards against links to pages that were moved, removed or misspelled.
 func TestLinksResolve(t *testing.T) {
 	checked := 0
-	for page, text := range pages(t) {
-		for _, match := range link.FindAllStringSubmatch(text, -1) {
-			target, _, _ := strings.Cut(match[1], "#")
-			if target == "" || strings.Contains(target, "://") {
+	for page, text := range markdownPages(t) {
+		for _, match := range linkPattern.FindAllStringSubmatch(text, -1) {
+			path, _, _ := strings.Cut(match[1], "#")
+			if path == "" || strings.Contains(path, "://") {
 				continue
 			}
 			checked++
-			if _, err := os.Stat(filepath.Join(root, filepath.Dir(page), target)); err != nil {
+			if _, err := os.Stat(filepath.Join(root, filepath.Dir(page), path)); err != nil {
 				t.Errorf("%s links to %s, which is not there", page, match[1])
 			}
 		}
@@ -61,19 +60,19 @@
 }
 
 var (
-	// eventNumber matches numbers of the catalogue's ranges in prose. 200 is an
-	// HTTP status there.
+	// eventNumber matches numbers within the catalogue's ranges in prose. It excludes
+	// 200, which is an HTTP status there.
 	eventNumber = regexp.MustCompile(`\b(?:10\d|20[1-9]|4[01]\d|5[02]\d|60\d)\b`)
 	quotedEvent = regexp.MustCompile(`"event":(\d+)`)
 	metricName  = regexp.MustCompile("savorystall_[a-z_]+")
 	codeNumber  = regexp.MustCompile(`\b[1-4]0\d\d\b`)
 )
 
-// operatorPages returns the pages that operators act on.
+// operatorPages returns the pages for operators.
 func operatorPages(t *testing.T) map[string]string {
 	t.Helper()
 	found := map[string]string{}
-	for page, text := range pages(t) {
+	for page, text := range markdownPages(t) {
 		if strings.HasPrefix(page, "docs/operations/") || page == "docs/OPERATIONS.md" || page == "README.md" {
 			found[page] = text
 		}
@@ -81,36 +80,36 @@
 	return found
 }
 
-// An operator looks for an event, a metric or a result code that a page names,
-// and no daemon ever reports it.
-func TestOperatorPagesNameWhatExists(t *testing.T) {
-	events, metrics, codes := catalogues()
-	named := map[string]int{}
+// Guards against pages for operators that mention an event, metric or result code
+// that no daemon reports.
+func TestOperatorPagesReferToExistingNames(t *testing.T) {
+	events, metrics, codes := catalogueNames()
+	mentions := map[string]int{}
 	for page, text := range operatorPages(t) {
-		for _, number := range eventsIn(text) {
-			named["event"]++
+		for _, number := range eventNumbers(text) {
+			mentions["event"]++
 			if !events[number] {
 				t.Errorf("%s names event %s, which does not exist", page, number)
 			}
 		}
 		for _, name := range metricName.FindAllString(text, -1) {
-			named["metric"]++
+			mentions["metric"]++
 			if !metrics[name] {
 				t.Errorf("%s names metric %s, which does not exist", page, name)
 			}
 		}
-		for _, number := range codeNumber.FindAllString(withoutQuotes(text), -1) {
-			named["code"]++
+		for _, number := range codeNumber.FindAllString(withoutCodeBlocks(text), -1) {
+			mentions["code"]++
 			if !codes[number] {
 				t.Errorf("%s names result code %s, which does not exist", page, number)
 			}
 		}
 	}
 	is := is.New(t)
-	is.True(named["event"] > 60 && named["metric"] > 20 && named["code"] > 10) // the patterns find the names
+	is.True(mentions["event"] > 60 && mentions["metric"] > 20 && mentions["code"] > 10) // the patterns find the names
 }
 
-func catalogues() (events, metrics, codes map[string]bool) {
+func catalogueNames() (events, metrics, codes map[string]bool) {
 	events, metrics, codes = map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, e := range event.All() {
 		events[strconv.Itoa(e.Number)] = true
@@ -124,19 +123,19 @@
 	return events, metrics, codes
 }
 
-// eventsIn returns the numbers of events in the prose of a page and in the lines
-// of logs that it quotes.
-func eventsIn(text string) []string {
-	numbers := eventNumber.FindAllString(withoutQuotes(text), -1)
+// eventNumbers returns the event numbers in the prose of a page and in the log lines
+// that it quotes.
+func eventNumbers(text string) []string {
+	numbers := eventNumber.FindAllString(withoutCodeBlocks(text), -1)
 	for _, match := range quotedEvent.FindAllStringSubmatch(text, -1) {
 		numbers = append(numbers, match[1])
 	}
 	return numbers
 }
 
-// withoutQuotes returns the text without its blocks of commands and output,
-// whose numbers are counts, times and ports.
-func withoutQuotes(text string) string {
+// withoutCodeBlocks returns the text without its code blocks, whose numbers are
+// counts, times and ports.
+func withoutCodeBlocks(text string) string {
 	var kept []string
 	for i, part := range strings.Split(text, "```") {
 		if i%2 == 0 {
@@ -146,25 +145,25 @@
 	return strings.Join(kept, "")
 }
 
-// A team looks up a field of its document in the reference and does not find it.
-func TestServiceDocumentPageNamesEveryField(t *testing.T) {
+// Guards against fields of the service document that its reference page omits.
+func TestServiceDocumentPageListsEveryField(t *testing.T) {
 	is := is.New(t)
 	fields, err := reference.Fields("../document/document.go", "Document")
 	is.NoErr(err)
-	page := pages(t)["docs/SERVICE-DOCUMENT.md"]
+	page := markdownPages(t)["docs/SERVICE-DOCUMENT.md"]
 	rows := regexp.MustCompile("(?m)^\\| `([^`]+)` \\|").FindAllStringSubmatch(fields, -1)
 	is.True(len(rows) > 30) // the fields are found
 	for _, row := range rows {
-		// A section is named by its fields.
-		if !strings.Contains(fields, "| `"+row[1]+".") && !namesField(page, row[1]) {
+		// A section is covered by the rows of its fields.
+		if !strings.Contains(fields, "| `"+row[1]+".") && !listsField(page, row[1]) {
 			t.Errorf("docs/SERVICE-DOCUMENT.md does not name %s", row[1])
 		}
 	}
 }
 
-// namesField tells whether the page's section of the field's parent has a row
-// for it. A section is named by the first word of the path.
-func namesField(page, path string) bool {
+// listsField reports whether the page's section for the field's parent has a row for
+// the field. The heading of a section is the first element of the path.
+func listsField(page, path string) bool {
 	section, field, nested := strings.Cut(path, ".")
 	if !nested {
 		return strings.Contains(page, "| `"+path+"` |")
--- a/internal/reference/reference_test.go
+++ b/internal/reference/reference_test.go
@@ -12,8 +12,8 @@
 
 var update = flag.Bool("update", false, "write the reference pages")
 
-// The reference pages must say what the code does: a page that was not
-// regenerated after a change of a table fails here.
+// Guards against reference pages that were not regenerated after a change of the
+// catalogues or the settings.
 func TestPagesEqualCode(t *testing.T) {
 	settings, err := reference.Fields("../settings/settings.go", "Settings")
 	is.New(t).NoErr(err)
@@ -32,7 +32,7 @@
 			}
 			got, err := os.ReadFile(path)
 			is.NoErr(err)
-			is.Equal(string(got), want) // run go test ./internal/reference -update
+			is.Equal(string(got), want) // to regenerate, run go test ./internal/reference -update
 		})
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -166,7 +166,7 @@
 		return // replaced by a later election
 	}
 	f.pending = nil
-	event.StoreReader.Log(f.cfg.Logger, "reader", e.reader, "serves", e.isReader)
+	event.StoreReaderChanged.Log(f.cfg.Logger, "reader", e.reader, "serves", e.isReader)
 	f.reader, f.isReader = e.reader, e.isReader
 	f.backoff, f.backoffUntil = backoffBase, time.Time{}
 	f.cache.setReader(e.isReader)
@@ -199,7 +199,7 @@
 	if reader != f.reader || now.Before(f.backoffUntil) {
 		return // another call has reported the failure
 	}
-	event.StoreReaderLost.Log(f.cfg.Logger, "reader", reader, "table", table, "rest", f.backoff, "error", err)
+	event.StoreReaderFailed.Log(f.cfg.Logger, "reader", reader, "table", table, "rest", f.backoff, "error", err)
 	f.backoffUntil = now.Add(f.backoff)
 	f.backoff = min(2*f.backoff, backoffMax)
 	f.interruptCalls()
--- a/internal/settings/handover_test.go
+++ b/internal/settings/handover_test.go
@@ -8,16 +8,17 @@
 	"github.com/savorystall/savorystall/internal/settings"
 )
 
-// Settings that were valid before there was a takeover listener must stay valid.
-func TestTheLastPortStaysValid(t *testing.T) {
+// Settings that were valid before the handover listener was introduced must remain
+// valid: Listen on the last port leaves no next port for its default.
+func TestLastPortIsValid(t *testing.T) {
 	is := is.New(t)
 	_, err := settings.Parse([]byte("daemon: d1\nzone: z\nfleet: {listen: \"127.0.0.1:65535\"}\nplatform: {url: \"http://127.0.0.1:1\"}\n"))
 	is.NoErr(err)
 }
 
-// Two daemons on one host, or the operators' port after the fleet's: the default of a listener
-// that the file doesn't name must not take a port that it names.
-func TestTheDefaultTakesNoNamedPort(t *testing.T) {
+// With two daemons on one host, or with the operators' port next to the fleet's, the default
+// address of the handover listener must not take a port that the file configures.
+func TestDefaultHandoverDoesNotTakeConfiguredPort(t *testing.T) {
 	is := is.New(t)
 	s, err := settings.Parse([]byte("daemon: d1\nzone: z\noperators: {listen: \"127.0.0.1:7401\"}\nfleet: {listen: \"127.0.0.1:7400\"}\nplatform: {url: \"http://127.0.0.1:1\"}\n"))
 	is.NoErr(err)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
 // Package settings reads the settings of one daemon: a YAML file, overridden by
-// environment variables, overridden by flags. Settings belong to one process
-// and need a restart to change; what a service does stands in its document.
+// environment variables, overridden by flags. Settings apply to one process and
+// take effect at a restart; services are configured in their documents.
 package settings
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// Settings is the whole file.
+// Settings is the content of the settings file.
 type Settings struct {
 	// Daemon is the name of this daemon, unique in the fleet. Required.
 	Daemon ident.Daemon `yaml:"daemon" validate:"required,max=64"`
@@ -28,139 +28,142 @@
 	Callers Callers `yaml:"callers"`
 	// Operators is the listener for health, metrics and the admin API.
 	Operators Listener `yaml:"operators"`
-	// Readiness is a listener that answers only whether the daemon takes new
-	// connections. Default none; the operators' listener answers that as well.
+	// Readiness is a listener that reports only whether the daemon accepts new
+	// connections. Default none; the operators' listener reports that as well.
 	Readiness Readiness `yaml:"readiness"`
-	// Fleet is the listener and the links between daemons.
+	// Fleet configures the listener for other daemons and the links to them.
 	Fleet Fleet `yaml:"fleet"`
-	// Platform says where the platform's services are.
+	// Platform configures access to the platform's services.
 	Platform Platform `yaml:"platform"`
-	// Stop bounds a planned stop.
+	// Stop configures the planned stop.
 	Stop Stop `yaml:"stop"`
-	// Claims bounds the handling of unrepeatable requests.
+	// Claims configures the handling of unrepeatable requests.
 	Claims Claims `yaml:"claims"`
-	// Orders bounds the leases under which targets get orders.
+	// Orders configures the leases under which orders are sent to targets.
 	Orders Orders `yaml:"orders"`
-	// Routing bounds what is done for routes, where the platform's binding is
+	// Routing configures the handling of routes, if the platform's binding is
 	// routes.
 	Routing Routing `yaml:"routing"`
-	// Memory bounds the process.
+	// Memory holds the resource limits of the process.
 	Memory Memory `yaml:"memory"`
-	// Log says what is logged.
+	// Log configures logging.
 	Log Log `yaml:"log"`
-	// Trace says where spans go.
+	// Trace configures the export of spans.
 	Trace Trace `yaml:"trace"`
 }
 
 // Listener is a TCP listener.
 type Listener struct {
-	// Listen is host:port with an IP number; port 0 takes a free port.
+	// Listen is host:port with an IP address; port 0 selects a free port.
 	Listen string `yaml:"listen" validate:"required,hostname_port|tcp_addr"`
 }
 
-// Readiness is a listener for the platform's balancer.
+// Readiness is a listener for the platform's load balancer.
 type Readiness struct {
-	// Listen is host:port with an IP number. Default none.
+	// Listen is host:port with an IP address. Default none.
 	Listen string `yaml:"listen" validate:"omitempty,hostname_port|tcp_addr"`
 }
 
 // Bindings of the platform.
 const (
-	// BindingDocuments reads one document a service from the product's own HTTP
-	// binding (docs/PLATFORM-API.md).
+	// BindingDocuments reads one document per service through the HTTP binding that
+	// this project defines (docs/PLATFORM-API.md).
 	BindingDocuments = "documents"
-	// BindingRoutes reads routes as one document, and targets that register
-	// themselves, from the users' platform.
+	// BindingRoutes reads all routes as one document, and the entries of targets that
+	// register themselves, from the users' platform.
 	BindingRoutes = "routes"
 )
 
-// Routing bounds what is done for routes.
+// Routing configures the handling of routes.
 type Routing struct {
-	// RepeatRatio and RepeatBurst bound the attempts after the first one of each
-	// request, to each service and in each RepeatWindow, over the whole fleet: the
-	// ratio of the requests, and the burst more. Defaults 0.1, 20 and 10s.
+	// RepeatRatio and RepeatBurst limit the retries per service and RepeatWindow in
+	// the whole fleet to RepeatRatio times the number of requests plus RepeatBurst.
+	// The first attempt of a request is not a retry. Defaults 0.1, 20 and 10s.
 	RepeatRatio  float64       `yaml:"repeat_ratio" validate:"min=0,max=1"`
 	RepeatBurst  float64       `yaml:"repeat_burst" validate:"min=0"`
 	RepeatWindow time.Duration `yaml:"repeat_window" validate:"min=100000000"`
-	// InTouch is how long after an outage of the store a daemon has to follow it
-	// again. Default 3s.
+	// InTouch is the time within which a daemon must follow the store again after
+	// an outage of the store. Default 3s.
 	InTouch time.Duration `yaml:"in_touch" validate:"min=1000000000"`
 	// ConnectionShare is how many daemons may open connections to one target: each
-	// uses that part of what the target accepts. Default 8.
+	// of them uses one part in ConnectionShare of the connections that the target
+	// accepts. Default 8.
 	ConnectionShare int `yaml:"connection_share" validate:"min=1"`
 }
 
-// Memory bounds the process.
+// Memory holds the resource limits of the process.
 type Memory struct {
 	// Descriptors is how many files and sockets the process may have open; zero
-	// means no bound. Where routes are served, callers' connections take half of
-	// them at most, and four for each MB; beyond it, the one that is unused for
-	// longest is closed.
+	// means no limit. When serving routes, callers' connections use at most half of
+	// them, and at most four per MB of Limit; above that, the connection that has
+	// been idle for longest is closed.
 	// Default 0.
 	Descriptors int `yaml:"descriptors" validate:"min=0"`
-	// Limit is what the VM gives the process, in MB; zero means no bound. The
-	// garbage collector then works harder as it comes near. Default 0.
+	// Limit is the memory that the VM provides to the process, in MB; zero means no
+	// limit. The garbage collector runs more often as usage approaches the limit.
+	// Default 0.
 	Limit int `yaml:"limit" validate:"min=0"`
 }
 
-// Callers is the listener for callers and the bounds on what they send.
+// Callers is the listener for callers and the limits on their requests.
 type Callers struct {
-	// Listen is host:port with an IP number. Default 127.0.0.1:8080.
+	// Listen is host:port with an IP address. Default 127.0.0.1:8080.
 	Listen string `yaml:"listen" validate:"required,hostname_port|tcp_addr"`
-	// HeaderBytes bounds the headers of a request. Default 32768.
+	// HeaderBytes limits the size of a request's headers. Default 32768.
 	HeaderBytes int `yaml:"header_bytes" validate:"min=1024,max=1048576"`
-	// HeaderTimeout bounds the arrival of the headers. Default 10s.
+	// HeaderTimeout limits the time to receive the headers. Default 10s.
 	HeaderTimeout time.Duration `yaml:"header_timeout" validate:"min=100000000"`
-	// BodyTimeout bounds the arrival of the body. Default 30s.
+	// BodyTimeout limits the time to receive the body. Default 30s.
 	BodyTimeout time.Duration `yaml:"body_timeout" validate:"min=100000000"`
-	// IdleTimeout is how long an unused connection is kept where routes are
-	// served; callers are told a little less. Default 5s.
+	// IdleTimeout is how long an idle connection is kept open when serving routes;
+	// a slightly shorter time is announced to callers. Default 5s.
 	IdleTimeout time.Duration `yaml:"idle_timeout" validate:"min=1000000000"`
 }
 
-// Fleet is the listener for other daemons.
+// Fleet configures the listener for other daemons and the links to them.
 type Fleet struct {
-	// Listen is host:port with an IP number. Default 127.0.0.1:8082.
+	// Listen is host:port with an IP address. Default 127.0.0.1:8082.
 	Listen string `yaml:"listen" validate:"required,hostname_port|tcp_addr"`
 	// Advertise is the address that other daemons dial. Default: Listen.
 	Advertise string `yaml:"advertise" validate:"omitempty,hostname_port|tcp_addr"`
-	// Handover is the listener, host:port with an IP number, on which connections of callers
-	// are taken over from daemons of the availability zone that are short of processor
-	// time, where routes are served; none: they are not. Default: the host of Listen
-	// and its next port, or any where that is taken.
+	// Handover is the listener, host:port with an IP address, on which this daemon takes
+	// over callers' connections from daemons of the same availability zone that are
+	// short of processor time, when serving routes; none disables it. Default: the host
+	// of Listen and the next port, or a free port if that one is in use.
 	Handover string `yaml:"handover" validate:"omitempty,eq=none|hostname_port|tcp_addr"`
-	// Seeds are daemons to link to before the VM list was read for the first
-	// time; a daemon that starts while the platform is out learns the
+	// Seeds are daemons to connect to before the VM list has been read for the first
+	// time; a daemon that starts during an outage of the platform obtains the
 	// configuration from them. Default none.
 	Seeds []Seed `yaml:"seeds" validate:"dive"`
 	// Heartbeat is the interval of heartbeats on an idle link. Default 1s.
 	Heartbeat time.Duration `yaml:"heartbeat" validate:"min=50000000"`
-	// TLS holds the files of mutual TLS. Without them links are in the clear
-	// and a warning is logged at start.
+	// TLS holds the files for mutual TLS. Without them links are not encrypted, and
+	// a warning is logged at startup.
 	TLS *TLS `yaml:"tls"`
 }
 
-// Seed is a daemon that is known without the VM list.
+// Seed is a daemon that can be reached without the VM list.
 type Seed struct {
-	// Daemon is its name.
+	// Daemon is the name of the daemon.
 	Daemon ident.Daemon `yaml:"daemon" validate:"required,max=64"`
-	// Address is its fleet listener, host:port with an IP number.
+	// Address is the address of its fleet listener, host:port with an IP address.
 	Address string `yaml:"address" validate:"required,hostname_port|tcp_addr"`
 }
 
-// TLS names the files of one certificate and the authority of its peers.
+// TLS holds the files of the daemon's certificate and of the authority that issues
+// the certificates of its peers.
 type TLS struct {
 	// Certificate is a PEM file with this daemon's certificate.
 	Certificate string `yaml:"certificate" validate:"required"`
-	// Key is a PEM file with its private key.
+	// Key is a PEM file with the certificate's private key.
 	Key string `yaml:"key" validate:"required"`
-	// Authority is a PEM file with the authority of all daemons.
+	// Authority is a PEM file with the certificate authority of all daemons.
 	Authority string `yaml:"authority" validate:"required"`
 }
 
-// Platform says where the platform's services are.
+// Platform configures access to the platform's services.
 type Platform struct {
-	// URL is the base address of the platform's HTTP binding.
+	// URL is the base URL of the platform's HTTP binding.
 	URL string `yaml:"url" validate:"required,url"`
 	// ConfigPoll is the interval at which the head row is read. Default 1s.
 	ConfigPoll time.Duration `yaml:"config_poll" validate:"min=50000000"`
@@ -168,37 +171,37 @@
 	VMPoll time.Duration `yaml:"vm_poll" validate:"min=50000000"`
 	// Binding is documents or routes. Default documents.
 	Binding string `yaml:"binding" validate:"oneof=documents routes"`
-	// Timeout bounds one call. Default 2s.
+	// Timeout limits the duration of one call. Default 2s.
 	Timeout time.Duration `yaml:"timeout" validate:"min=10000000"`
 }
 
-// Stop bounds a planned stop.
+// Stop configures the planned stop.
 type Stop struct {
-	// BalancerLag is how long the balancer needs to notice that readiness
-	// fails. Requests are still accepted meanwhile. Default 5s.
+	// BalancerLag is the time that the load balancer needs to notice that readiness
+	// fails. Requests are still accepted during that time. Default 5s.
 	BalancerLag time.Duration `yaml:"balancer_lag" validate:"min=0"`
-	// WarnAfter is when a drain that still waits is logged. Default 60s.
+	// WarnAfter is the time after which a drain that is still waiting is logged.
+	// Default 60s.
 	WarnAfter time.Duration `yaml:"warn_after" validate:"min=0"`
 }
 
-// Claims bounds the handling of unrepeatable requests.
+// Claims configures the handling of unrepeatable requests.
 type Claims struct {
 	// Wait is how long a request waits for the platform's table before it is
-	// refused as not run. Default 5s.
+	// refused without having run. Default 5s.
 	Wait time.Duration `yaml:"wait" validate:"min=0"`
 }
 
-// Orders bounds the leases under which targets get orders.
+// Orders configures the leases under which orders are sent to targets.
 type Orders struct {
-	// LeaseTerm is how long a lease lasts without renewal, and how long a new
-	// holder waits for an old one at least. Default 20s.
+	// LeaseTerm is how long a lease lasts without renewal, and the minimum time for
+	// which a new holder waits for the previous one. Default 20s.
 	LeaseTerm time.Duration `yaml:"lease_term" validate:"min=1000000000"`
-	// ReadBack is the mean time between two readings of a target's state.
-	// Default 10s.
+	// ReadBack is the mean interval at which a target's state is read. Default 10s.
 	ReadBack time.Duration `yaml:"read_back" validate:"min=100000000"`
 }
 
-// Log says what is logged.
+// Log configures logging.
 type Log struct {
 	// Level is debug, info, warn or error. Default info.
 	Level string `yaml:"level" validate:"oneof=debug info warn error"`
@@ -206,18 +209,18 @@
 	Output string `yaml:"output" validate:"oneof=stderr stdout"`
 }
 
-// Trace says where spans go.
+// Trace configures the export of spans.
 type Trace struct {
 	// OTLP is the URL of an OTLP/HTTP collector. Default none.
 	OTLP string `yaml:"otlp" validate:"omitempty,url"`
-	// File is a file that spans are appended to as JSON. Default none.
+	// File is a file to which spans are appended as JSON. Default none.
 	File string `yaml:"file"`
-	// Sample is the share of requests without a sampled parent that are
+	// Sample is the fraction of requests without a sampled parent that are
 	// traced, from 0 to 1. Default 0.01.
 	Sample float64 `yaml:"sample" validate:"min=0,max=1"`
 }
 
-// Defaults returns the settings that hold where the file is silent.
+// Defaults returns the settings that apply unless the file specifies others.
 func Defaults() Settings {
 	return Settings{
 		Callers: Callers{
@@ -239,18 +242,18 @@
 	}
 }
 
-// anyPort ends a listener's address whose port the system chooses; it is known
-// only once the listener is open.
-const anyPort = ":0"
+// ephemeralPortSuffix ends the address of a listener whose port the operating system
+// selects, so that the port is known only once the listener is open.
+const ephemeralPortSuffix = ":0"
 
-// HandoverNone as Fleet.Handover says that no connections are taken over.
+// HandoverNone is the value of Fleet.Handover that disables taking over connections.
 const HandoverNone = "none"
 
-// Override changes one field after the file was read.
+// Override changes settings after the file has been read.
 type Override func(*Settings)
 
-// Load reads the file and applies the overrides in order. An empty path means
-// that there is no file.
+// Load reads the settings file and applies the overrides in order. With an empty
+// path, no file is read.
 func Load(path string, overrides ...Override) (Settings, error) {
 	var text []byte
 	if path != "" {
@@ -266,8 +269,8 @@
 	return s, nil
 }
 
-// Parse reads settings from YAML. Unknown fields and values out of range are
-// errors that name the field.
+// Parse decodes settings from YAML and applies the overrides in order. Unknown
+// fields and values out of range are errors that contain the field's name.
 func Parse(text []byte, overrides ...Override) (Settings, error) {
 	s := Defaults()
 	if len(text) > 0 {
@@ -278,7 +281,7 @@
 	for _, override := range overrides {
 		override(&s)
 	}
-	if s.Fleet.Advertise == "" && !strings.HasSuffix(s.Fleet.Listen, anyPort) {
+	if s.Fleet.Advertise == "" && !strings.HasSuffix(s.Fleet.Listen, ephemeralPortSuffix) {
 		s.Fleet.Advertise = s.Fleet.Listen
 	}
 	if err := validator.New(validator.WithRequiredStructEnabled()).Struct(s); err != nil {
@@ -287,17 +290,17 @@
 	return s, nil
 }
 
-// DefaultHandover returns the addresses for Handover where the settings name none, in the order
-// in which they are to be tried: the port after that of Listen, and any.
+// DefaultHandover returns the addresses to try, in order, if the settings do not specify
+// Handover: the port after that of Listen, then any free port.
 func (f Fleet) DefaultHandover() []string {
 	host, text, err := net.SplitHostPort(f.Listen)
 	if err != nil {
-		return nil // Listen was checked
+		return nil // Parse has already validated Listen
 	}
-	anyOf := net.JoinHostPort(host, "0")
+	ephemeral := net.JoinHostPort(host, "0")
 	port, err := strconv.ParseUint(text, 10, 16)
 	if err != nil || port == 0 || port == math.MaxUint16 {
-		return []string{anyOf}
+		return []string{ephemeral}
 	}
-	return []string{net.JoinHostPort(host, strconv.FormatUint(port+1, 10)), anyOf}
+	return []string{net.JoinHostPort(host, strconv.FormatUint(port+1, 10)), ephemeral}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,11 +10,11 @@
 	"github.com/savorystall/savorystall/internal/settings"
 )
 
-const least = "daemon: entry-1\nzone: hall-a\nplatform: {url: http://127.0.0.1:9000}\n"
+const minimalSettings = "daemon: entry-1\nzone: hall-a\nplatform: {url: http://127.0.0.1:9000}\n"
 
-func TestLeastSettingsTakeDefaults(t *testing.T) {
+func TestMinimalSettingsGetDefaults(t *testing.T) {
 	is := is.New(t)
-	s, err := settings.Parse([]byte(least))
+	s, err := settings.Parse([]byte(minimalSettings))
 	is.NoErr(err)
 	is.Equal(s.Callers.Listen, "127.0.0.1:8080")
 	is.Equal(s.Fleet.Advertise, s.Fleet.Listen)
@@ -29,32 +29,32 @@
 		return value, ok
 	}
 	flag := func(s *settings.Settings) { s.Daemon = "entry-3" }
-	s, err := settings.Parse([]byte(least), settings.FromEnvironment(lookup), flag)
+	s, err := settings.Parse([]byte(minimalSettings), settings.FromEnvironment(lookup), flag)
 	is.NoErr(err)
 	is.Equal(string(s.Zone), "hall-b")
 	is.Equal(string(s.Daemon), "entry-3")
 }
 
-func TestBadSettingsNameTheField(t *testing.T) {
+func TestErrorsOfInvalidSettingsNameTheField(t *testing.T) {
 	cases := map[string]struct{ text, want string }{
-		"unknown field":     {least + "colour: red\n", "colour"},
+		"unknown field":     {minimalSettings + "colour: red\n", "colour"},
 		"no daemon":         {"zone: z\nplatform: {url: http://127.0.0.1:9000}\n", "Daemon"},
 		"no platform":       {"daemon: d\nzone: z\n", "URL"},
-		"bad address":       {least + "callers: {listen: nowhere}\n", "Callers.Listen"},
-		"negative duration": {least + "claims: {wait: -1s}\n", "Claims.Wait"},
-		"not a duration":    {least + "claims: {wait: soon}\n", "soon"},
-		"bad level":         {least + "log: {level: loud}\n", "Log.Level"},
-		"half of TLS":       {least + "fleet: {tls: {key: k}}\n", "TLS.Certificate"},
-		"sample above one":  {least + "trace: {sample: 2}\n", "Trace.Sample"},
-		"seed without name": {least + "fleet: {seeds: [{address: \"127.0.0.1:1\"}]}\n", "Seeds[0].Daemon"},
-		"short lease":       {least + "orders: {lease_term: 1ms}\n", "Orders.LeaseTerm"},
+		"bad address":       {minimalSettings + "callers: {listen: nowhere}\n", "Callers.Listen"},
+		"negative duration": {minimalSettings + "claims: {wait: -1s}\n", "Claims.Wait"},
+		"not a duration":    {minimalSettings + "claims: {wait: soon}\n", "soon"},
+		"bad level":         {minimalSettings + "log: {level: loud}\n", "Log.Level"},
+		"half of TLS":       {minimalSettings + "fleet: {tls: {key: k}}\n", "TLS.Certificate"},
+		"sample above one":  {minimalSettings + "trace: {sample: 2}\n", "Trace.Sample"},
+		"seed without name": {minimalSettings + "fleet: {seeds: [{address: \"127.0.0.1:1\"}]}\n", "Seeds[0].Daemon"},
+		"short lease":       {minimalSettings + "orders: {lease_term: 1ms}\n", "Orders.LeaseTerm"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			_, err := settings.Parse([]byte(c.text))
 			is.True(err != nil)
-			is.True(strings.Contains(err.Error(), c.want)) // the error names the field
+			is.True(strings.Contains(err.Error(), c.want)) // the error specifies the field
 		})
 	}
 }
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -17,9 +17,9 @@
 	"github.com/savorystall/savorystall/internal/settings"
 )
 
-// Names of the spans, one a hop. Where documents are served, the span of the target
-// hop is made by package attempt; where routes are, a request has an ingress, a place
-// and a target span for each attempt.
+// Names of the spans, one per hop. With documents, the span of the target hop is
+// created by package attempt. With routes, a request has an ingress span, and a
+// place and a target span for each attempt.
 const (
 	SpanIngress = "ingress"
 	SpanQueue   = "queue"
@@ -28,7 +28,7 @@
 	SpanTarget  = "target"
 )
 
-// Tracing makes spans and carries their context in W3C headers.
+// Tracing creates spans and propagates their context in W3C headers.
 type Tracing struct {
 	trace.Tracer
 	// Propagator reads and writes traceparent and tracestate.
@@ -37,12 +37,13 @@
 	file       *os.File
 }
 
-// NewTracing returns a Tracing with the exporters of the settings. Without any
-// exporter the context of callers is still carried through to targets.
+// NewTracing returns a Tracing with the exporters that the settings specify. Without
+// an exporter the trace context of callers is still propagated to targets.
 func NewTracing(ctx context.Context, daemon string, cfg settings.Trace) (*Tracing, error) {
 	t := &Tracing{Propagator: propagation.TraceContext{}}
 	if cfg.OTLP == "" && cfg.File == "" {
-		// Spans that nobody sees cost a tenth of a refused request's processor time.
+		// Recording spans without exporting them would take a tenth of the processor
+		// time of a refused request.
 		t.Tracer = noop.NewTracerProvider().Tracer("savorystall")
 		return t, nil
 	}
@@ -77,7 +78,7 @@
 	return t, nil
 }
 
-// Close flushes the spans that were not exported yet.
+// Close exports the remaining spans and closes the file.
 func (t *Tracing) Close(ctx context.Context) error {
 	if t.provider == nil {
 		return nil
