--- a/internal/claim/bench_test.go
+++ b/internal/claim/bench_test.go
@@ -92,7 +92,7 @@
 
 func singleRowTransaction(key string, revision uint64) platform.Transaction {
 	return platform.Transaction{
-		Operation:  platform.NewOperation(),
+		Operation:  platform.NewOperationID(),
 		Conditions: []platform.Condition{{Key: key, Revision: revision}},
 		Puts:       []platform.Put{{Key: key, Value: Record{Digest: testDigest}.encode()}},
 	}
--- a/internal/claim/fake_test.go
+++ b/internal/claim/fake_test.go
@@ -42,7 +42,7 @@
 
 func (t *fakeTable) Commit(ctx context.Context, tx platform.Transaction) (uint64, error) {
 	if !sleep(ctx, t.latency) {
-		return 0, &platform.Unknown{Cause: ctx.Err()}
+		return 0, &platform.UnknownOutcome{Cause: ctx.Err()}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -52,12 +52,12 @@
 		return 0, &platform.Unavailable{Cause: errInjected}
 	case faultLost:
 		_, _ = t.apply(tx)
-		return 0, &platform.Unknown{Cause: errInjected}
+		return 0, &platform.UnknownOutcome{Cause: errInjected}
 	case faultDelayed:
 		t.delayed = append(t.delayed, tx)
-		return 0, &platform.Unknown{Cause: errInjected}
+		return 0, &platform.UnknownOutcome{Cause: errInjected}
 	case faultDropped:
-		return 0, &platform.Unknown{Cause: errInjected}
+		return 0, &platform.UnknownOutcome{Cause: errInjected}
 	}
 	return t.apply(tx)
 }
--- a/internal/claim/platform_test.go
+++ b/internal/claim/platform_test.go
@@ -32,7 +32,7 @@
 
 // newClaimer starts a claimer that uses the platform's HTTP binding.
 func (d *directQuerier) newClaimer(t *testing.T, url, name string, wait time.Duration) *claim.Claimer {
-	client := platform.NewClient(platform.ClientConfig{URL: url, TryTimeout: 200 * time.Millisecond, Logger: slog.New(slog.DiscardHandler)})
+	client := platform.NewClient(platform.ClientConfig{URL: url, AttemptTimeout: 200 * time.Millisecond, Logger: slog.New(slog.DiscardHandler)})
 	c := claim.New(claim.Config{Daemon: ident.Daemon(name), Incarnation: 1, ClaimTimeout: wait, WritesPerSecond: 1000}, client, d, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -167,7 +167,7 @@
 		invalid     *document.Invalid
 		conflict    *config.EditConflict
 		taken       *config.ModelConflict
-		unknown     *platform.Unknown
+		unknown     *platform.UnknownOutcome
 		unavailable *platform.Unavailable
 		notInForce  *notInForce
 	)
@@ -193,7 +193,7 @@
 // hintOf returns what an operator can do about an error.
 func hintOf(err error) string {
 	var conflict *config.EditConflict
-	var unknown *platform.Unknown
+	var unknown *platform.UnknownOutcome
 	switch {
 	case errors.As(err, &conflict):
 		return conflictHint(conflict)
--- a/internal/config/archive.go
+++ b/internal/config/archive.go
@@ -71,7 +71,7 @@
 // readArchive returns the latest archive, or an empty one if none exists.
 func readArchive(ctx context.Context, objects platform.Objects) (archive, error) {
 	body, err := objects.GetObject(ctx, archiveObject)
-	if errors.Is(err, platform.ErrAbsent) {
+	if errors.Is(err, platform.ErrObjectNotFound) {
 		return archive{}, nil
 	}
 	if err != nil {
@@ -191,7 +191,7 @@
 		return false, nil
 	}
 	_, err = a.config.Table.Commit(ctx, platform.Transaction{
-		Operation:  platform.NewOperation(),
+		Operation:  platform.NewOperationID(),
 		Conditions: []platform.Condition{{Key: archiveKey, Revision: row.Revision}},
 		Puts:       []platform.Put{{Key: archiveKey, Value: encode(lastArchive{Revision: revision, StartedAt: now})}},
 	})
--- a/internal/config/editor.go
+++ b/internal/config/editor.go
@@ -301,7 +301,7 @@
 	record.Revision, record.Previous = next.Revision, s.current.Revision
 	history, ttl := record.historyRow(s.current)
 	record.Chain = history.Chain
-	b := txBuilder{rows: s.rows, tx: platform.Transaction{Operation: platform.NewOperation()}}
+	b := txBuilder{rows: s.rows, tx: platform.Transaction{Operation: platform.NewOperationID()}}
 	b.put(headKey, encode(next), 0)
 	b.put(recentKey, encode(s.recent.next(change.service, next.Revision)), 0)
 	b.put(serviceKey(change.service), encode(record), 0)
--- a/internal/daemon/bridge.go
+++ b/internal/daemon/bridge.go
@@ -143,7 +143,7 @@
 
 // Follow implements fleet.Handler. It always fails: each daemon polls the table itself.
 func (b *bridge) Follow(context.Context, platform.FeedQuery) (platform.FeedAnswer, error) {
-	return platform.FeedAnswer{}, platform.ErrFeedUnfit
+	return platform.FeedAnswer{}, platform.ErrReaderNotCurrent
 }
 
 // Claim implements fleet.Handler.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -68,7 +68,7 @@
 }
 
 func newPlatform(s settings.Settings, log *slog.Logger) *platform.Client {
-	return platform.NewClient(platform.ClientConfig{URL: s.Platform.URL, TryTimeout: s.Platform.Timeout, Logger: log})
+	return platform.NewClient(platform.ClientConfig{URL: s.Platform.URL, AttemptTimeout: s.Platform.Timeout, Logger: log})
 }
 
 func newWatcher(s settings.Settings, client *platform.Client, store *config.Store, log *slog.Logger) *config.Watcher {
--- a/internal/daemon/site.go
+++ b/internal/daemon/site.go
@@ -33,7 +33,7 @@
 	view   viewApplier[routingView]
 	ownRow *ownRow
 	// rows writes this daemon's row.
-	rows store.Rows
+	rows store.RowWriter
 }
 
 // routingView is the content of the store at one time, as far as this daemon has read it.
@@ -93,9 +93,9 @@
 }
 
 func (s *storeSync) follow(group *store.FeedGroup, table string, wait, gather time.Duration, subscriber store.Subscriber) func(context.Context) {
-	cfg := store.FollowerConfig{Feed: s.deps.Relay, Table: table, Wait: wait, Gather: gather, Group: group, Logger: s.deps.Log}
+	cfg := store.FollowerConfig{Feed: s.deps.Relay, Table: table, Wait: wait, CoalesceDelay: gather, Group: group, Logger: s.deps.Log}
 	if table == heartbeatTable {
-		cfg.Beats, cfg.Answered = true, s.deps.Load.confirmRoutes
+		cfg.Heartbeat, cfg.OnAnswer = true, s.deps.Load.confirmRoutes
 	}
 	return store.NewFollower(cfg, subscriber).Run
 }
--- a/internal/daemon/siterows.go
+++ b/internal/daemon/siterows.go
@@ -25,10 +25,10 @@
 }
 
 // Away implements store.Subscriber.
-func (r *routeSubscriber) Away() {}
+func (r *routeSubscriber) StoreUnreachable() {}
 
 // Back implements store.Subscriber.
-func (r *routeSubscriber) Back(time.Time) {}
+func (r *routeSubscriber) StoreReachable(time.Time) {}
 
 // Replace implements store.Subscriber.
 func (r *routeSubscriber) Replace(rows []store.FeedRow, _ store.Revision) {
@@ -39,7 +39,7 @@
 
 // Restored implements store.Subscriber. The routes in force stay: those of the backup have
 // a lower version until the operator's are written again.
-func (r *routeSubscriber) Restored(store.Restore) { r.storeSync.deps.Metrics.StoreRestored() }
+func (r *routeSubscriber) StoreRestored(store.Restore) { r.storeSync.deps.Metrics.StoreRestored() }
 
 // Change implements store.Subscriber.
 func (r *routeSubscriber) Change(row store.FeedRow) {
@@ -94,21 +94,21 @@
 }
 
 // Away implements store.Subscriber. The known targets stay in use.
-func (t *targetSubscriber) Away() {
+func (t *targetSubscriber) StoreUnreachable() {
 	t.storeSync.mu.Lock()
 	t.storeSync.registry.StoreUnreachable(time.Now())
 	t.storeSync.mu.Unlock()
 }
 
 // Back implements store.Subscriber.
-func (t *targetSubscriber) Back(notBefore time.Time) {
+func (t *targetSubscriber) StoreReachable(notBefore time.Time) {
 	t.storeSync.mu.Lock()
 	t.storeSync.registry.StoreRecovered(time.Now(), notBefore)
 	t.storeSync.mu.Unlock()
 }
 
 // Restored implements store.Subscriber.
-func (t *targetSubscriber) Restored(r store.Restore) {
+func (t *targetSubscriber) StoreRestored(r store.Restore) {
 	t.storeSync.mu.Lock()
 	t.storeSync.registry.StoreRestored(time.Now(), r.NotBefore)
 	t.storeSync.mu.Unlock()
@@ -189,14 +189,14 @@
 }
 
 // Away implements store.Subscriber.
-func (d *daemonSubscriber) Away() {}
+func (d *daemonSubscriber) StoreUnreachable() {}
 
 // Back implements store.Subscriber.
-func (d *daemonSubscriber) Back(time.Time) {}
+func (d *daemonSubscriber) StoreReachable(time.Time) {}
 
 // Restored implements store.Subscriber. Daemons that are missing from the backup write
 // their rows again; until then, the links tell whether they are live.
-func (d *daemonSubscriber) Restored(store.Restore) {}
+func (d *daemonSubscriber) StoreRestored(store.Restore) {}
 
 // Replace implements store.Subscriber.
 func (d *daemonSubscriber) Replace(rows []store.FeedRow, at store.Revision) {
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -22,7 +22,7 @@
 		return platform.FeedAnswer{}, err
 	}
 	reply, err := c.Follow(ctx, &fleetv1.FollowRequest{
-		Table: q.Table, After: q.After.Number(), AfterEra: q.After.Era(), Whole: q.Whole, WaitMs: uint32(q.Wait.Milliseconds()),
+		Table: q.Table, After: q.After.Number(), AfterEra: q.After.Era(), Whole: q.FullTable, WaitMs: uint32(q.Wait.Milliseconds()),
 	})
 	switch status.Code(err) {
 	case codes.OK:
@@ -46,7 +46,7 @@
 // Follow implements fleetv1.FleetServer.
 func (s *server) Follow(ctx context.Context, r *fleetv1.FollowRequest) (*fleetv1.FollowReply, error) {
 	answer, err := s.node.handler.Follow(ctx, platform.FeedQuery{
-		Table: r.GetTable(), After: platform.NewRevision(r.GetAfterEra(), r.GetAfter()), Whole: r.GetWhole(),
+		Table: r.GetTable(), After: platform.NewRevision(r.GetAfterEra(), r.GetAfter()), FullTable: r.GetWhole(),
 		Wait: time.Duration(r.GetWaitMs()) * time.Millisecond,
 	})
 	switch {
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -56,7 +56,7 @@
 
 func (r *recorder) Follow(_ context.Context, q platform.FeedQuery) (platform.FeedAnswer, error) {
 	if r.onFollow == nil {
-		return platform.FeedAnswer{}, platform.ErrFeedUnfit
+		return platform.FeedAnswer{}, platform.ErrReaderNotCurrent
 	}
 	return r.onFollow(q)
 }
@@ -262,7 +262,7 @@
 	is.Equal(got.Rows[0].Revision, want.Rows[0].Revision)
 	is.Equal(got.Rows[1].Key, "gone")
 	is.True(got.Rows[1].Deleted)
-	_, err = a.Follow(t.Context(), "b", platform.FeedQuery{Table: "t", Whole: true})
+	_, err = a.Follow(t.Context(), "b", platform.FeedQuery{Table: "t", FullTable: true})
 	is.True(errors.Is(err, platform.ErrHistoryLost))
 	_, err = b.Follow(t.Context(), "a", platform.FeedQuery{Table: "t"})
 	is.True(err != nil)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -98,7 +98,7 @@
 // state stays as it is: if the write took effect, the next read shows the row.
 func (l *Lease) write(ctx context.Context, c Claim, r Record, sent time.Time) error {
 	revision, err := l.table.Commit(ctx, platform.Transaction{
-		Operation:  platform.NewOperation(),
+		Operation:  platform.NewOperationID(),
 		Conditions: []platform.Condition{{Key: l.key, Revision: l.state.row.Revision}},
 		Puts:       []platform.Put{{Key: l.key, Value: r.encode(), TTL: recordTTL}},
 	})
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -28,7 +28,7 @@
 	t.row = platform.Row{Key: tx.Puts[0].Key, Value: tx.Puts[0].Value, Revision: t.revision, Operation: tx.Operation}
 	if t.loseResponse {
 		t.loseResponse = false
-		return 0, &platform.Unknown{Cause: errors.New("lost")}
+		return 0, &platform.UnknownOutcome{Cause: errors.New("lost")}
 	}
 	return t.revision, nil
 }
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -23,63 +23,65 @@
 
 // Defaults of ClientConfig.
 const (
-	DefaultTryTimeout  = 2 * time.Second
-	DefaultCallTimeout = 20 * time.Second
-	DefaultInFlight    = 32
-	DefaultMaxBody     = 64 << 20
+	DefaultAttemptTimeout = 2 * time.Second
+	DefaultCallTimeout    = 20 * time.Second
+	DefaultMaxInFlight    = 32
+	DefaultMaxBody        = 64 << 20
 )
 
 const (
-	// retryBase and retryCap bound the full-jitter backoff between the tries of
-	// one call.
+	// retryBase and retryCap bound the full-jitter backoff between the attempts
+	// of one call.
 	retryBase = 50 * time.Millisecond
 	retryCap  = 2 * time.Second
-	// judgedAfter is how long a try must have lasted for the end of its caller's
-	// patience to count as the store's failure.
-	judgedAfter = 250 * time.Millisecond
-	// patience is how many times longer a try may take while the store is slow.
-	patience = 2
+	// minConclusiveDuration is how long an attempt that ends at its caller's
+	// deadline must have lasted to count as a failure of the store.
+	minConclusiveDuration = 250 * time.Millisecond
+	// slowTimeoutFactor multiplies the timeout of an attempt while the store is
+	// slow.
+	slowTimeoutFactor = 2
 )
 
 // ClientConfig configures a Client.
 type ClientConfig struct {
-	// URL is the base of the platform's HTTP binding, such as
+	// URL is the base URL of the platform's HTTP API, such as
 	// "http://127.0.0.1:9000"; required.
 	URL string
-	// Token is sent as a bearer key; empty sends none.
+	// Token is sent as a bearer token; if it is empty, none is sent.
 	Token string
-	// TryTimeout bounds one HTTP exchange; default 2s. It is doubled while the
-	// store is slow.
-	TryTimeout time.Duration
-	// CallTimeout bounds a call with all its tries where its context has no
-	// earlier deadline; default 20s.
+	// AttemptTimeout bounds one HTTP request; default 2s. It is doubled while
+	// the store is slow.
+	AttemptTimeout time.Duration
+	// CallTimeout bounds a call including all its attempts, unless its context
+	// has an earlier deadline; default 20s.
 	CallTimeout time.Duration
-	// InFlight bounds the exchanges with one store at a time; default 32.
-	InFlight int
-	// HTTP makes the exchanges; default a client of its own without redirects.
+	// MaxInFlight bounds the concurrent requests to one store; default 32.
+	MaxInFlight int
+	// HTTP sends the requests; default a dedicated client that follows no
+	// redirects.
 	HTTP *http.Client
-	// Clock defaults to the real one.
+	// Clock defaults to the system clock.
 	Clock clock.Clock
 	// Random returns a number in [0,1); default math/rand/v2.
 	Random func() float64
 	// Logger defaults to slog.Default.
 	Logger *slog.Logger
-	// Scope takes the metrics; default none.
+	// Scope receives the metrics; default none.
 	Scope tally.Scope
 }
 
 func (c *ClientConfig) applyDefaults() {
-	if c.TryTimeout <= 0 {
-		c.TryTimeout = DefaultTryTimeout
+	if c.AttemptTimeout <= 0 {
+		c.AttemptTimeout = DefaultAttemptTimeout
 	}
 	if c.CallTimeout <= 0 {
 		c.CallTimeout = DefaultCallTimeout
 	}
-	if c.InFlight <= 0 {
-		c.InFlight = DefaultInFlight
+	if c.MaxInFlight <= 0 {
+		c.MaxInFlight = DefaultMaxInFlight
 	}
 	if c.HTTP == nil {
-		c.HTTP = newHTTPClient(c.InFlight)
+		c.HTTP = newHTTPClient(c.MaxInFlight)
 	}
 	if c.Clock == nil {
 		c.Clock = clock.Real
@@ -95,12 +97,12 @@
 	}
 }
 
-// newHTTPClient returns a client that never follows a redirect: the binding has
-// none, and a redirected POST would be sent again as a GET.
-func newHTTPClient(connections int) *http.Client {
+// newHTTPClient returns a client that never follows a redirect: the API has
+// none, and a redirected POST would be repeated as a GET.
+func newHTTPClient(maxIdleConns int) *http.Client {
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.Proxy = nil
-	transport.MaxIdleConnsPerHost = connections
+	transport.MaxIdleConnsPerHost = maxIdleConns
 	return &http.Client{
 		Transport: transport,
 		CheckRedirect: func(*http.Request, []*http.Request) error {
@@ -109,15 +111,15 @@
 	}
 }
 
-// Client speaks the HTTP/JSON binding. It implements Table, Objects, VMs and
-// Weights, and is safe for concurrent use. Its calls wait out an outage for as
-// long as their context allows.
+// Client calls the platform's HTTP/JSON API. It implements Table, Objects, VMs
+// and Weights, and is safe for concurrent use. During an outage its calls wait
+// for the store to recover for as long as their context allows.
 type Client struct {
 	config  ClientConfig
-	table   *store
-	objects *store
-	vms     *store
-	weights *store
+	table   *storeClient
+	objects *storeClient
+	vms     *storeClient
+	weights *storeClient
 }
 
 var (
@@ -127,70 +129,70 @@
 	_ Weights = (*Client)(nil)
 )
 
-// NewClient returns a Client. It makes no call.
+// NewClient returns a Client without making any call.
 func NewClient(c ClientConfig) *Client {
 	c.applyDefaults()
 	c.URL = strings.TrimSuffix(c.URL, "/")
 	return &Client{
 		config:  c,
-		table:   newStore("table", c),
-		objects: newStore("objects", c),
-		vms:     newStore("vms", c),
-		weights: newStore("weights", c),
+		table:   newStoreClient("table", c),
+		objects: newStoreClient("objects", c),
+		vms:     newStoreClient("vms", c),
+		weights: newStoreClient("weights", c),
 	}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.config.HTTP.CloseIdleConnections() }
 
-// store is what the client keeps for each store of the platform. Each has its
-// own gate: the stores fail one by one.
-type store struct {
-	name    string
-	config  ClientConfig
-	gate    *gate
-	budget  *retryBudget
-	slots   chan struct{}
-	slow    atomic.Bool
-	metrics storeMetrics
+// storeClient is the state of the client for one store of the platform. Each
+// has its own circuit breaker because the stores fail independently.
+type storeClient struct {
+	name     string
+	config   ClientConfig
+	breaker  *circuitBreaker
+	budget   *retryBudget
+	inFlight chan struct{}
+	slow     atomic.Bool
+	metrics  storeMetrics
 }
 
-// tryTimeout bounds the next try.
-func (s *store) tryTimeout() time.Duration {
+// attemptTimeout returns the timeout of the next attempt.
+func (s *storeClient) attemptTimeout() time.Duration {
 	if s.slow.Load() {
-		return patience * s.config.TryTimeout
+		return slowTimeoutFactor * s.config.AttemptTimeout
 	}
-	return s.config.TryTimeout
+	return s.config.AttemptTimeout
 }
 
-// observe notes whether the store is slow. It answers a store that takes longer
-// than a try may for a long stretch: without it every try is given up, and the
-// store counts as out though it would answer.
-func (s *store) observe(took time.Duration, f *fault) {
+// updateSlow updates whether the store counts as slow. If a store's latency
+// exceeds the timeout of an attempt for a long time, a fixed timeout would abort
+// every attempt, and the store would count as unavailable although it answers.
+func (s *storeClient) updateSlow(elapsed time.Duration, err *attemptError) {
 	switch {
-	case f == nil && took < s.config.TryTimeout/2:
+	case err == nil && elapsed < s.config.AttemptTimeout/2:
 		s.slow.Store(false)
-	case f != nil && took >= s.config.TryTimeout:
+	case err != nil && elapsed >= s.config.AttemptTimeout:
 		s.slow.Store(true)
 	}
 }
 
 type storeMetrics struct {
-	tries, failures, retries tally.Counter
-	outage                   tally.Gauge
-	latency                  tally.Timer
+	attempts, failures, retries tally.Counter
+	outage                      tally.Gauge
+	latency                     tally.Timer
 }
 
-func newStore(name string, c ClientConfig) *store {
+func newStoreClient(name string, c ClientConfig) *storeClient {
 	scope := c.Scope.SubScope("platform").Tagged(map[string]string{"store": name})
-	return &store{
-		name:   name,
-		config: c,
-		gate:   newGate(c.Random),
-		budget: newRetryBudget(),
-		slots:  make(chan struct{}, c.InFlight),
+	return &storeClient{
+		name:     name,
+		config:   c,
+		breaker:  newCircuitBreaker(c.Random),
+		budget:   newRetryBudget(),
+		inFlight: make(chan struct{}, c.MaxInFlight),
 		metrics: storeMetrics{
-			tries:    scope.Counter("tries"),
+			attempts: scope.Counter("tries"),
 			failures: scope.Counter("failures"),
 			retries:  scope.Counter("retries"),
 			outage:   scope.Gauge("outage"),
@@ -199,89 +201,92 @@
 	}
 }
 
-// exchange is one HTTP exchange to be made.
-type exchange struct {
+// httpRequest is an HTTP request to a store.
+type httpRequest struct {
 	method, path string
 	body         []byte
 	contentType  string
 }
 
-// answer is a complete HTTP answer that the binding allows.
-type answer struct {
+// storeResponse is a complete HTTP response.
+type storeResponse struct {
 	status int
 	body   []byte
 }
 
-// fault is the error of a try without a usable answer.
-type fault struct {
+// attemptError is the error of an attempt without a usable response.
+type attemptError struct {
 	cause error
-	// sent tells that the store may have acted on the request.
-	sent bool
-	// throttled tells that the store asked for a slower pace; it is not out.
+	// maybeApplied reports that the store may have acted on the request.
+	maybeApplied bool
+	// throttled reports that the store limited the request rate; it is
+	// available.
 	throttled bool
 }
 
-func (f *fault) Error() string { return f.cause.Error() }
+func (e *attemptError) Error() string { return e.cause.Error() }
 
-func (f *fault) Unwrap() error { return f.cause }
+func (e *attemptError) Unwrap() error { return e.cause }
 
-// try makes one exchange, as soon as the gate and a free slot allow it.
-func (s *store) try(ctx context.Context, x exchange) (answer, *fault) {
-	probe, err := s.enter(ctx)
+// attempt sends a request once, as soon as the circuit breaker and the limit on
+// concurrent requests allow it.
+func (s *storeClient) attempt(ctx context.Context, req httpRequest) (storeResponse, *attemptError) {
+	probe, err := s.acquire(ctx)
 	if err != nil {
-		return answer{}, &fault{cause: err}
+		return storeResponse{}, &attemptError{cause: err}
 	}
-	defer func() { <-s.slots }()
+	defer func() { <-s.inFlight }()
 	started := s.config.Clock.Now()
-	a, f := s.exchange(ctx, x)
+	resp, attemptErr := s.roundTrip(ctx, req)
 	now := s.config.Clock.Now()
-	s.observe(now.Sub(started), f)
-	s.metrics.tries.Inc(1)
+	s.updateSlow(now.Sub(started), attemptErr)
+	s.metrics.attempts.Inc(1)
 	s.metrics.latency.Record(now.Sub(started))
-	s.judge(now, probe, verdictOf(ctx, f, now.Sub(started)))
-	return a, f
+	s.recordOutcome(now, probe, outcomeOf(ctx, attemptErr, now.Sub(started)))
+	return resp, attemptErr
 }
 
-func verdictOf(ctx context.Context, f *fault, took time.Duration) verdict {
+func outcomeOf(ctx context.Context, err *attemptError, elapsed time.Duration) callOutcome {
 	switch {
-	case f == nil || f.throttled:
-		return storeAnswered
+	case err == nil || err.throttled:
+		return outcomeAnswered
 	case ctx.Err() == nil:
-		return storeFailed
-	case errors.Is(ctx.Err(), context.DeadlineExceeded) && took >= judgedAfter:
-		return storeFailed
+		return outcomeFailed
+	case errors.Is(ctx.Err(), context.DeadlineExceeded) && elapsed >= minConclusiveDuration:
+		return outcomeFailed
 	}
-	return storeUnjudged
+	return outcomeInconclusive
 }
 
-func (s *store) judge(now time.Time, probe bool, v verdict) {
-	if v == storeFailed {
+func (s *storeClient) recordOutcome(now time.Time, probe bool, outcome callOutcome) {
+	if outcome == outcomeFailed {
 		s.metrics.failures.Inc(1)
 	}
-	began, ended := s.gate.done(now, probe, v)
-	if began {
+	opened, closed := s.breaker.report(now, probe, outcome)
+	if opened {
 		s.metrics.outage.Update(1)
 		event.PlatformOutage.Log(s.config.Logger, "store", s.name)
 	}
-	if ended {
+	if closed {
 		s.metrics.outage.Update(0)
 		event.PlatformRecovered.Log(s.config.Logger, "store", s.name)
 	}
 }
 
-// enter waits for a slot and the gate's leave.
-func (s *store) enter(ctx context.Context) (probe bool, err error) {
+// acquire waits until the limit on concurrent requests and the circuit breaker
+// allow a request.
+func (s *storeClient) acquire(ctx context.Context) (probe bool, err error) {
 	for {
 		select {
-		case s.slots <- struct{}{}:
+		case s.inFlight <- struct{}{}:
 		case <-ctx.Done():
 			return false, ctx.Err()
 		}
-		ok, probe, wait, changed := s.gate.pass(s.config.Clock.Now())
+		ok, probe, wait, changed := s.breaker.allow(s.config.Clock.Now())
 		if ok {
 			return probe, nil
 		}
-		<-s.slots
+		<-s.inFlight
 		select {
 		case <-ctx.Done():
 			return false, merry.Prepend(ctx.Err(), s.name+" is out")
@@ -291,66 +296,70 @@
 	}
 }
 
-func (s *store) exchange(ctx context.Context, x exchange) (answer, *fault) {
-	ctx, cancel := context.WithTimeout(ctx, s.tryTimeout())
+func (s *storeClient) roundTrip(ctx context.Context, r httpRequest) (storeResponse, *attemptError) {
+	ctx, cancel := context.WithTimeout(ctx, s.attemptTimeout())
 	defer cancel()
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
-	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), x.method, s.config.URL+x.path, bytes.NewReader(x.body))
+	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), r.method, s.config.URL+r.path, bytes.NewReader(r.body))
 	if err != nil {
-		return answer{}, &fault{cause: err}
+		return storeResponse{}, &attemptError{cause: err}
 	}
-	if x.contentType != "" {
-		req.Header.Set("Content-Type", x.contentType)
+	if r.contentType != "" {
+		req.Header.Set("Content-Type", r.contentType)
 	}
 	if s.config.Token != "" {
 		req.Header.Set("Authorization", "Bearer "+s.config.Token)
 	}
 	response, err := s.config.HTTP.Do(req)
 	if err != nil {
-		s.replaceConnections()
-		// Do has returned, so connected is no longer written to.
-		return answer{}, &fault{cause: err, sent: connected}
+		s.closeIdleConnections()
+		// Do has returned, so there are no concurrent writes to connected.
+		return storeResponse{}, &attemptError{cause: err, maybeApplied: connected}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, DefaultMaxBody))
 	if err != nil {
-		s.replaceConnections()
-		return answer{}, &fault{cause: err, sent: true}
+		s.closeIdleConnections()
+		return storeResponse{}, &attemptError{cause: err, maybeApplied: true}
 	}
-	return judgeStatus(answer{status: response.StatusCode, body: body})
+	return checkStatus(storeResponse{status: response.StatusCode, body: body})
 }
 
-// replaceConnections drops the idle connections after a try without an answer.
+// closeIdleConnections closes the idle connections after an attempt without a
+// response.
 //
-// It guards against connections that something on the way has forgotten: all
-// of them go silent at once while new ones would work. Without it each try
-// takes the next silent one and waits out its time, the store counts as out,
-// and with 32 idle connections and one probe at a time it stays so for a
-// minute. The try's own connection is closed by its end; the others are closed
-// here, so that the next try makes a new one.
-func (s *store) replaceConnections() { s.config.HTTP.CloseIdleConnections() }
-
-// judgeStatus separates what the binding defines from what it leaves open. The
-// binding promises that a call answered by 429 or 503 had no effect.
-func judgeStatus(a answer) (answer, *fault) {
-	cause := merry.Errorf("status %d", a.status)
+// A device on the network path may lose the state of all connections at once,
+// so that they stop responding while new ones would work. If the idle ones were
+// kept, each attempt would use the next dead one until its timeout, the store
+// would count as unavailable, and with 32 idle connections and one probe at a
+// time that would last for a minute. The failed attempt closes its own
+// connection; the others are closed here, so that the next attempt opens a new
+// one.
+func (s *storeClient) closeIdleConnections() { s.config.HTTP.CloseIdleConnections() }
+
+// checkStatus returns an error for the status codes of failed attempts. The API
+// guarantees that a call answered with 429 or 503 had no effect; after any other
+// 5xx status it may have had one.
+func checkStatus(resp storeResponse) (storeResponse, *attemptError) {
+	cause := merry.Errorf("status %d", resp.status)
 	switch {
-	case a.status == http.StatusTooManyRequests:
-		return a, &fault{cause: cause, throttled: true}
-	case a.status == http.StatusServiceUnavailable:
-		return a, &fault{cause: cause}
-	case a.status >= http.StatusInternalServerError:
-		return a, &fault{cause: cause, sent: true}
+	case resp.status == http.StatusTooManyRequests:
+		return resp, &attemptError{cause: cause, throttled: true}
+	case resp.status == http.StatusServiceUnavailable:
+		return resp, &attemptError{cause: cause}
+	case resp.status >= http.StatusInternalServerError:
+		return resp, &attemptError{cause: cause, maybeApplied: true}
 	}
-	return a, nil
+	return resp, nil
 }
 
-// pause waits before the next try. It returns false where there is to be none:
-// the context ended, or the budget is spent and the call is not exempt.
-func (s *store) pause(ctx context.Context, try int, exempt bool) bool {
-	if !s.budget.take() && !exempt {
-		if s.budget.report() {
+// waitForRetry waits for the backoff before the next attempt. It returns false
+// if no further attempt may be made, because the context has ended or the retry
+// budget is exhausted; ignoreBudget lifts the latter restriction.
+func (s *storeClient) waitForRetry(ctx context.Context, attempt int, ignoreBudget bool) bool {
+	if !s.budget.take() && !ignoreBudget {
+		if s.budget.shouldLog() {
 			event.PlatformRetriesExhausted.Log(s.config.Logger, "store", s.name)
 		}
 		return false
@@ -359,32 +368,33 @@
 	select {
 	case <-ctx.Done():
 		return false
-	case <-s.config.Clock.After(fullJitter(try, retryBase, retryCap, s.config.Random())):
+	case <-s.config.Clock.After(fullJitter(attempt, retryBase, retryCap, s.config.Random())):
 		return true
 	}
 }
 
-// repeat makes an exchange that has the same effect when it is made twice, and
-// tries again until it is answered, the budget is spent or ctx ends.
-func (s *store) repeat(ctx context.Context, x exchange) (answer, error) {
+// callIdempotent sends an idempotent request, and retries it until it is
+// answered, the retry budget is exhausted or ctx ends.
+func (s *storeClient) callIdempotent(ctx context.Context, req httpRequest) (storeResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.config.CallTimeout)
 	defer cancel()
-	for try := 0; ; try++ {
-		a, f := s.try(ctx, x)
-		if f == nil {
-			s.budget.succeeded()
-			return a, nil
+	for attempt := 0; ; attempt++ {
+		resp, err := s.attempt(ctx, req)
+		if err == nil {
+			s.budget.recordSuccess()
+			return resp, nil
 		}
-		if ctx.Err() != nil || !s.pause(ctx, try, false) {
-			return answer{}, &Unavailable{Cause: merry.Prepend(f, s.name)}
+		if ctx.Err() != nil || !s.waitForRetry(ctx, attempt, false) {
+			return storeResponse{}, &Unavailable{Cause: merry.Prepend(err, s.name)}
 		}
 	}
 }
 
-// decodeAnswer reads the body of a 200.
-func decodeAnswer(a answer, into any) error {
-	if a.status != http.StatusOK {
-		return merry.Errorf("the platform refused the call: status %d: %.200s", a.status, a.body)
+// decodeResponse decodes the body of a response with status 200; any other
+// status is an error.
+func decodeResponse(resp storeResponse, into any) error {
+	if resp.status != http.StatusOK {
+		return merry.Errorf("the platform refused the call: status %d: %.200s", resp.status, resp.body)
 	}
-	return merry.Prepend(json.Unmarshal(a.body, into), "answer of the platform")
+	return merry.Prepend(json.Unmarshal(resp.body, into), "answer of the platform")
 }
--- a/internal/platform/feed.go
+++ b/internal/platform/feed.go
@@ -12,84 +12,88 @@
 	Value []byte
 	// Revision is that of the row's last change.
 	Revision Revision
-	// Deleted tells that the row is gone; Value is then empty.
+	// Deleted reports that the row was deleted; Value is then empty.
 	Deleted bool
 }
 
-// ErrHistoryLost is the error of a read that the store cannot continue: it has dropped
-// the changes after the asked revision, or came back from a copy in the middle of a
-// table. The table has to be read again.
+// ErrHistoryLost is returned if the store cannot continue a read, because it no longer
+// has the changes after the requested revision or was restored from a backup while a
+// table was being read. The table has to be read again.
 var ErrHistoryLost = errors.New("the store has dropped the changes after this revision")
 
-// Feed reads tables whose rows are followed as they change. All revisions of one answer
-// are of one era; a store that does not tell its era stands in era zero.
+// Feed reads tables and the changes of their rows. All revisions of one answer are of the
+// same era; the era of a store that does not report one is zero.
 type Feed interface {
-	// ReadTable returns all rows of a table, and a revision that none of the
-	// changes that it lacks is older than. The error is ErrHistoryLost where the
-	// table is to be read again.
+	// ReadTable returns all rows of a table, and a revision such that all changes
+	// missing from the rows are newer. The error is ErrHistoryLost if the table
+	// has to be read again.
 	ReadTable(ctx context.Context, table string) (rows []FeedRow, revision Revision, err error)
 	// Changes returns the rows that changed after a revision, in order, and the
-	// revision to go on from. It waits for the first change, up to wait, and then
-	// returns none. The error is ErrHistoryLost where the table is to be read
-	// again. Where the returned revision is of another era than after, the rows
-	// are not those that changed since.
+	// revision to continue from. It waits up to wait for the first change, and
+	// returns no rows if there is none. The error is ErrHistoryLost if the table
+	// has to be read again. If the returned revision is of another era than
+	// after, the rows are not the changes since after.
 	Changes(ctx context.Context, table string, after Revision, wait time.Duration) (rows []FeedRow, revision Revision, err error)
 }
 
-// ErrFeedUnfit is the error of a daemon that is asked in the store's stead and does not
-// keep up with it.
-var ErrFeedUnfit = errors.New("the daemon does not keep up with the store for others")
+// ErrReaderNotCurrent is returned by a daemon that is queried instead of the store and is
+// not up to date with it.
+var ErrReaderNotCurrent = errors.New("the daemon does not keep up with the store for others")
 
-// FeedQuery asks a daemon in the store's stead: for the rows of a table that changed
-// after a revision, as Feed.Changes does, or for the whole table.
+// FeedQuery is a query to a daemon instead of the store, for the rows of a table that
+// changed after a revision, as with Feed.Changes, or for the full table.
 type FeedQuery struct {
-	Table string
-	After Revision
-	Whole bool
-	Wait  time.Duration
+	Table     string
+	After     Revision
+	FullTable bool
+	Wait      time.Duration
 }
 
-// FeedAnswer answers it.
+// FeedAnswer is the answer to a FeedQuery.
 type FeedAnswer struct {
 	Rows []FeedRow
-	// Revision is the store's up to which the answer holds. The rows are of its era.
+	// Revision is the revision of the store up to which the answer is complete. The
+	// revisions of the rows are of its era.
 	Revision Revision
 }
 
-// Rows writes single rows that one daemon alone writes.
-type Rows interface {
+// RowWriter writes single rows, each of which only one daemon writes.
+type RowWriter interface {
 	PutRow(ctx context.Context, table, key string, value []byte) (revision Revision, err error)
 	DeleteRow(ctx context.Context, table, key string) error
 }
 
-// Subscriber takes what a Follower reads. The calls come from one goroutine.
+// Subscriber receives what a Follower reads. It is called from one goroutine.
 type Subscriber interface {
-	// Replace takes in the whole table as it stood at a revision; what it lacks is gone,
-	// but see Restored.
+	// Replace passes the full table at a revision; rows that are missing have been deleted,
+	// except after StoreRestored.
 	Replace(rows []FeedRow, at Revision)
-	// Change takes one changed row in.
+	// Change passes one changed row.
 	Change(row FeedRow)
-	// Away tells that the store stopped answering.
-	Away()
-	// Back tells that the store answers again, before the rows of the first answer. It may
-	// have been back for longer, though not before the given time, at which the last call
-	// that failed began.
-	Back(notBefore time.Time)
-	// Restored tells that the store came back from a copy, before the Replace with the
-	// copy's rows: what they lack may be written again, and what they hold may have been
-	// changed or dropped before.
-	Restored(r Restore)
+	// StoreUnreachable reports that the store has stopped answering.
+	StoreUnreachable()
+	// StoreReachable reports that the store answers again, before the rows of the first
+	// answer are passed. The store may have recovered earlier, but not before notBefore, the
+	// start of the last failed call.
+	StoreReachable(notBefore time.Time)
+	// StoreRestored reports that the store was restored from a backup, before Replace passes
+	// the rows of the backup. Rows that are missing from it may be written again, and rows
+	// that it contains may have been changed or deleted before the restore.
+	StoreRestored(r Restore)
 }
 
-// Restore is a return of the store from a copy, as the reader of a table notices it.
+// Restore describes a restore of the store from a backup as observed by the reader of a
+// table.
 type Restore struct {
-	// Last is the latest revision that was read before, First the one after.
+	// Last is the latest revision that was read before the restore, First the first one
+	// read after it.
 	Last, First Revision
-	// NotBefore is the earliest time at which the store may have been back.
+	// NotBefore is the earliest time at which the restored store may have been available.
 	NotBefore time.Time
 }
 
-// MayPrecede tells whether a row of the copy may have been written before Last. Where it was
-// and the table at Last lacked it, it had been dropped. A row that was written since the
-// return may have as low a version, so that this is a reason to doubt and no proof.
+// MayPrecede reports whether a row of the backup may have been written before Last. If it
+// was, and the table at Last did not contain it, it had been deleted. A row that was written
+// after the restore may have an equally low revision number, so the result is a reason for
+// doubt and no proof.
 func (r Restore) MayPrecede(row FeedRow) bool { return row.Revision.number <= r.Last.number }
--- a/internal/platform/feed_test.go
+++ b/internal/platform/feed_test.go
@@ -16,18 +16,18 @@
 	"github.com/savorystall/savorystall/internal/platform"
 )
 
-// fakeFeed is a table in memory whose calls can be made to fail.
+// fakeFeed is an in-memory table whose calls can be made to fail.
 type fakeFeed struct {
 	mu   sync.Mutex
 	rows map[string]platform.FeedRow
-	// era and revision are the store's present ones.
+	// era and revision are the store's current ones.
 	era, revision uint64
-	forgotten     uint64
+	truncatedAt   uint64
 	changed       chan struct{}
-	// fail, where set, is the error of each call; silent makes calls hang.
-	fail   error
-	silent bool
-	calls  int
+	// fail, if set, is the error of each call; unresponsive makes calls hang.
+	fail         error
+	unresponsive bool
+	calls        int
 }
 
 func newFakeFeed() *fakeFeed {
@@ -38,19 +38,21 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.revision++
-	f.rows[key] = platform.FeedRow{Key: key, Value: []byte(value), Revision: f.at(), Deleted: deleted}
+	f.rows[key] = platform.FeedRow{Key: key, Value: []byte(value), Revision: f.currentRevision(), Deleted: deleted}
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-func (f *fakeFeed) at() platform.Revision { return platform.NewRevision(f.era, f.revision) }
+func (f *fakeFeed) currentRevision() platform.Revision {
+	return platform.NewRevision(f.era, f.revision)
+}
 
-// forget drops the history up to now.
-func (f *fakeFeed) forget() {
+// truncateHistory drops the history up to the current revision.
+func (f *fakeFeed) truncateHistory() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.revision++
-	f.forgotten = f.revision
+	f.truncatedAt = f.revision
 	for key, row := range f.rows {
 		if row.Deleted {
 			delete(f.rows, key)
@@ -58,18 +60,18 @@
 	}
 }
 
-func (f *fakeFeed) set(fail error, silent bool) {
+func (f *fakeFeed) setFault(fail error, unresponsive bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.fail, f.silent = fail, silent
+	f.fail, f.unresponsive = fail, unresponsive
 }
 
-func (f *fakeFeed) begin(ctx context.Context) error {
+func (f *fakeFeed) beginCall(ctx context.Context) error {
 	f.mu.Lock()
 	f.calls++
-	fail, silent := f.fail, f.silent
+	fail, unresponsive := f.fail, f.unresponsive
 	f.mu.Unlock()
-	if silent {
+	if unresponsive {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -78,7 +80,7 @@
 
 // ReadTable implements platform.Feed.
 func (f *fakeFeed) ReadTable(ctx context.Context, _ string) (rows []platform.FeedRow, revision platform.Revision, err error) {
-	if err := f.begin(ctx); err != nil {
+	if err := f.beginCall(ctx); err != nil {
 		return nil, platform.Revision{}, err
 	}
 	f.mu.Lock()
@@ -88,19 +90,19 @@
 			rows = append(rows, row)
 		}
 	}
-	return rows, f.at(), nil
+	return rows, f.currentRevision(), nil
 }
 
 // Changes implements platform.Feed.
 func (f *fakeFeed) Changes(ctx context.Context, _ string, after platform.Revision, wait time.Duration) (rows []platform.FeedRow, revision platform.Revision, err error) {
-	if err := f.begin(ctx); err != nil {
+	if err := f.beginCall(ctx); err != nil {
 		return nil, platform.Revision{}, err
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		f.mu.Lock()
-		if after.Number() < f.forgotten || after.Number() > f.revision {
+		if after.Number() < f.truncatedAt || after.Number() > f.revision {
 			f.mu.Unlock()
 			return nil, platform.Revision{}, platform.ErrHistoryLost
 		}
@@ -109,7 +111,7 @@
 				rows = append(rows, row)
 			}
 		}
-		revision, changed := f.at(), f.changed
+		revision, changed := f.currentRevision(), f.changed
 		f.mu.Unlock()
 		if len(rows) > 0 {
 			return rows, revision, nil
@@ -124,86 +126,87 @@
 	}
 }
 
-// copyOf is a subscriber that keeps what it is told.
-type copyOf struct {
-	mu   sync.Mutex
-	rows map[string]string
-	away bool
-	// notBefore is what it was told last of the store's return.
+// recordingSubscriber is a subscriber that records what it receives.
+type recordingSubscriber struct {
+	mu          sync.Mutex
+	rows        map[string]string
+	unreachable bool
+	// notBefore is the argument of the last call of StoreReachable.
 	notBefore time.Time
 	restores  []platform.Restore
 }
 
 // Replace implements platform.Subscriber.
-func (c *copyOf) Replace(rows []platform.FeedRow, _ platform.Revision) {
-	c.mu.Lock()
-	c.rows = map[string]string{}
-	c.mu.Unlock()
+func (s *recordingSubscriber) Replace(rows []platform.FeedRow, _ platform.Revision) {
+	s.mu.Lock()
+	s.rows = map[string]string{}
+	s.mu.Unlock()
 	for _, row := range rows {
-		c.Change(row)
+		s.Change(row)
 	}
 }
 
 // Change implements platform.Subscriber.
-func (c *copyOf) Change(row platform.FeedRow) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (s *recordingSubscriber) Change(row platform.FeedRow) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if row.Deleted {
-		delete(c.rows, row.Key)
+		delete(s.rows, row.Key)
 		return
 	}
-	c.rows[row.Key] = string(row.Value)
+	s.rows[row.Key] = string(row.Value)
 }
 
-// Away implements platform.Subscriber.
-func (c *copyOf) Away() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.away = true
+// StoreUnreachable implements platform.Subscriber.
+func (s *recordingSubscriber) StoreUnreachable() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.unreachable = true
 }
 
-// Back implements platform.Subscriber.
-func (c *copyOf) Back(notBefore time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.away, c.notBefore = false, notBefore
+// StoreReachable implements platform.Subscriber.
+func (s *recordingSubscriber) StoreReachable(notBefore time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.unreachable, s.notBefore = false, notBefore
 }
 
-// Restored implements platform.Subscriber.
-func (c *copyOf) Restored(r platform.Restore) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.restores = append(c.restores, r)
+// StoreRestored implements platform.Subscriber.
+func (s *recordingSubscriber) StoreRestored(r platform.Restore) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.restores = append(s.restores, r)
 }
 
-func (c *copyOf) String() string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return fmt.Sprint(c.rows, c.away)
+func (s *recordingSubscriber) String() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return fmt.Sprint(s.rows, s.unreachable)
 }
 
-// longWait is the wait of followers that leave it to another one to find the store away.
+// longWait is the wait of followers that rely on another one to detect outages.
 const longWait = 25 * time.Second
 
-func follow(feed platform.Feed, wait time.Duration, group *platform.FeedGroup) (*copyOf, context.CancelFunc) {
-	c := &copyOf{}
+func follow(feed platform.Feed, wait time.Duration, group *platform.FeedGroup) (*recordingSubscriber, context.CancelFunc) {
+	subscriber := &recordingSubscriber{}
 	ctx, cancel := context.WithCancel(context.Background())
 	f := platform.NewFollower(platform.FollowerConfig{
-		Feed: feed, Table: "t", Wait: wait, Group: group, Beats: wait < longWait, Logger: slog.New(slog.DiscardHandler),
-	}, c)
+		Feed: feed, Table: "t", Wait: wait, Group: group, Heartbeat: wait < longWait, Logger: slog.New(slog.DiscardHandler),
+	}, subscriber)
 	go f.Run(ctx)
-	return c, cancel
+	return subscriber, cancel
 }
 
-// Rows change, vanish while the history is dropped, and the store refuses in between.
-// Three seconds after the last of that, the copy is the table.
-func TestAFollowerKeepsUp(t *testing.T) {
+// Rows are changed and deleted while the history is truncated and the store refuses calls
+// in between. Three seconds after the last step, the subscriber must have the same rows as
+// the table.
+func TestFollowerConverges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, 5), 1, 30).Draw(rt, "steps")
 		waits := rapid.SliceOfN(rapid.IntRange(0, 3000), len(steps), len(steps)).Draw(rt, "waits in ms")
 		synctest.Test(t, func(t *testing.T) {
 			feed := newFakeFeed()
-			c, cancel := follow(feed, 0, nil)
+			subscriber, cancel := follow(feed, 0, nil)
 			defer cancel()
 			want := map[string]string{}
 			for i, step := range steps {
@@ -216,15 +219,15 @@
 					delete(want, key)
 					feed.put(key, "", true)
 				case 4:
-					feed.forget()
+					feed.truncateHistory()
 				case 5:
-					feed.set(errors.New("refused"), false)
+					feed.setFault(errors.New("refused"), false)
 				}
 				time.Sleep(time.Duration(waits[i]) * time.Millisecond)
-				feed.set(nil, false)
+				feed.setFault(nil, false)
 			}
 			time.Sleep(3 * time.Second)
-			if got := c.String(); got != fmt.Sprint(want, false) {
+			if got := subscriber.String(); got != fmt.Sprint(want, false) {
 				rt.Fatalf("got %s, want %v", got, want)
 			}
 			cancel()
@@ -233,10 +236,10 @@
 	})
 }
 
-// The store goes silent: calls hang, and no error comes. The follower with the short
-// wait finds it for the one with the long wait as well; three seconds after the store's
-// return both have what changed meanwhile.
-func TestASilentStoreIsFoundForAll(t *testing.T) {
+// If the store stops responding, calls hang without an error. The follower with the short
+// wait must detect it for the one with the long wait as well; three seconds after the
+// recovery both must have the changes made during the outage.
+func TestUnresponsiveStoreIsDetectedForAllFollowers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		group := platform.NewFeedGroup()
@@ -245,13 +248,13 @@
 		b, stopB := follow(long, 25*time.Second, group)
 		time.Sleep(5 * time.Second)
 		for _, feed := range []*fakeFeed{short, long} {
-			feed.set(nil, true)
+			feed.setFault(nil, true)
 		}
 		time.Sleep(4 * time.Second)
 		is.Equal(a.String(), "map[] true")
 		for _, feed := range []*fakeFeed{short, long} {
 			feed.put("k", "new", false)
-			feed.set(nil, false)
+			feed.setFault(nil, false)
 		}
 		time.Sleep(3 * time.Second)
 		is.Equal(a.String(), "map[k:new] false")
@@ -262,10 +265,10 @@
 	})
 }
 
-// The store goes silent, then refuses, and is back. The follower with the long wait
-// began its call in the silence and would wait for an answer that never comes, long
-// after the other one follows the store again.
-func TestNobodyWaitsOnAConnectionOfTheOutage(t *testing.T) {
+// The store stops responding, then refuses calls, and then recovers. The call of the
+// follower with the long wait began while the store did not respond and never gets an
+// answer; the follower must not wait for it after the other one has reached the store.
+func TestNoFollowerWaitsOnAConnectionOfTheOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		group := platform.NewFeedGroup()
@@ -274,14 +277,14 @@
 		b, stopB := follow(long, 25*time.Second, group)
 		time.Sleep(5 * time.Second)
 		for _, feed := range []*fakeFeed{short, long} {
-			feed.set(nil, true)
+			feed.setFault(nil, true)
 		}
-		time.Sleep(2 * time.Second) // the long one's call hangs from here on
-		short.set(errors.New("refused"), false)
+		time.Sleep(2 * time.Second) // the call of the long follower hangs from here on
+		short.setFault(errors.New("refused"), false)
 		time.Sleep(4 * time.Second)
 		long.put("k", "new", false)
-		short.set(nil, false)
-		long.set(nil, false)
+		short.setFault(nil, false)
+		long.setFault(nil, false)
 		time.Sleep(3 * time.Second)
 		is.Equal(b.String(), "map[k:new] false")
 		stopA()
@@ -290,11 +293,11 @@
 	})
 }
 
-// An outage ends and nothing changes for seconds; then a target vanishes from its table.
-// A follower with a long wait heard of the store's return only with that change, so that
-// the target was taken for one that had lapsed in the outage, and got requests for two
-// and a half seconds more. The return has to be told when it happens.
-func TestTheReturnIsToldWhenItHappens(t *testing.T) {
+// A follower with a long wait used to learn of the end of an outage only with the next
+// change. If that change was the removal of a target, the target was treated as one that
+// had expired during the outage, and got requests for another two and a half seconds.
+// The recovery must be reported when it happens.
+func TestRecoveryIsReportedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		group := platform.NewFeedGroup()
@@ -303,12 +306,12 @@
 		b, stopB := follow(long, 25*time.Second, group)
 		time.Sleep(5 * time.Second)
 		for _, feed := range []*fakeFeed{short, long} {
-			feed.set(errors.New("refused"), false)
+			feed.setFault(errors.New("refused"), false)
 		}
 		time.Sleep(30 * time.Second)
 		is.Equal(b.String(), "map[] true")
 		for _, feed := range []*fakeFeed{short, long} {
-			feed.set(nil, false)
+			feed.setFault(nil, false)
 		}
 		time.Sleep(3 * time.Second)
 		is.Equal(b.String(), "map[] false")
@@ -318,13 +321,13 @@
 	})
 }
 
-// Each call is paid for: a follower with a long wait makes few, also where changes come
-// in a row.
+// Calls are charged for: a follower with a long wait must make few of them, even if
+// changes come in bursts.
 func TestFollowersMakeFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		feed := newFakeFeed()
-		c, stop := follow(feed, 25*time.Second, nil)
+		subscriber, stop := follow(feed, 25*time.Second, nil)
 		time.Sleep(50 * time.Second)
 		is.True(feed.calls <= 4)
 		for i := range 20 {
@@ -333,28 +336,29 @@
 		}
 		time.Sleep(time.Second)
 		is.True(feed.calls <= 10)
-		is.Equal(len(c.rows), 10)
+		is.Equal(len(subscriber.rows), 10)
 		stop()
 		synctest.Wait()
 	})
 }
 
-// The store refuses all calls for six seconds. The table that beats is tried until it is
-// back; another table's calls would tell nothing more and cost as much, and are made
-// every two seconds only. At the store's return both are followed at once.
-func TestInAnOutageOneTableIsTried(t *testing.T) {
+// While the store refuses all calls for six seconds, only the heartbeat table is retried
+// with the normal backoff. Calls for another table would cost as much and reveal nothing
+// more, so they are made only every two seconds. When the store recovers, both tables must
+// be followed again at once.
+func TestOnlyHeartbeatTableIsRetriedDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		group := platform.NewFeedGroup()
-		beats, other := newFakeFeed(), newFakeFeed()
-		_, stopA := follow(beats, 1800*time.Millisecond, group)
+		heartbeat, other := newFakeFeed(), newFakeFeed()
+		_, stopA := follow(heartbeat, 1800*time.Millisecond, group)
 		b, stopB := follow(other, 25*time.Second, group)
 		time.Sleep(5 * time.Second)
 		refused := errors.New("refused")
-		beats.set(refused, false)
-		other.set(refused, false)
+		heartbeat.setFault(refused, false)
+		other.setFault(refused, false)
 		other.put("wakes", "its call", false)
-		time.Sleep(2 * time.Second) // both have found the store away
+		time.Sleep(2 * time.Second) // both have found the store unreachable
 		other.mu.Lock()
 		before := other.calls
 		other.mu.Unlock()
@@ -365,9 +369,9 @@
 		t.Logf("%d calls of the other table", made)
 		is.True(made <= 4)
 		other.put("k", "new", false)
-		other.set(nil, false)
-		beats.set(nil, false)
-		time.Sleep(1600 * time.Millisecond) // the longest pause between tries, and the call
+		other.setFault(nil, false)
+		heartbeat.setFault(nil, false)
+		time.Sleep(1600 * time.Millisecond) // the longest backoff, and the call
 		is.Equal(b.String(), "map[k:new wakes:its call] false")
 		stopA()
 		stopB()
@@ -375,41 +379,42 @@
 	})
 }
 
-// A target that left while the store could not be reached was used for too long after its
-// return, since the daemon noticed that late. Whoever follows is told the earliest time at
-// which the store may have been back: never after its return, and by the pause between two
-// calls before it at most, also where another follower of the group made the last call.
-func TestAFollowerIsToldWhenTheStoreMayHaveBeenBack(t *testing.T) {
+// A target that left during an outage of the store used to get requests for too long after
+// the recovery, since the daemon noticed the recovery late. A subscriber must get the
+// earliest possible time of the recovery: it must not be after the actual recovery, nor
+// earlier than it by more than the interval between two calls, even if another follower of
+// the group made the last call.
+func TestFollowerIsToldTheEarliestRecoveryTime(t *testing.T) {
 	const (
-		pause = 1500 * time.Millisecond // between two calls, at most
-		hangs = 2500 * time.Millisecond // a call that is not answered
+		maxPause    = 1500 * time.Millisecond // between two calls, at most
+		callTimeout = 2500 * time.Millisecond // a call that is not answered
 	)
-	for _, silent := range []bool{false, true} {
+	for _, unresponsive := range []bool{false, true} {
 		for range 20 {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				feed := newFakeFeed()
 				group := platform.NewFeedGroup()
-				_, endBeats := follow(feed, 0, group)
-				defer endBeats()
-				c, end := follow(feed, longWait, group)
-				defer end()
+				_, stopHeartbeat := follow(feed, 0, group)
+				defer stopHeartbeat()
+				subscriber, stop := follow(feed, longWait, group)
+				defer stop()
 				time.Sleep(time.Second)
 				fail := errors.New("refused")
-				if silent {
+				if unresponsive {
 					fail = nil
 				}
-				feed.set(fail, silent)
+				feed.setFault(fail, unresponsive)
 				feed.put("k1", "v", false)
 				time.Sleep(9 * time.Second)
-				feed.set(nil, false)
-				back := time.Now()
-				time.Sleep(2 * (pause + hangs))
-				c.mu.Lock()
-				defer c.mu.Unlock()
-				is.True(!c.away)
-				is.True(!c.notBefore.After(back))
-				is.True(back.Sub(c.notBefore) <= pause+hangs)
+				feed.setFault(nil, false)
+				recoveredAt := time.Now()
+				time.Sleep(2 * (maxPause + callTimeout))
+				subscriber.mu.Lock()
+				defer subscriber.mu.Unlock()
+				is.True(!subscriber.unreachable)
+				is.True(!subscriber.notBefore.After(recoveredAt))
+				is.True(recoveredAt.Sub(subscriber.notBefore) <= maxPause+callTimeout)
 			})
 		}
 	}
--- a/internal/platform/feedgroup.go
+++ b/internal/platform/feedgroup.go
@@ -7,143 +7,148 @@
 	"time"
 )
 
-// errGroupFailed is the cause of a call's end where another member has failed.
+// errGroupFailed is the cancellation cause of a call if another member failed.
 var errGroupFailed = errors.New("another follower of the store has failed")
 
-// errGroupRestored is the cause where a member has met a newer era of the store.
-var errGroupRestored = errors.New("the store has come back from a copy")
+// errGroupRestored is the cancellation cause of a call if a member has observed a newer
+// era of the store.
+var errGroupRestored = errors.New("the store was restored from a backup")
 
-// errOlderEra is the error of an answer from before the store's return from a copy.
+// errOlderEra is returned for an answer from before the store was restored from a backup.
 var errOlderEra = errors.New("the answer is of an older era of the store")
 
-// breach is what ends the calls of all members of a group.
-type breach struct {
-	ended chan struct{}
-	// cause is set before ended is closed.
+// interrupt ends the calls of all members of a group.
+type interrupt struct {
+	done chan struct{}
+	// cause is set before done is closed.
 	cause error
 }
 
-func newBreach() *breach { return &breach{ended: make(chan struct{})} }
+func newInterrupt() *interrupt { return &interrupt{done: make(chan struct{})} }
 
-// FeedGroup joins the followers of one store, so that one of them with a short
-// Wait finds for all that the store or the way to it has gone silent; the others
-// can wait long, which saves calls. It is safe for concurrent use.
+// FeedGroup connects the followers of one store, so that one of them with a short
+// Wait detects for all that the store or the network path to it no longer
+// responds; the others can use a long Wait, which saves calls. It is safe for
+// concurrent use.
 type FeedGroup struct {
-	mu     sync.Mutex
-	breach *breach
-	// era is the highest one that a member was answered from, once told is set.
-	era  uint64
-	told bool
-	// answeredAt is when the last answer of that era came, leftAt when the last one of the
-	// era before it did.
-	answeredAt, leftAt time.Time
-	// away is not nil while the follower that beats finds the store away, and is closed
-	// at its return.
-	away chan struct{}
-	// failedAt is when the last call of any member that failed began.
-	failedAt time.Time
+	mu        sync.Mutex
+	interrupt *interrupt
+	// era is the newest era of an answer to any member; it is valid if eraKnown is set.
+	era      uint64
+	eraKnown bool
+	// lastAnswerAt is when the last answer of that era arrived, previousEraLastAnswerAt when
+	// the last answer of the era before it did.
+	lastAnswerAt, previousEraLastAnswerAt time.Time
+	// reachableAgain is not nil while the heartbeat follower cannot reach the store, and is
+	// closed when it can again.
+	reachableAgain chan struct{}
+	// failedCallStart is the start of the last failed call of any member.
+	failedCallStart time.Time
 }
 
 // NewFeedGroup returns a group without members.
-func NewFeedGroup() *FeedGroup { return &FeedGroup{breach: newBreach()} }
+func NewFeedGroup() *FeedGroup { return &FeedGroup{interrupt: newInterrupt()} }
 
-// setAway notes whether the store is away.
-func (g *FeedGroup) setAway(away bool) {
+// setUnreachable records whether the store is unreachable.
+func (g *FeedGroup) setUnreachable(unreachable bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
-	case away && g.away == nil:
-		g.away = make(chan struct{})
-	case !away && g.away != nil:
-		close(g.away)
-		g.away = nil
+	case unreachable && g.reachableAgain == nil:
+		g.reachableAgain = make(chan struct{})
+	case !unreachable && g.reachableAgain != nil:
+		close(g.reachableAgain)
+		g.reachableAgain = nil
 	}
 }
 
-// isAway returns a channel that is closed at the store's return; nil while it is not
-// away.
-func (g *FeedGroup) isAway() <-chan struct{} {
+// whenReachable returns a channel that is closed when the store is reachable again, or
+// nil if it is not unreachable.
+func (g *FeedGroup) whenReachable() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.away
+	return g.reachableAgain
 }
 
-// noteFailure notes when a member's call that failed began.
-func (g *FeedGroup) noteFailure(asked time.Time) {
+// recordFailure records the start of a failed call of a member.
+func (g *FeedGroup) recordFailure(startedAt time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if asked.After(g.failedAt) {
-		g.failedAt = asked
+	if startedAt.After(g.failedCallStart) {
+		g.failedCallStart = startedAt
 	}
 }
 
-// lastFailure returns when the last call of any member that failed began.
-func (g *FeedGroup) lastFailure() time.Time {
+// lastFailureStart returns the start of the last failed call of any member.
+func (g *FeedGroup) lastFailureStart() time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.failedAt
+	return g.failedCallStart
 }
 
-// reach notes the era of an answer. It tells whether the answer is of an older era than
-// one that a member has met. The first answer of a newer era ends the calls of all: theirs
-// may wait for versions that the store will not come to for long.
-func (g *FeedGroup) reach(now time.Time, revision Revision) (older bool) {
+// observeRevision records the era of an answer. It reports whether the answer is of an
+// older era than one that a member has observed. The first answer of a newer era
+// interrupts the calls of all members, since they may wait for revisions that the restored
+// store will not reach for a long time.
+func (g *FeedGroup) observeRevision(now time.Time, revision Revision) (older bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
-	case g.told && revision.era < g.era:
+	case g.eraKnown && revision.era < g.era:
 		return true
-	case g.told && revision.era > g.era:
-		g.leftAt = g.answeredAt
-		g.end(errGroupRestored)
+	case g.eraKnown && revision.era > g.era:
+		g.previousEraLastAnswerAt = g.lastAnswerAt
+		g.interruptLocked(errGroupRestored)
 	}
-	g.era, g.told, g.answeredAt = revision.era, true, now
+	g.era, g.eraKnown, g.lastAnswerAt = revision.era, true, now
 	return false
 }
 
-// isPast tells whether a member has met a newer era than that of a revision.
-func (g *FeedGroup) isPast(revision Revision) bool {
+// hasNewerEra reports whether a member has observed a newer era than that of a revision.
+func (g *FeedGroup) hasNewerEra(revision Revision) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.era > revision.era
 }
 
-// left returns when the last answer before the store's last return from a copy came.
-func (g *FeedGroup) left() time.Time {
+// previousEraEnd returns when the last answer before the latest restore of the store
+// arrived.
+func (g *FeedGroup) previousEraEnd() time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.leftAt
+	return g.previousEraLastAnswerAt
 }
 
-// fail ends the calls of all members, which then begin anew on other connections.
-func (g *FeedGroup) fail() {
+// interruptCalls ends the calls of all members, which then retry on other connections.
+func (g *FeedGroup) interruptCalls() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.end(errGroupFailed)
+	g.interruptLocked(errGroupFailed)
 }
 
-// end ends the calls of all members. The caller holds the lock.
-func (g *FeedGroup) end(cause error) {
-	g.breach.cause = cause
-	close(g.breach.ended)
-	g.breach = newBreach()
+// interruptLocked ends the calls of all members. The caller holds the lock.
+func (g *FeedGroup) interruptLocked(cause error) {
+	g.interrupt.cause = cause
+	close(g.interrupt.done)
+	g.interrupt = newInterrupt()
 }
 
-// watch returns a context that ends with the group's next breach. It has ended already where
-// the group is past the era of a revision: a member that paused has missed its breach.
-func (g *FeedGroup) watch(ctx context.Context, revision Revision) (context.Context, context.CancelFunc) {
+// withInterrupt returns a context that is canceled by the group's next interrupt. If the
+// group has observed a newer era than that of a revision, it is canceled at once: a member
+// that was not in a call has missed the interrupt.
+func (g *FeedGroup) withInterrupt(ctx context.Context, revision Revision) (context.Context, context.CancelFunc) {
 	g.mu.Lock()
-	next := g.breach
-	passed := g.era > revision.era
+	next := g.interrupt
+	newerEra := g.era > revision.era
 	g.mu.Unlock()
 	ctx, cancel := context.WithCancelCause(ctx)
-	if passed {
+	if newerEra {
 		cancel(errGroupRestored)
 	}
 	go func() {
 		select {
 		case <-ctx.Done():
-		case <-next.ended:
+		case <-next.done:
 			cancel(next.cause)
 		}
 	}()
--- a/internal/platform/follower.go
+++ b/internal/platform/follower.go
@@ -11,111 +11,118 @@
 	"github.com/savorystall/savorystall/internal/turn"
 )
 
-// FollowerConfig sets up a Follower.
+// FollowerConfig configures a Follower.
 type FollowerConfig struct {
 	Feed  Feed
 	Table string
-	// Wait is how long one call waits for a change. Default 1.8 s: each call that
-	// ends without one costs a call, and a connection that went silent is found
-	// after Wait and Slack.
+	// Wait is how long one call waits for a change. Default 1.8 s, a compromise: each
+	// wait that ends without a change costs another call, and an unresponsive
+	// connection is detected only after Wait plus TimeoutMargin.
 	Wait time.Duration
-	// Gather is how long the follower waits after a change before it asks for the
-	// next one. Default 150 ms. Changes come in rows of some (targets start or leave
-	// one after the other), and each answer is a call: those that come within it
-	// share one.
-	Gather time.Duration
-	// Group joins the followers of one store; nil: this one is alone.
+	// CoalesceDelay is how long the follower waits after a change before it requests
+	// the next one. Default 150 ms. Changes come in bursts (targets start or leave one
+	// after the other), and each answer costs a call; changes within the delay share
+	// one.
+	CoalesceDelay time.Duration
+	// Group connects the followers of one store; nil means that there is only this one.
 	Group *FeedGroup
-	// Beats tells that this is the group's follower with the short Wait, by which the
-	// others know whether the store answers.
-	Beats bool
-	// Slack is how long after Wait an answer may come. Default 700 ms: above the
-	// answer time of a loaded store, and together with Wait below the 3 s after
-	// which a daemon counts as in touch with the store again.
-	Slack time.Duration
-	// Answered is called with each answer, before its rows are taken in; it may be nil.
-	Answered func()
+	// Heartbeat reports that this is the group's follower with the short Wait, which
+	// determines for the others whether the store is reachable.
+	Heartbeat bool
+	// TimeoutMargin is how long after Wait an answer may arrive. Default 700 ms: longer
+	// than a loaded store takes to answer, and together with Wait shorter than the 3 s
+	// after which a daemon counts as connected to the store again.
+	TimeoutMargin time.Duration
+	// OnAnswer is called for each answer before its rows are passed to the subscriber; it
+	// may be nil.
+	OnAnswer func()
 	Logger   *slog.Logger
 }
 
-// Defaults of FollowerConfig, and the backoff after a failed call: short, since a
-// configuration has to be in force within seconds of an outage's end, and with
-// full jitter, so that daemons do not come back at once.
+// Defaults of FollowerConfig and bounds of the backoff after a failed call. The backoff
+// is short, since a configuration has to take effect within seconds of the end of an
+// outage, and has full jitter, so that the daemons do not reconnect all at once.
 const (
-	defaultFeedWait   = 1800 * time.Millisecond
-	defaultFeedSlack  = 700 * time.Millisecond
-	feedBackoffBase   = 100 * time.Millisecond
-	feedBackoffCap    = 1500 * time.Millisecond
-	defaultFeedGather = 150 * time.Millisecond
-	// feedRead bounds the reading of a whole table.
-	feedRead = 2 * time.Second
-	// awayRetry is how long a follower whose group is away waits before it tries by
-	// itself. Two calls of three in an outage would tell what the third one tells.
-	awayRetry = 2 * time.Second
+	defaultFeedWait          = 1800 * time.Millisecond
+	defaultFeedTimeoutMargin = 700 * time.Millisecond
+	feedBackoffBase          = 100 * time.Millisecond
+	feedBackoffCap           = 1500 * time.Millisecond
+	defaultFeedCoalesceDelay = 150 * time.Millisecond
+	// feedReadTimeout bounds the read of a full table.
+	feedReadTimeout = 2 * time.Second
+	// unreachableRetryInterval is how long a follower whose group has found the store
+	// unreachable waits before it retries by itself. With three tables, two of three
+	// calls during an outage would be redundant.
+	unreachableRetryInterval = 2 * time.Second
 )
 
 // Follower keeps a subscriber up to date with one table of the platform's store.
 //
-// Failures it guards against: a connection that goes silent shows as a table that
-// never changes, so that each call has an end; a store that forgets its history
-// would leave a gap, so that the table is then read anew as a whole; a revision never
-// goes back, so that an old answer undoes nothing; and a store that came back from a copy
-// gives version numbers out again, so that an answer of a newer era has the table read
-// anew, and one of an older era is passed over.
+// It handles the following failures:
+//   - An unresponsive connection looks like a table that never changes; each call
+//     therefore has a timeout.
+//   - A store that has dropped its history would leave a gap; the full table is then read
+//     again.
+//   - A late answer must not undo newer changes; the revision therefore never decreases.
+//   - A store that was restored from a backup reuses revision numbers; an answer of a
+//     newer era therefore causes the table to be read again, and an answer of an older era
+//     is ignored.
 type Follower struct {
-	cfg      FollowerConfig
-	to       Subscriber
-	revision Revision
-	read     bool
-	// known tells that the table was read before.
-	known    bool
-	failures int
-	away     bool
-	// asked is when the present call began, failedAt when the last one that failed did.
-	asked, failedAt time.Time
+	cfg        FollowerConfig
+	subscriber Subscriber
+	revision   Revision
+	synced     bool
+	// everSynced reports that the table was read at least once.
+	everSynced  bool
+	failures    int
+	unreachable bool
+	// callStart is the start of the current call, failedCallStart that of the last failed
+	// call.
+	callStart, failedCallStart time.Time
 }
 
-// NewFollower returns a Follower that is to be run.
-func NewFollower(cfg FollowerConfig, to Subscriber) *Follower {
+// NewFollower returns a Follower, which does nothing until Run is called.
+func NewFollower(cfg FollowerConfig, subscriber Subscriber) *Follower {
 	if cfg.Wait == 0 {
 		cfg.Wait = defaultFeedWait
 	}
-	if cfg.Slack == 0 {
-		cfg.Slack = defaultFeedSlack
+	if cfg.TimeoutMargin == 0 {
+		cfg.TimeoutMargin = defaultFeedTimeoutMargin
 	}
-	if cfg.Gather == 0 {
-		cfg.Gather = defaultFeedGather
+	if cfg.CoalesceDelay == 0 {
+		cfg.CoalesceDelay = defaultFeedCoalesceDelay
 	}
 	if cfg.Group == nil {
 		cfg.Group = NewFeedGroup()
 	}
-	return &Follower{cfg: cfg, to: to}
+	return &Follower{cfg: cfg, subscriber: subscriber}
 }
 
 // Run follows the table until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		changed, err := f.step(ctx)
+		changed, err := f.poll(ctx)
 		switch {
 		case ctx.Err() != nil:
 			return
 		case errors.Is(err, errGroupFailed):
-			// Another one has found the store silent, or back: what this one waited
-			// for may never come. It asks again at once, on another connection.
-			f.goAway()
+			// Another member has found that the store does not respond or has
+			// recovered, so the answer to this call may never arrive. The call is
+			// repeated at once on another connection.
+			f.markUnreachable()
 		case errors.Is(err, errGroupRestored):
-			f.read = false
+			f.synced = false
 		case errors.Is(err, errOlderEra):
-			pauseFor(ctx, feedBackoffBase)
+			sleep(ctx, feedBackoffBase)
 		case changed:
-			pauseFor(ctx, f.cfg.Gather)
+			sleep(ctx, f.cfg.CoalesceDelay)
 		case errors.Is(err, ErrHistoryLost):
 			event.FeedHistoryLost.Log(f.cfg.Logger, "table", f.cfg.Table, "revision", f.revision)
-			f.read = false
+			f.synced = false
 		case err != nil:
-			f.failed(err)
-			// A call that ended by its own time limit was pause enough: another one
-			// would keep the daemon out of touch for longer than the outage.
+			f.handleFailure(err)
+			// A call that timed out has already taken long enough: a further delay
+			// would keep the daemon disconnected for longer than the outage.
 			if !errors.Is(err, context.DeadlineExceeded) {
 				f.backOff(ctx)
 			}
@@ -123,155 +130,156 @@
 	}
 }
 
-// backOff waits after a failed call. While the follower that beats finds the store
-// away, the others leave it to that one to find it back.
+// backOff waits after a failed call. While the heartbeat follower finds the store
+// unreachable, the others rely on it to detect the recovery.
 func (f *Follower) backOff(ctx context.Context) {
-	if back := f.cfg.Group.isAway(); back != nil && !f.cfg.Beats {
-		timer := time.NewTimer(awayRetry)
+	if reachable := f.cfg.Group.whenReachable(); reachable != nil && !f.cfg.Heartbeat {
+		timer := time.NewTimer(unreachableRetryInterval)
 		defer timer.Stop()
 		select {
 		case <-ctx.Done():
-		case <-back:
+		case <-reachable:
 		case <-timer.C:
 		}
 		return
 	}
-	pauseFor(ctx, fullJitter(f.failures, feedBackoffBase, feedBackoffCap, rand.Float64()))
+	sleep(ctx, fullJitter(f.failures, feedBackoffBase, feedBackoffCap, rand.Float64()))
 }
 
-// step makes one call. Changed tells that it brought a change, or the whole table.
-func (f *Follower) step(ctx context.Context) (changed bool, err error) {
-	f.asked = time.Now()
-	if !f.read {
-		err := f.readAll(ctx)
-		return err == nil, err // what changes right after it is gathered too
+// poll makes one call. It reports whether the call returned a change or the full table.
+func (f *Follower) poll(ctx context.Context) (changed bool, err error) {
+	f.callStart = time.Now()
+	if !f.synced {
+		err := f.readTable(ctx)
+		return err == nil, err // changes right after the read are coalesced too
 	}
-	watched, end := f.cfg.Group.watch(ctx, f.revision)
+	interruptible, end := f.cfg.Group.withInterrupt(ctx, f.revision)
 	defer end()
-	if errors.Is(context.Cause(watched), errGroupRestored) {
+	if errors.Is(context.Cause(interruptible), errGroupRestored) {
 		return false, errGroupRestored
 	}
-	call, cancel := turn.WithTimeout(watched, f.cfg.Wait+f.cfg.Slack)
+	call, cancel := turn.WithTimeout(interruptible, f.cfg.Wait+f.cfg.TimeoutMargin)
 	defer cancel()
 	rows, revision, err := f.cfg.Feed.Changes(call, f.cfg.Table, f.revision, f.cfg.Wait)
-	if cause := context.Cause(watched); errors.Is(cause, errGroupFailed) || errors.Is(cause, errGroupRestored) {
+	if cause := context.Cause(interruptible); errors.Is(cause, errGroupFailed) || errors.Is(cause, errGroupRestored) {
 		return false, cause
 	}
 	if err != nil {
-		f.noteFailure(err)
+		f.recordFailure(err)
 		if call.Err() != nil || errors.Is(err, context.DeadlineExceeded) {
-			f.cfg.Group.fail()
+			f.cfg.Group.interruptCalls()
 		}
 		return false, err
 	}
-	if older := f.isOlder(revision); older && !f.cfg.Group.isPast(f.revision) {
+	if older := f.isOlderEra(revision); older && !f.cfg.Group.hasNewerEra(f.revision) {
 		return false, errOlderEra
 	} else if older || !revision.SameEra(f.revision) {
 		return false, errGroupRestored
 	}
-	f.answered()
+	f.handleAnswer()
 	for _, row := range rows {
-		f.to.Change(row)
+		f.subscriber.Change(row)
 	}
 	f.revision = Later(f.revision, revision)
 	return len(rows) > 0, nil
 }
 
-// isOlder tells whether an answer is from before a return of the store that is known here.
-func (f *Follower) isOlder(revision Revision) bool {
-	return f.cfg.Group.reach(time.Now(), revision) || revision.OlderEra(f.revision)
+// isOlderEra reports whether an answer is from before a known restore of the store.
+func (f *Follower) isOlderEra(revision Revision) bool {
+	return f.cfg.Group.observeRevision(time.Now(), revision) || revision.OlderEra(f.revision)
 }
 
-func (f *Follower) readAll(ctx context.Context) error {
-	ctx, cancel := turn.WithTimeout(ctx, feedRead)
+func (f *Follower) readTable(ctx context.Context) error {
+	ctx, cancel := turn.WithTimeout(ctx, feedReadTimeout)
 	defer cancel()
 	rows, revision, err := f.cfg.Feed.ReadTable(ctx, f.cfg.Table)
 	if err != nil {
-		f.noteFailure(err)
+		f.recordFailure(err)
 		return err
 	}
-	if f.isOlder(revision) {
+	if f.isOlderEra(revision) {
 		return errOlderEra
 	}
-	f.answered()
-	if f.known && !revision.SameEra(f.revision) {
-		f.restored(revision)
+	f.handleAnswer()
+	if f.everSynced && !revision.SameEra(f.revision) {
+		f.notifyRestored(revision)
 	}
-	f.to.Replace(rows, revision)
-	f.read, f.known, f.revision = true, true, Later(f.revision, revision)
+	f.subscriber.Replace(rows, revision)
+	f.synced, f.everSynced, f.revision = true, true, Later(f.revision, revision)
 	return nil
 }
 
-// restored tells that the table is a copy's.
-func (f *Follower) restored(first Revision) {
-	notBefore := f.cfg.Group.left()
-	if failed := f.lastFailure(); failed.After(notBefore) {
+// notifyRestored reports to the subscriber that the store was restored from a backup.
+func (f *Follower) notifyRestored(first Revision) {
+	notBefore := f.cfg.Group.previousEraEnd()
+	if failed := f.lastFailureStart(); failed.After(notBefore) {
 		notBefore = failed
 	}
 	event.FeedRestored.Log(f.cfg.Logger, "table", f.cfg.Table, "era", f.revision.era, "new_era", first.era,
 		"number", f.revision.number, "new_number", first.number)
-	f.to.Restored(Restore{Last: f.revision, First: first, NotBefore: notBefore})
+	f.subscriber.StoreRestored(Restore{Last: f.revision, First: first, NotBefore: notBefore})
 }
 
-// noteFailure notes that the present call has failed, before the group is told, whose other
-// members may reach the store at once.
-func (f *Follower) noteFailure(err error) {
+// recordFailure records that the current call has failed. It must be called before the
+// calls of the group are interrupted, since the other members may then reach the store at
+// once.
+func (f *Follower) recordFailure(err error) {
 	if errors.Is(err, ErrHistoryLost) {
-		return // an answer
+		return // the store has answered
 	}
-	f.failedAt = f.asked
-	f.cfg.Group.noteFailure(f.asked)
+	f.failedCallStart = f.callStart
+	f.cfg.Group.recordFailure(f.callStart)
 }
 
-// lastFailure returns when the last call that failed began, be it another member's.
-func (f *Follower) lastFailure() time.Time {
-	if of := f.cfg.Group.lastFailure(); of.After(f.failedAt) {
-		return of
+// lastFailureStart returns the start of the last failed call of any member.
+func (f *Follower) lastFailureStart() time.Time {
+	if groupFailure := f.cfg.Group.lastFailureStart(); groupFailure.After(f.failedCallStart) {
+		return groupFailure
 	}
-	return f.failedAt
+	return f.failedCallStart
 }
 
-func (f *Follower) answered() {
-	if f.cfg.Answered != nil {
-		f.cfg.Answered()
+func (f *Follower) handleAnswer() {
+	if f.cfg.OnAnswer != nil {
+		f.cfg.OnAnswer()
 	}
-	if f.cfg.Beats {
-		f.cfg.Group.setAway(false)
+	if f.cfg.Heartbeat {
+		f.cfg.Group.setUnreachable(false)
 	}
-	if f.away {
+	if f.unreachable {
 		event.FeedReachable.Log(f.cfg.Logger, "table", f.cfg.Table, "failures", f.failures)
-		f.away = false
+		f.unreachable = false
 		if f.failures > 0 {
-			f.cfg.Group.fail() // the others may wait on connections of the outage
+			f.cfg.Group.interruptCalls() // the others may wait on connections from the outage
 		}
-		f.to.Back(f.lastFailure())
+		f.subscriber.StoreReachable(f.lastFailureStart())
 	}
 	f.failures = 0
 }
 
-func (f *Follower) failed(err error) {
+func (f *Follower) handleFailure(err error) {
 	f.failures++
-	if !f.away {
+	if !f.unreachable {
 		event.FeedUnreachable.Log(f.cfg.Logger, "table", f.cfg.Table, "revision", f.revision, "error", err)
 	}
-	f.goAway()
+	f.markUnreachable()
 }
 
-// goAway notes that the store is out of reach. The table is read as a whole at its
-// return, which is answered at once: a call that waits for a change would tell of the
-// return only with the change.
-func (f *Follower) goAway() {
-	f.read = false
-	if f.cfg.Beats {
-		f.cfg.Group.setAway(true)
+// markUnreachable records that the store is unreachable. The next call reads the full
+// table, since that is answered at once when the store recovers, whereas a call that waits
+// for a change would reveal the recovery only with the next change.
+func (f *Follower) markUnreachable() {
+	f.synced = false
+	if f.cfg.Heartbeat {
+		f.cfg.Group.setUnreachable(true)
 	}
-	if !f.away {
-		f.away = true
-		f.to.Away()
+	if !f.unreachable {
+		f.unreachable = true
+		f.subscriber.StoreUnreachable()
 	}
 }
 
-func pauseFor(ctx context.Context, wait time.Duration) {
+func sleep(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
--- a/internal/platform/gate.go
+++ b/internal/platform/gate.go
@@ -6,166 +6,173 @@
 )
 
 const (
-	// outageFailures is how many calls in a row must fail before a store counts
-	// as out. One or two also fail when a single connection breaks.
-	outageFailures = 4
-	// probeBase and probeCap bound the backoff between probes. With full jitter
-	// 360 daemons at the cap make about 180 probes a second, a tenth of what a
-	// store takes; and half of them notice its return within two seconds.
+	// failureThreshold is the number of consecutive failed calls that open the
+	// circuit breaker. One or two calls also fail when a single connection
+	// breaks.
+	failureThreshold = 4
+	// probeBase and probeCap bound the backoff between probes. With full jitter,
+	// 360 daemons at the cap send about 180 probes per second, a tenth of the
+	// capacity of a store, and half of them detect its recovery within two
+	// seconds.
 	probeBase = 100 * time.Millisecond
 	probeCap  = 4 * time.Second
 )
 
-// gate holds calls back while a store is out and lets one at a time probe it.
+// circuitBreaker blocks calls while a store is unavailable, except for one probe
+// at a time.
 //
-// It answers the herd at the end of an outage: without it every waiting call of
-// every daemon retries on its own, and the store goes down again under them as
-// soon as it is back.
-type gate struct {
-	mu       sync.Mutex
-	failures int
-	out      bool
-	probing  bool
-	probes   int
-	next     time.Time
-	random   func() float64
-	// changed is closed when a waiting call should look again.
+// It prevents a thundering herd at the end of an outage: if every waiting call
+// of every daemon retried independently, the load would take the store down
+// again as soon as it recovers.
+type circuitBreaker struct {
+	mu           sync.Mutex
+	failures     int
+	open         bool
+	probing      bool
+	failedProbes int
+	nextProbe    time.Time
+	random       func() float64
+	// changed is closed when waiting calls should call allow again.
 	changed chan struct{}
 }
 
-func newGate(random func() float64) *gate {
-	return &gate{random: random, changed: make(chan struct{})}
+func newCircuitBreaker(random func() float64) *circuitBreaker {
+	return &circuitBreaker{random: random, changed: make(chan struct{})}
 }
 
-// pass says whether a call may go now. If not, it should ask again after wait
-// or when changed is closed. A call that may go must end with done.
-func (g *gate) pass(now time.Time) (ok, probe bool, wait time.Duration, changed <-chan struct{}) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if !g.out {
+// allow reports whether a call may proceed now, and whether it is a probe. If it
+// may not, the caller should ask again after wait or when changed is closed. The
+// outcome of an allowed call must be passed to report.
+func (b *circuitBreaker) allow(now time.Time) (ok, probe bool, wait time.Duration, changed <-chan struct{}) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if !b.open {
 		return true, false, 0, nil
 	}
-	if !g.probing && !now.Before(g.next) {
-		g.probing = true
+	if !b.probing && !now.Before(b.nextProbe) {
+		b.probing = true
 		return true, true, 0, nil
 	}
-	return false, false, max(g.next.Sub(now), probeBase), g.changed
+	return false, false, max(b.nextProbe.Sub(now), probeBase), b.changed
 }
 
-// verdict is what a call says about its store.
-type verdict uint8
+// callOutcome is what a call reveals about the availability of its store.
+type callOutcome uint8
 
 const (
-	// storeAnswered includes answers that refuse the call for its content.
-	storeAnswered verdict = iota
-	storeFailed
-	// storeUnjudged is a call that was given up too early to tell.
-	storeUnjudged
+	// outcomeAnswered includes responses that reject the call's content.
+	outcomeAnswered callOutcome = iota
+	outcomeFailed
+	// outcomeInconclusive is the outcome of a call that its caller ended too
+	// early to conclude anything.
+	outcomeInconclusive
 )
 
-// done reports a call that had passed. It returns whether the store's outage
-// began or ended with it.
-func (g *gate) done(now time.Time, probe bool, v verdict) (began, ended bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// report records the outcome of an allowed call. It returns whether the outcome
+// opened or closed the circuit breaker.
+func (b *circuitBreaker) report(now time.Time, probe bool, outcome callOutcome) (opened, closed bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	if probe {
-		g.probing = false
-		defer g.wake()
+		b.probing = false
+		defer b.wakeWaiters()
 	}
-	switch v {
-	case storeAnswered:
-		return false, g.close(probe)
-	case storeFailed:
-		return g.fail(now, probe), false
+	switch outcome {
+	case outcomeAnswered:
+		return false, b.recordAnswer(probe)
+	case outcomeFailed:
+		return b.recordFailure(now, probe), false
 	}
 	return false, false
 }
 
-// close ends an outage. An answer to a call from before the outage does not end
-// it: it says nothing about the store's present state.
-func (g *gate) close(probe bool) bool {
-	if g.out && !probe {
+// recordAnswer closes the circuit breaker and reports whether it was open.
+// While it is open, only the response to a probe counts: a response to a call
+// from before the outage says nothing about the current state of the store.
+func (b *circuitBreaker) recordAnswer(probe bool) bool {
+	if b.open && !probe {
 		return false
 	}
-	ended := g.out
-	g.out, g.failures, g.probes = false, 0, 0
-	return ended
+	closed := b.open
+	b.open, b.failures, b.failedProbes = false, 0, 0
+	return closed
 }
 
-func (g *gate) fail(now time.Time, probe bool) bool {
-	if g.out && !probe {
+func (b *circuitBreaker) recordFailure(now time.Time, probe bool) bool {
+	if b.open && !probe {
 		return false
 	}
-	g.failures++
-	if !g.out && g.failures < outageFailures {
+	b.failures++
+	if !b.open && b.failures < failureThreshold {
 		return false
 	}
-	began := !g.out
-	g.out = true
-	g.next = now.Add(fullJitter(g.probes, probeBase, probeCap, g.random()))
-	g.probes++
-	return began
+	opened := !b.open
+	b.open = true
+	b.nextProbe = now.Add(fullJitter(b.failedProbes, probeBase, probeCap, b.random()))
+	b.failedProbes++
+	return opened
 }
 
-func (g *gate) wake() {
-	close(g.changed)
-	g.changed = make(chan struct{})
+func (b *circuitBreaker) wakeWaiters() {
+	close(b.changed)
+	b.changed = make(chan struct{})
 }
 
-// fullJitter returns a wait between zero and the exponential bound of a try
-// (the first is zero). Random is in [0,1).
-func fullJitter(try int, base, bound time.Duration, random float64) time.Duration {
+// fullJitter returns a random delay between zero and base doubled once per
+// attempt, but at most maxDelay. Attempts are counted from zero; random is in
+// [0,1).
+func fullJitter(attempt int, base, maxDelay time.Duration, random float64) time.Duration {
 	const maxShift = 16
-	limit := min(base<<min(try, maxShift), bound)
+	limit := min(base<<min(attempt, maxShift), maxDelay)
 	return time.Duration(random * float64(limit))
 }
 
 const (
-	// budgetSize is how many retries may be made in a row; budgetRefill is how
-	// many successes give one back. Under a lasting partial failure retries add
-	// at most a tenth to the load.
-	budgetSize   = 20
-	budgetRefill = 10
+	// budgetSize is how many retries are allowed without a success in between;
+	// successesPerRetry is how many successes allow one more. During a long
+	// partial failure retries thus add at most a tenth to the load.
+	budgetSize        = 20
+	successesPerRetry = 10
 )
 
-// retryBudget bounds retries over all calls to one store. Without it a store
-// that fails half of its calls gets several times the load when it can bear
-// the least.
+// retryBudget limits the retries of all calls to one store. Without it, a store
+// that fails half of its calls would receive several times the normal load when
+// it can handle the least.
 type retryBudget struct {
 	mu sync.Mutex
-	// credit counts successes; a retry costs budgetRefill of them.
+	// credit counts successes; a retry costs successesPerRetry of them.
 	credit int
-	// reported tells that the present lack has been logged.
-	reported bool
+	// logged reports that the current exhaustion has been logged.
+	logged bool
 }
 
-func newRetryBudget() *retryBudget { return &retryBudget{credit: budgetSize * budgetRefill} }
+func newRetryBudget() *retryBudget { return &retryBudget{credit: budgetSize * successesPerRetry} }
 
-func (b *retryBudget) succeeded() {
+func (b *retryBudget) recordSuccess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.credit = min(b.credit+1, budgetSize*budgetRefill)
-	if b.credit >= budgetRefill {
-		b.reported = false
+	b.credit = min(b.credit+1, budgetSize*successesPerRetry)
+	if b.credit >= successesPerRetry {
+		b.logged = false
 	}
 }
 
 func (b *retryBudget) take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.credit < budgetRefill {
+	if b.credit < successesPerRetry {
 		return false
 	}
-	b.credit -= budgetRefill
+	b.credit -= successesPerRetry
 	return true
 }
 
-// report tells whether the lack is to be logged: once until a retry is allowed
-// again.
-func (b *retryBudget) report() bool {
+// shouldLog reports whether to log that the budget is exhausted: only once until
+// a retry is allowed again.
+func (b *retryBudget) shouldLog() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	first := !b.reported
-	b.reported = true
+	first := !b.logged
+	b.logged = true
 	return first
 }
--- a/internal/platform/gate_test.go
+++ b/internal/platform/gate_test.go
@@ -7,46 +7,46 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	_ "github.com/savorystall/savorystall/test/fixedseed" // the same verdict each run
+	_ "github.com/savorystall/savorystall/test/fixedseed" // the same result in each run
 )
 
 func half() float64 { return 0.5 }
 
-// The store is down and every caller of the daemon has work for it. When it is
-// back it must meet one call at a time, not all of them at once, and the first
-// answer must let all the others pass.
-func TestGateLetsOneProbePass(t *testing.T) {
+// Guards against a thundering herd after an outage: a recovering store must get
+// one probe at a time instead of all waiting calls, and the first answer must
+// release all the others.
+func TestCircuitBreakerAllowsOneProbe(t *testing.T) {
 	is := is.New(t)
-	g := newGate(half)
+	breaker := newCircuitBreaker(half)
 	now := time.Unix(0, 0)
-	for range outageFailures {
-		ok, probe, _, _ := g.pass(now)
+	for range failureThreshold {
+		ok, probe, _, _ := breaker.allow(now)
 		is.True(ok && !probe)
-		g.done(now, false, storeFailed)
+		breaker.report(now, false, outcomeFailed)
 	}
 	now = now.Add(probeCap)
-	ok, probe, _, _ := g.pass(now)
+	ok, probe, _, _ := breaker.allow(now)
 	is.True(ok && probe)
-	ok, _, _, changed := g.pass(now)
-	is.True(!ok) // a second call waits for the probe
-	_, ended := g.done(now, true, storeAnswered)
-	is.True(ended)
-	<-changed // the waiting call is woken
-	ok, probe, _, _ = g.pass(now)
+	ok, _, _, changed := breaker.allow(now)
+	is.True(!ok) // a second call waits for the result of the probe
+	_, closed := breaker.report(now, true, outcomeAnswered)
+	is.True(closed)
+	<-changed // waiting calls are woken
+	ok, probe, _, _ = breaker.allow(now)
 	is.True(ok && !probe)
 }
 
-// Calls start, answer, fail and are given up in any order while time passes.
-// At no moment may two probes run, a given-up probe may not block the gate, and
-// the gate must open within the longest backoff.
-func TestGateHoldsInAnyOrder(t *testing.T) {
+// Calls start, succeed, fail and are canceled in any order while time passes.
+// There must never be two concurrent probes, a canceled probe must not block the
+// circuit breaker, and the next probe must be allowed within the longest backoff.
+func TestCircuitBreakerInvariantsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := newGate(func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "random") })
+		breaker := newCircuitBreaker(func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "random") })
 		now := time.Unix(0, 0)
 		var running []bool // one for each call: whether it is a probe
 		t.Repeat(map[string]func(*rapid.T){
 			"start": func(t *rapid.T) {
-				if ok, probe, _, _ := g.pass(now); ok {
+				if ok, probe, _, _ := breaker.allow(now); ok {
 					running = append(running, probe)
 				}
 			},
@@ -55,12 +55,12 @@
 					t.Skip("nothing runs")
 				}
 				i := rapid.IntRange(0, len(running)-1).Draw(t, "call")
-				v := rapid.SampledFrom([]verdict{storeAnswered, storeFailed, storeUnjudged}).Draw(t, "verdict")
-				g.done(now, running[i], v)
+				outcome := rapid.SampledFrom([]callOutcome{outcomeAnswered, outcomeFailed, outcomeInconclusive}).Draw(t, "outcome")
+				breaker.report(now, running[i], outcome)
 				running = append(running[:i], running[i+1:]...)
 			},
 			"time": func(t *rapid.T) {
-				now = now.Add(time.Duration(rapid.Int64Range(0, int64(probeCap)).Draw(t, "passed")))
+				now = now.Add(time.Duration(rapid.Int64Range(0, int64(probeCap)).Draw(t, "elapsed")))
 			},
 			"": func(t *rapid.T) {
 				probes := 0
@@ -72,23 +72,23 @@
 				if probes > 1 {
 					t.Fatalf("%d probes run", probes)
 				}
-				if probes == 0 && g.out && g.next.Sub(now) > probeCap {
-					t.Fatalf("the next probe is %s away", g.next.Sub(now))
+				if probes == 0 && breaker.open && breaker.nextProbe.Sub(now) > probeCap {
+					t.Fatalf("the next probe is allowed only after %s", breaker.nextProbe.Sub(now))
 				}
 			},
 		})
 	})
 }
 
-func TestRetryBudgetIsATenthOfTheSuccesses(t *testing.T) {
+func TestRetryBudgetIsATenthOfSuccesses(t *testing.T) {
 	is := is.New(t)
 	b := newRetryBudget()
 	for range budgetSize {
 		is.True(b.take())
 	}
 	is.True(!b.take())
-	for range budgetRefill {
-		b.succeeded()
+	for range successesPerRetry {
+		b.recordSuccess()
 	}
 	is.True(b.take())
 	is.True(!b.take())
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,7 +1,7 @@
-// Package platform is the client side of the services that the platform
-// provides: a transactional table, an object store, a list of VMs and a weight
-// store. Everything that must outlast a daemon goes through it; docs/PLATFORM-API.md
-// is the published HTTP/JSON binding.
+// Package platform is the client of the platform's services: a transactional
+// table, an object store, a list of VMs and a weight store. All state that must
+// survive a daemon is stored through it. The HTTP/JSON API is published in
+// docs/PLATFORM-API.md.
 package platform
 
 import (
@@ -17,31 +17,32 @@
 type Row struct {
 	Key   string
 	Value []byte
-	// Revision is set by the table: it is positive, grows with every write of
-	// any row, and is never used twice.
+	// Revision is assigned by the table: it is positive, increases with each
+	// write of any row, and is never reused.
 	Revision uint64
-	// Operation is the id of the transaction that wrote the row.
+	// Operation is the ID of the transaction that wrote the row.
 	Operation string
 }
 
-// Condition requires that a row has a revision; zero requires that it is absent.
+// Condition requires a row to have a revision; zero requires it not to exist.
 type Condition struct {
 	Key      string
 	Revision uint64
 }
 
-// Put writes one row. A TTL above zero lets the table drop the row after it.
+// Put writes one row. If TTL is positive, the table deletes the row after it.
 type Put struct {
 	Key   string
 	Value []byte
 	TTL   time.Duration
 }
 
-// Transaction is applied wholly or not at all. All conditions are checked
-// against the same state of the table that the writes change.
+// Transaction is applied atomically: all conditions are checked against the same
+// state of the table that the writes change.
 type Transaction struct {
-	// Operation is unique per intended write and the same for each repeat of
-	// it. It is stored in every row written, which settles a lost answer.
+	// Operation is unique per intended write and stays the same when the write
+	// is retried. It is stored in every written row, so that the outcome of a
+	// write whose response was lost can be determined.
 	Operation  string
 	Conditions []Condition
 	Puts       []Put
@@ -49,7 +50,8 @@
 }
 
 // Conflict is the error of a transaction whose conditions did not hold. It
-// carries the present row of each condition that failed (Revision zero: absent).
+// contains the current row of each failed condition; Revision is zero if the row
+// does not exist.
 type Conflict struct {
 	Rows []Row
 }
@@ -60,52 +62,53 @@
 // Table is the platform's transactional table.
 type Table interface {
 	// Commit applies the transaction and returns the revision of its writes.
-	// The error is a *Conflict where a condition failed, *Unavailable where
-	// nothing was written for certain, and *Unknown where that could not be
-	// settled before ctx ended.
+	// The error is a *Conflict if a condition failed, *Unavailable if certainly
+	// nothing was written, and *UnknownOutcome if that could not be determined
+	// before ctx ended.
 	Commit(ctx context.Context, tx Transaction) (revision uint64, err error)
-	// Get returns the rows that exist among keys.
+	// Get returns the rows with the given keys; missing rows are omitted.
 	Get(ctx context.Context, keys ...string) ([]Row, error)
-	// Scan returns at most limit rows whose key has the prefix and is greater
-	// than after, in the order of keys.
+	// Scan returns at most limit rows whose keys have the prefix and are greater
+	// than after, ordered by key.
 	Scan(ctx context.Context, prefix, after string, limit int) ([]Row, error)
 }
 
-// ErrAbsent is the error of reading an object that does not exist.
-var ErrAbsent = merry.Sentinel("the object does not exist")
+// ErrObjectNotFound is returned when an object that does not exist is read.
+var ErrObjectNotFound = merry.Sentinel("the object does not exist")
 
-// Objects is the platform's object store. A put replaces the whole object. A
-// put whose answer was lost is repeated, and a copy of it can arrive late and
-// bring an older body back: a reader must not take a body for the latest one.
+// Objects is the platform's object store. A put replaces the whole object. A put
+// whose response was lost is retried, and a delayed duplicate can overwrite a
+// newer body: readers must not assume that a body is the latest one.
 type Objects interface {
 	PutObject(ctx context.Context, name string, body []byte) error
-	// GetObject returns ErrAbsent where there is no such object.
+	// GetObject returns ErrObjectNotFound if the object does not exist.
 	GetObject(ctx context.Context, name string) ([]byte, error)
 }
 
-// VMState is what the platform says of a VM. The list lags behind the truth.
+// VMState is the state of a VM according to the platform. The list lags behind
+// the actual state.
 type VMState string
 
-// States of a VM in the list.
+// States of a VM.
 const (
 	VMLive    VMState = "live"
 	VMLeaving VMState = "leaving"
 )
 
-// VM is one entry of the platform's list: an entry VM or a target VM.
+// VM is one entry of the platform's list: a VM of a daemon or of a target.
 type VM struct {
-	// Name is the daemon's or the target's name.
+	// Name is the name of the daemon or the target.
 	Name string
 	Zone ident.Zone
-	// Address is host:port: of the fleet listener of a daemon, of the service
-	// port of a target.
+	// Address is the host:port of a daemon's fleet listener or of a target's
+	// service port.
 	Address string
 	// Role is RoleDaemon or RoleTarget.
 	Role  string
 	State VMState
 }
 
-// Roles of a VM in the list.
+// Roles of a VM.
 const (
 	RoleDaemon = "daemon"
 	RoleTarget = "target"
@@ -118,13 +121,13 @@
 
 // Weights is the platform's rate-limited weight store.
 type Weights interface {
-	// FetchWeights asks the store to make a model, adapter or version ready
-	// for loading and returns the wait that its rate limit imposes.
+	// FetchWeights requests the store to prepare a model, adapter or version
+	// for loading and returns the delay imposed by the rate limit.
 	FetchWeights(ctx context.Context, name string) (wait time.Duration, err error)
 }
 
-// Unavailable is the error of a call that had no effect: the store refused it
-// or could not be reached.
+// Unavailable is the error of a call that had no effect because the store
+// refused it or could not be reached.
 type Unavailable struct{ Cause error }
 
 // Error implements error.
@@ -133,13 +136,13 @@
 // Unwrap returns the cause.
 func (u *Unavailable) Unwrap() error { return u.Cause }
 
-// Unknown is the error of a write that may have taken effect.
-type Unknown struct{ Cause error }
+// UnknownOutcome is the error of a write that may have taken effect.
+type UnknownOutcome struct{ Cause error }
 
 // Error implements error.
-func (u *Unknown) Error() string {
-	return "the write may have taken effect: " + u.Cause.Error()
+func (e *UnknownOutcome) Error() string {
+	return "the write may have taken effect: " + e.Cause.Error()
 }
 
 // Unwrap returns the cause.
-func (u *Unknown) Unwrap() error { return u.Cause }
+func (e *UnknownOutcome) Unwrap() error { return e.Cause }
--- a/internal/platform/restore_test.go
+++ b/internal/platform/restore_test.go
@@ -13,15 +13,16 @@
 	"github.com/savorystall/savorystall/internal/platform"
 )
 
-// copy returns the feed's present state, to come back from.
-func (f *fakeFeed) copy() (rows map[string]platform.FeedRow, revision uint64) {
+// backup returns a copy of the feed's current state for restore.
+func (f *fakeFeed) backup() (rows map[string]platform.FeedRow, revision uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return maps.Clone(f.rows), f.revision
 }
 
-// restore comes back from a copy. Calls that wait go on waiting where quiet is set.
-func (f *fakeFeed) restore(rows map[string]platform.FeedRow, revision uint64, quiet bool) {
+// restore resets the feed to a backup and starts a new era. If keepWaiting is set, waiting
+// calls continue to wait.
+func (f *fakeFeed) restore(rows map[string]platform.FeedRow, revision uint64, keepWaiting bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.era++
@@ -30,13 +31,13 @@
 		row.Revision = platform.NewRevision(f.era, row.Revision.Number())
 		f.rows[key] = row
 	}
-	if !quiet {
+	if !keepWaiting {
 		close(f.changed)
 		f.changed = make(chan struct{})
 	}
 }
 
-func TestRevisionsOfTwoErasAreOrderedByEra(t *testing.T) {
+func TestRevisionsAreOrderedByEraFirst(t *testing.T) {
 	is := is.New(t)
 	older, newer := platform.NewRevision(1, 900), platform.NewRevision(2, 5)
 	is.True(older.Before(newer))
@@ -49,48 +50,50 @@
 	is.Equal(platform.NewRevision(0, 5).String(), "5")
 }
 
-// Versions that are given out again must not stand for the rows that were lost.
-func TestAFollowerReadsACopyAnewThoughItsVersionsHavePassedItsOwn(t *testing.T) {
+// Guards against lost changes if a restored store reuses revision numbers: the follower
+// must read the table again although the numbers have passed its own revision.
+func TestFollowerRereadsRestoredTableDespiteHigherRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		feed := newFakeFeed()
 		feed.put("stays", "1", false)
-		c, cancel := follow(feed, 0, nil)
+		subscriber, cancel := follow(feed, 0, nil)
 		defer cancel()
 		time.Sleep(time.Second)
-		rows, revision := feed.copy()
+		rows, revision := feed.backup()
 		feed.put("lost", "2", false)
 		time.Sleep(time.Second)
-		is.Equal(c.String(), "map[lost:2 stays:1] false")
+		is.Equal(subscriber.String(), "map[lost:2 stays:1] false")
 		feed.restore(rows, revision, true)
 		feed.put("other", "3", false)
 		feed.put("more", "4", false)
 		time.Sleep(3 * time.Second)
-		is.Equal(c.String(), "map[more:4 other:3 stays:1] false")
+		is.Equal(subscriber.String(), "map[more:4 other:3 stays:1] false")
 		cancel()
 		synctest.Wait()
-		is.Equal(len(c.restores), 1)
-		is.True(c.restores[0].Last.OlderEra(c.restores[0].First))
+		is.Equal(len(subscriber.restores), 1)
+		is.True(subscriber.restores[0].Last.OlderEra(subscriber.restores[0].First))
 	})
 }
 
-// A member that pauses between two calls must not miss that another one met a newer era.
-func TestAllFollowersOfAGroupReadACopyAnew(t *testing.T) {
+// A member that waits between two calls must not miss that another one has observed a newer
+// era.
+func TestAllFollowersOfAGroupRereadARestoredTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		group := platform.NewFeedGroup()
-		beats, waits := newFakeFeed(), newFakeFeed()
-		waits.put("k", "old", false)
-		_, stopA := follow(beats, 500*time.Millisecond, group)
-		b, stopB := follow(waits, longWait, group)
+		heartbeat, other := newFakeFeed(), newFakeFeed()
+		other.put("k", "old", false)
+		_, stopA := follow(heartbeat, 500*time.Millisecond, group)
+		b, stopB := follow(other, longWait, group)
 		time.Sleep(2 * time.Second)
-		rows, revision := waits.copy()
-		waits.put("lost", "1", false) // waits pauses after it
+		rows, revision := other.backup()
+		other.put("lost", "1", false) // the follower of other waits after this change
 		time.Sleep(10 * time.Millisecond)
-		waits.restore(rows, revision, true)
-		waits.put("new", "2", false)
-		waits.put("other", "3", true)
-		beats.restore(nil, 1, false)
+		other.restore(rows, revision, true)
+		other.put("new", "2", false)
+		other.put("other", "3", true)
+		heartbeat.restore(nil, 1, false)
 		time.Sleep(2 * time.Second)
 		is.Equal(b.String(), "map[k:old new:2] false")
 		stopA()
@@ -99,44 +102,44 @@
 	})
 }
 
-// lateFeed delivers one answer of a past era.
+// lateFeed returns one answer of an older era.
 type lateFeed struct {
 	*fakeFeed
-	late []platform.FeedRow
-	at   platform.Revision
-	sent bool
+	late         []platform.FeedRow
+	lateRevision platform.Revision
+	sent         bool
 }
 
 // Changes implements platform.Feed.
 func (f *lateFeed) Changes(ctx context.Context, table string, after platform.Revision, wait time.Duration) ([]platform.FeedRow, platform.Revision, error) {
 	if !f.sent {
 		f.sent = true
-		return f.late, f.at, nil
+		return f.late, f.lateRevision, nil
 	}
 	return f.fakeFeed.Changes(ctx, table, after, wait)
 }
 
-// An answer from before the store's return must not undo what was read after it.
-func TestALateAnswerOfAnOlderEraChangesNothing(t *testing.T) {
+// An answer from before a restore of the store must not undo what was read after it.
+func TestLateAnswerOfAnOlderEraIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		feed := &lateFeed{
-			fakeFeed: newFakeFeed(), at: platform.NewRevision(1, 900),
+			fakeFeed: newFakeFeed(), lateRevision: platform.NewRevision(1, 900),
 			late: []platform.FeedRow{{Key: "k", Value: []byte("old"), Revision: platform.NewRevision(1, 900)}},
 		}
 		feed.era = 2
 		feed.put("k", "new", false)
-		c := &copyOf{}
+		subscriber := &recordingSubscriber{}
 		ctx, cancel := context.WithCancel(t.Context())
-		go platform.NewFollower(platform.FollowerConfig{Feed: feed, Table: "t", Logger: slog.New(slog.DiscardHandler)}, c).Run(ctx)
+		go platform.NewFollower(platform.FollowerConfig{Feed: feed, Table: "t", Logger: slog.New(slog.DiscardHandler)}, subscriber).Run(ctx)
 		time.Sleep(time.Second)
-		is.Equal(c.String(), "map[k:new] false")
+		is.Equal(subscriber.String(), "map[k:new] false")
 		feed.put("k", "newer", false)
 		time.Sleep(time.Second)
-		is.Equal(c.String(), "map[k:newer] false")
+		is.Equal(subscriber.String(), "map[k:newer] false")
 		cancel()
 		synctest.Wait()
 		is.True(feed.sent)
-		is.Equal(len(c.restores), 0)
+		is.Equal(len(subscriber.restores), 0)
 	})
 }
--- a/internal/platform/revision.go
+++ b/internal/platform/revision.go
@@ -5,36 +5,36 @@
 	"strconv"
 )
 
-// Revision is a version of the store's rows, with the era in which the store gave it
-// out. The store counts an era up each time it comes back from a copy, and then gives
-// version numbers out again, so that a number says nothing without its era. The zero
-// Revision is before all others.
+// Revision is a version of the store's rows: a number and the era in which the store
+// assigned it. The store increments the era each time it is restored from a backup and
+// then reuses numbers, so that a number is meaningless without its era. The zero
+// Revision precedes all others.
 //
-// The fields are closed, so that no two numbers are compared without their eras.
+// The fields are unexported, so that numbers are not compared without their eras.
 type Revision struct{ era, number uint64 }
 
-// NewRevision returns the revision of a number in an era.
+// NewRevision returns the revision with a number in an era.
 func NewRevision(era, number uint64) Revision { return Revision{era: era, number: number} }
 
-// Era returns the era, for passing the revision on.
+// Era returns the era, for encoding the revision.
 func (r Revision) Era() uint64 { return r.era }
 
-// Number returns the number, for passing the revision on.
+// Number returns the number, for encoding the revision.
 func (r Revision) Number() uint64 { return r.number }
 
-// Before tells that a revision was given out before another one: in an older era, or
-// in the same with a lower number.
+// Before reports whether a revision was assigned before another one: in an older era,
+// or in the same era with a lower number.
 func (r Revision) Before(other Revision) bool {
 	return r.era < other.era || r.era == other.era && r.number < other.number
 }
 
-// OlderEra tells that a revision is of an older era than another one.
+// OlderEra reports whether a revision is of an older era than another one.
 func (r Revision) OlderEra(other Revision) bool { return r.era < other.era }
 
-// SameEra tells whether two revisions are of one era.
+// SameEra reports whether two revisions are of the same era.
 func (r Revision) SameEra(other Revision) bool { return r.era == other.era }
 
-// Compare orders revisions by Before, as slices.SortFunc needs it.
+// Compare orders revisions as Before does, for use with slices.SortFunc.
 func (r Revision) Compare(other Revision) int {
 	switch {
 	case r.Before(other):
@@ -45,7 +45,7 @@
 	return 0
 }
 
-// Later returns the later one of two revisions.
+// Later returns the later of two revisions.
 func Later(a, b Revision) Revision {
 	if a.Before(b) {
 		return b
@@ -53,7 +53,7 @@
 	return a
 }
 
-// String returns the number, after the era where the store has come back from a copy.
+// String returns the number, prefixed with the era if it is not zero.
 func (r Revision) String() string {
 	number := strconv.FormatUint(r.number, 10)
 	if r.era == 0 {
--- a/internal/platform/stores.go
+++ b/internal/platform/stores.go
@@ -16,40 +16,40 @@
 
 // PutObject implements Objects.
 func (c *Client) PutObject(ctx context.Context, name string, body []byte) error {
-	x := exchange{method: http.MethodPut, path: objectPath(name), body: body, contentType: "application/octet-stream"}
-	a, err := c.objects.repeat(ctx, x)
+	req := httpRequest{method: http.MethodPut, path: objectPath(name), body: body, contentType: "application/octet-stream"}
+	resp, err := c.objects.callIdempotent(ctx, req)
 	if err != nil {
 		return err
 	}
-	if a.status != http.StatusOK && a.status != http.StatusNoContent {
-		return merry.Errorf("the platform refused object %s: status %d", name, a.status)
+	if resp.status != http.StatusOK && resp.status != http.StatusNoContent {
+		return merry.Errorf("the platform refused object %s: status %d", name, resp.status)
 	}
 	return nil
 }
 
 // GetObject implements Objects.
 func (c *Client) GetObject(ctx context.Context, name string) ([]byte, error) {
-	a, err := c.objects.repeat(ctx, exchange{method: http.MethodGet, path: objectPath(name)})
+	resp, err := c.objects.callIdempotent(ctx, httpRequest{method: http.MethodGet, path: objectPath(name)})
 	if err != nil {
 		return nil, err
 	}
-	if a.status == http.StatusNotFound {
-		return nil, ErrAbsent
+	if resp.status == http.StatusNotFound {
+		return nil, ErrObjectNotFound
 	}
-	if a.status != http.StatusOK {
-		return nil, merry.Errorf("the platform refused object %s: status %d", name, a.status)
+	if resp.status != http.StatusOK {
+		return nil, merry.Errorf("the platform refused object %s: status %d", name, resp.status)
 	}
-	return a.body, nil
+	return resp.body, nil
 }
 
 // ListVMs implements VMs.
 func (c *Client) ListVMs(ctx context.Context) ([]VM, error) {
-	a, err := c.vms.repeat(ctx, exchange{method: http.MethodGet, path: wire.PathVMs})
+	resp, err := c.vms.callIdempotent(ctx, httpRequest{method: http.MethodGet, path: wire.PathVMs})
 	if err != nil {
 		return nil, err
 	}
 	var body wire.VMs
-	if err := decodeAnswer(a, &body); err != nil {
+	if err := decodeResponse(resp, &body); err != nil {
 		return nil, err
 	}
 	list := make([]VM, len(body.VMs))
@@ -59,16 +59,16 @@
 	return list, nil
 }
 
-// FetchWeights implements Weights. A repeated call is harmless: it asks for
-// something to be ready.
+// FetchWeights implements Weights. Retries are safe, since preparing weights is
+// idempotent.
 func (c *Client) FetchWeights(ctx context.Context, name string) (time.Duration, error) {
 	path := wire.PathWeights + url.PathEscape(name)
-	a, err := c.weights.repeat(ctx, exchange{method: http.MethodPost, path: path})
+	resp, err := c.weights.callIdempotent(ctx, httpRequest{method: http.MethodPost, path: path})
 	if err != nil {
 		return 0, err
 	}
-	var body wire.Fetch
-	if err := decodeAnswer(a, &body); err != nil {
+	var body wire.FetchReply
+	if err := decodeResponse(resp, &body); err != nil {
 		return 0, err
 	}
 	return time.Duration(body.WaitMillis) * time.Millisecond, nil
--- a/internal/platform/table.go
+++ b/internal/platform/table.go
@@ -15,20 +15,20 @@
 	"github.com/savorystall/savorystall/internal/platform/wire"
 )
 
-const operationBytes = 12
+const operationIDBytes = 12
 
-// NewOperation returns a fresh operation id for a Transaction.
-func NewOperation() string {
-	var b [operationBytes]byte
+// NewOperationID returns a new operation ID for a Transaction.
+func NewOperationID() string {
+	var b [operationIDBytes]byte
 	_, _ = rand.Read(b[:]) // never fails since Go 1.24
 	return hex.EncodeToString(b[:])
 }
 
-// Superseded is the cause of an Unknown: the answer of a write was lost, its
-// repeat found conditions that do not hold, and no row shows the write. Either
-// it never took effect, or it did and its rows were overwritten since.
+// Superseded is the cause of an UnknownOutcome if the response to a write was
+// lost, its retry failed a condition, and no row shows the write. Either the
+// write never took effect, or its rows have been overwritten since.
 type Superseded struct {
-	// Rows are the present rows of the conditions that failed.
+	// Rows are the current rows of the failed conditions.
 	Rows []Row
 }
 
@@ -37,45 +37,45 @@
 	return "an answer was lost and the rows have been written by others"
 }
 
-const jsonType = "application/json"
+const jsonContentType = "application/json"
 
-func jsonExchange(path string, body any) (exchange, error) {
+func newJSONRequest(path string, body any) (httpRequest, error) {
 	text, err := json.Marshal(body)
-	return exchange{method: http.MethodPost, path: path, body: text, contentType: jsonType}, err
+	return httpRequest{method: http.MethodPost, path: path, body: text, contentType: jsonContentType}, err
 }
 
 // Get implements Table.
 func (c *Client) Get(ctx context.Context, keys ...string) ([]Row, error) {
-	x, err := jsonExchange(wire.PathGet, wire.Get{Keys: keys})
+	req, err := newJSONRequest(wire.PathGet, wire.Get{Keys: keys})
 	if err != nil {
 		return nil, err
 	}
-	return c.rows(ctx, x)
+	return c.readRows(ctx, req)
 }
 
 // Scan implements Table.
 func (c *Client) Scan(ctx context.Context, prefix, after string, limit int) ([]Row, error) {
 	query := url.Values{"prefix": {prefix}, "after": {after}, "limit": {strconv.Itoa(limit)}}
-	return c.rows(ctx, exchange{method: http.MethodGet, path: wire.PathScan + "?" + query.Encode()})
+	return c.readRows(ctx, httpRequest{method: http.MethodGet, path: wire.PathScan + "?" + query.Encode()})
 }
 
-func (c *Client) rows(ctx context.Context, x exchange) ([]Row, error) {
-	a, err := c.table.repeat(ctx, x)
+func (c *Client) readRows(ctx context.Context, req httpRequest) ([]Row, error) {
+	resp, err := c.table.callIdempotent(ctx, req)
 	if err != nil {
 		return nil, err
 	}
 	var body wire.Rows
-	if err := decodeAnswer(a, &body); err != nil {
+	if err := decodeResponse(resp, &body); err != nil {
 		return nil, err
 	}
 	if body.Rows == nil {
-		// A wrong address that answers with any JSON would pass for an empty table.
+		// Any JSON from a server at a wrong address would look like an empty table.
 		return nil, merry.New("the answer holds no rows field; is this the platform's address?")
 	}
-	return fromWire(body.Rows), nil
+	return rowsFromWire(body.Rows), nil
 }
 
-func fromWire(rows []wire.Row) []Row {
+func rowsFromWire(rows []wire.Row) []Row {
 	out := make([]Row, len(rows))
 	for i, r := range rows {
 		out[i] = Row(r)
@@ -85,22 +85,23 @@
 
 // Commit implements Table.
 //
-// It guards against the lost answer: the store applied the write, the
-// connection broke, and a blind second write would change the row twice or
-// report another's conflict. A transaction whose own writes break one of its
-// conditions can take effect once only, so that sending it again unchanged is
-// safe: if the first copy took effect, the second finds a row with this
-// transaction's operation id among the failed conditions. Other transactions
-// are read back instead and never sent twice after a lost answer.
+// It handles lost responses: if the store applied the write and the connection
+// broke, an unconditional retry would change the row twice or report a conflict
+// with the write itself or with another writer. A transaction whose own writes
+// invalidate one of its conditions can take effect only once, so that it is safe
+// to resend it unchanged: if the first copy took effect, the second one finds a
+// row with this transaction's operation ID among the failed conditions. The rows
+// of other transactions are read back instead, and they are never resent after a
+// lost response.
 func (c *Client) Commit(ctx context.Context, tx Transaction) (uint64, error) {
-	x, err := jsonExchange(wire.PathCommit, commitBody(tx))
+	req, err := newJSONRequest(wire.PathCommit, commitBody(tx))
 	if err != nil {
 		return 0, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.config.CallTimeout)
 	defer cancel()
-	w := write{client: c, tx: tx, exchange: x}
-	return w.run(ctx)
+	call := commitCall{client: c, tx: tx, request: req}
+	return call.run(ctx)
 }
 
 func commitBody(tx Transaction) wire.Commit {
@@ -114,9 +115,9 @@
 	return body
 }
 
-// takesEffectOnce tells whether the transaction's own writes break one of its
-// conditions: the row gets a new revision, or is gone.
-func (tx Transaction) takesEffectOnce() bool {
+// appliesAtMostOnce reports whether the transaction's own writes invalidate one
+// of its conditions, by giving the row a new revision or deleting it.
+func (tx Transaction) appliesAtMostOnce() bool {
 	required := make(map[string]uint64, len(tx.Conditions))
 	for _, c := range tx.Conditions {
 		required[c.Key] = c.Revision
@@ -134,104 +135,105 @@
 	return false
 }
 
-// write is one commit with its tries.
-type write struct {
-	client   *Client
-	tx       Transaction
-	exchange exchange
-	// lost is the fault of the first try that may have taken effect.
-	lost error
+// commitCall is one commit with all its attempts.
+type commitCall struct {
+	client  *Client
+	tx      Transaction
+	request httpRequest
+	// lostAnswer is the error of the first attempt that may have taken effect.
+	lostAnswer error
 }
 
-func (w *write) run(ctx context.Context) (uint64, error) {
-	table := w.client.table
-	for try := 0; ; try++ {
-		a, f := table.try(ctx, w.exchange)
-		if f == nil {
-			table.budget.succeeded()
-			return w.answered(a)
+func (c *commitCall) run(ctx context.Context) (uint64, error) {
+	table := c.client.table
+	for attempt := 0; ; attempt++ {
+		resp, err := table.attempt(ctx, c.request)
+		if err == nil {
+			table.budget.recordSuccess()
+			return c.handleResponse(resp)
 		}
-		w.note(f)
-		if w.lost != nil && !w.tx.takesEffectOnce() {
-			return w.readBack(ctx)
+		c.recordLostAnswer(err)
+		if c.lostAnswer != nil && !c.tx.appliesAtMostOnce() {
+			return c.readBack(ctx)
 		}
-		// Settling a lost answer is exempt from the budget: it is one try at a
-		// time, and giving up would leave the caller without an outcome.
-		if ctx.Err() != nil || !table.pause(ctx, try, w.lost != nil) {
-			return 0, w.failed(f)
+		// Retries after a lost response are exempt from the budget: there is one
+		// attempt at a time, and giving up would leave the outcome unknown to the
+		// caller.
+		if ctx.Err() != nil || !table.waitForRetry(ctx, attempt, c.lostAnswer != nil) {
+			return 0, c.finalError(err)
 		}
 	}
 }
 
-func (w *write) note(f *fault) {
-	if f.sent && w.lost == nil {
-		w.lost = f
-		event.PlatformResponseLost.Log(w.client.config.Logger, "operation", w.tx.Operation, "error", f.cause)
+func (c *commitCall) recordLostAnswer(err *attemptError) {
+	if err.maybeApplied && c.lostAnswer == nil {
+		c.lostAnswer = err
+		event.PlatformResponseLost.Log(c.client.config.Logger, "operation", c.tx.Operation, "error", err.cause)
 	}
 }
 
-func (w *write) failed(last *fault) error {
-	if w.lost == nil {
+func (c *commitCall) finalError(last *attemptError) error {
+	if c.lostAnswer == nil {
 		return &Unavailable{Cause: merry.Prepend(last, "table")}
 	}
-	event.PlatformUnsettled.Log(w.client.config.Logger, "operation", w.tx.Operation)
-	return &Unknown{Cause: w.lost}
+	event.PlatformUnsettled.Log(c.client.config.Logger, "operation", c.tx.Operation)
+	return &UnknownOutcome{Cause: c.lostAnswer}
 }
 
-func (w *write) answered(a answer) (uint64, error) {
-	if a.status == http.StatusConflict {
-		return w.conflict(a)
+func (c *commitCall) handleResponse(resp storeResponse) (uint64, error) {
+	if resp.status == http.StatusConflict {
+		return c.handleConflict(resp)
 	}
 	var body wire.Committed
-	if err := decodeAnswer(a, &body); err != nil {
-		if w.lost != nil || a.status == http.StatusOK {
-			return 0, &Unknown{Cause: err}
+	if err := decodeResponse(resp, &body); err != nil {
+		if c.lostAnswer != nil || resp.status == http.StatusOK {
+			return 0, &UnknownOutcome{Cause: err}
 		}
 		return 0, err
 	}
 	if body.Revision == 0 {
-		return 0, &Unknown{Cause: merry.New("the answer holds no revision")}
+		return 0, &UnknownOutcome{Cause: merry.New("the answer holds no revision")}
 	}
 	return body.Revision, nil
 }
 
-func (w *write) conflict(a answer) (uint64, error) {
+func (c *commitCall) handleConflict(resp storeResponse) (uint64, error) {
 	var body wire.Conflict
-	if err := json.Unmarshal(a.body, &body); err != nil {
-		return 0, &Unknown{Cause: merry.Prepend(err, "answer of the platform")}
+	if err := json.Unmarshal(resp.body, &body); err != nil {
+		return 0, &UnknownOutcome{Cause: merry.Prepend(err, "answer of the platform")}
 	}
-	rows := fromWire(body.Rows)
-	if w.lost == nil {
+	rows := rowsFromWire(body.Rows)
+	if c.lostAnswer == nil {
 		return 0, &Conflict{Rows: rows}
 	}
-	if revision, ok := w.own(rows); ok {
+	if revision, ok := c.findOwnRow(rows); ok {
 		return revision, nil
 	}
-	return 0, &Unknown{Cause: &Superseded{Rows: rows}}
+	return 0, &UnknownOutcome{Cause: &Superseded{Rows: rows}}
 }
 
-func (w *write) own(rows []Row) (uint64, bool) {
+func (c *commitCall) findOwnRow(rows []Row) (uint64, bool) {
 	for _, row := range rows {
-		if row.Revision != 0 && row.Operation == w.tx.Operation {
+		if row.Revision != 0 && row.Operation == c.tx.Operation {
 			return row.Revision, true
 		}
 	}
 	return 0, false
 }
 
-// readBack looks for the rows of a transaction that must not be sent again.
-// Not finding them proves nothing: the read may be stale, the rows overwritten
-// or the write still on its way.
-func (w *write) readBack(ctx context.Context) (uint64, error) {
-	keys := make([]string, len(w.tx.Puts))
-	for i, put := range w.tx.Puts {
+// readBack looks for the rows of a transaction that must not be resent. If they
+// are not found, the outcome remains unknown: the read may be stale, the rows may
+// have been overwritten, or the write may still be in transit.
+func (c *commitCall) readBack(ctx context.Context) (uint64, error) {
+	keys := make([]string, len(c.tx.Puts))
+	for i, put := range c.tx.Puts {
 		keys[i] = put.Key
 	}
-	rows, err := w.client.Get(ctx, keys...)
+	rows, err := c.client.Get(ctx, keys...)
 	if err == nil {
-		if revision, ok := w.own(rows); ok {
+		if revision, ok := c.findOwnRow(rows); ok {
 			return revision, nil
 		}
 	}
-	return 0, w.failed(&fault{cause: w.lost, sent: true})
+	return 0, c.finalError(&attemptError{cause: c.lostAnswer, maybeApplied: true})
 }
--- a/internal/platform/wire/wire.go
+++ b/internal/platform/wire/wire.go
@@ -1,8 +1,9 @@
-// Package wire holds the JSON bodies of the platform's HTTP binding, which
-// docs/PLATFORM-API.md publishes. Client and stand-in share them.
+// Package wire defines the JSON bodies of the platform's HTTP API, which is
+// published in docs/PLATFORM-API.md. The client and the in-memory test server
+// share them.
 package wire
 
-// Paths of the binding.
+// Paths of the API.
 const (
 	PathCommit  = "/v1/table/commit"
 	PathGet     = "/v1/table/get"
@@ -13,7 +14,7 @@
 )
 
 // Row is one row of the table. Revisions are JSON strings because JSON numbers
-// lose bits above 2^53; values are base64.
+// lose precision above 2^53; values are base64.
 type Row struct {
 	Key       string `json:"key"`
 	Value     []byte `json:"value,omitempty"`
@@ -21,7 +22,7 @@
 	Operation string `json:"operation,omitempty"`
 }
 
-// Condition requires a revision of a row; zero requires that it is absent.
+// Condition requires a row to have a revision; zero requires it not to exist.
 type Condition struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"revision,string"`
@@ -31,11 +32,12 @@
 type Put struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
-	// TTLMillis is in milliseconds; zero keeps the row for good.
+	// TTLMillis is the time to live in milliseconds; zero means that the row does
+	// not expire.
 	TTLMillis int64 `json:"ttl_ms,omitempty"`
 }
 
-// Commit is the body of PathCommit.
+// Commit is the request body of PathCommit.
 type Commit struct {
 	Operation  string      `json:"operation"`
 	Conditions []Condition `json:"conditions,omitempty"`
@@ -43,23 +45,24 @@
 	Deletes    []string    `json:"deletes,omitempty"`
 }
 
-// Committed answers a commit that took effect (200).
+// Committed is the response to a commit that took effect (200).
 type Committed struct {
 	Revision uint64 `json:"revision,string"`
 }
 
-// Conflict answers a commit whose conditions do not hold (409). Rows holds the
-// present row of each such condition; an absent one has revision zero.
+// Conflict is the response to a commit whose conditions do not hold (409). Rows
+// contains the current row of each such condition, with revision zero if the row
+// does not exist.
 type Conflict struct {
 	Rows []Row `json:"rows"`
 }
 
-// Get is the body of PathGet.
+// Get is the request body of PathGet.
 type Get struct {
 	Keys []string `json:"keys"`
 }
 
-// Rows answers PathGet and PathScan.
+// Rows is the response of PathGet and PathScan.
 type Rows struct {
 	Rows []Row `json:"rows"`
 }
@@ -73,13 +76,13 @@
 	State   string `json:"state"`
 }
 
-// VMs answers PathVMs.
+// VMs is the response of PathVMs.
 type VMs struct {
 	VMs []VM `json:"vms"`
 }
 
-// Fetch answers PathWeights: how long the store's rate limit makes the caller
-// wait.
-type Fetch struct {
+// FetchReply is the response of PathWeights: how long the caller has to wait due
+// to the rate limit of the store.
+type FetchReply struct {
 	WaitMillis int64 `json:"wait_ms"`
 }
--- a/internal/relay/copies.go
+++ b/internal/relay/copies.go
@@ -222,10 +222,10 @@
 		select {
 		case <-changed:
 		case <-recoveryTimer:
-			return platform.FeedAnswer{}, platform.ErrFeedUnfit
+			return platform.FeedAnswer{}, platform.ErrReaderNotCurrent
 		case <-ctx.Done():
 			if !canServe {
-				return platform.FeedAnswer{}, platform.ErrFeedUnfit
+				return platform.FeedAnswer{}, platform.ErrReaderNotCurrent
 			}
 			return answer, nil
 		}
@@ -237,19 +237,19 @@
 func (t *cachedTable) changesSince(q platform.FeedQuery) (answer platform.FeedAnswer, hasResult bool, err error) {
 	answer.Revision = t.revision
 	switch {
-	case q.Whole:
+	case q.FullTable:
 	case t.revision.OlderEra(q.After):
-		return answer, false, platform.ErrFeedUnfit
+		return answer, false, platform.ErrReaderNotCurrent
 	case q.After.Before(t.historyStart):
 		return answer, false, platform.ErrHistoryLost
 	}
 	for _, row := range t.rows {
-		if q.Whole && !row.Deleted || !q.Whole && q.After.Before(row.Revision) {
+		if q.FullTable && !row.Deleted || !q.FullTable && q.After.Before(row.Revision) {
 			answer.Rows = append(answer.Rows, row)
 		}
 	}
 	slices.SortFunc(answer.Rows, func(a, b platform.FeedRow) int {
 		return cmp.Or(a.Revision.Compare(b.Revision), cmp.Compare(a.Key, b.Key))
 	})
-	return answer, q.Whole || len(answer.Rows) > 0, nil
+	return answer, q.FullTable || len(answer.Rows) > 0, nil
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -234,7 +234,7 @@
 func (f *Feed) ReadTable(ctx context.Context, table string) ([]platform.FeedRow, platform.Revision, error) {
 	reader, _, _ := f.source(time.Now())
 	if reader != "" {
-		answer, err := f.queryReader(ctx, reader, platform.FeedQuery{Table: table, Whole: true})
+		answer, err := f.queryReader(ctx, reader, platform.FeedQuery{Table: table, FullTable: true})
 		if err == nil && f.isStale(table, answer.Revision) {
 			err = errReaderStale
 		}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -204,13 +204,13 @@
 }
 
 // Away implements platform.Subscriber.
-func (d *subscriber) Away() {}
+func (d *subscriber) StoreUnreachable() {}
 
 // Back implements platform.Subscriber.
-func (d *subscriber) Back(time.Time) {}
+func (d *subscriber) StoreReachable(time.Time) {}
 
 // Restored implements platform.Subscriber.
-func (d *subscriber) Restored(platform.Restore) {}
+func (d *subscriber) StoreRestored(platform.Restore) {}
 
 func (d *subscriber) apply(row platform.FeedRow) {
 	d.regressed = d.regressed || row.Revision.Before(d.lastRevisions[row.Key])
@@ -266,8 +266,8 @@
 	z.elect(names...)
 	for _, name := range names {
 		follower := platform.NewFollower(platform.FollowerConfig{
-			Feed: z.feeds[name], Table: heartbeatTable, Wait: followWait, Gather: time.Millisecond,
-			Group: platform.NewFeedGroup(), Beats: true, Logger: slog.New(slog.DiscardHandler),
+			Feed: z.feeds[name], Table: heartbeatTable, Wait: followWait, CoalesceDelay: time.Millisecond,
+			Group: platform.NewFeedGroup(), Heartbeat: true, Logger: slog.New(slog.DiscardHandler),
 		}, z.subscribers[name])
 		go follower.Run(ctx)
 	}
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -164,7 +164,7 @@
 	wait := max(s.nextFor.Sub(now), 0)
 	s.nextFor = now.Add(wait + s.config.WeightInterval)
 	s.fetches[name(r)]++
-	reply(w, http.StatusOK, wire.Fetch{WaitMillis: wait.Milliseconds()})
+	reply(w, http.StatusOK, wire.FetchReply{WaitMillis: wait.Milliseconds()})
 }
 
 func reply(w http.ResponseWriter, status int, body any) {
--- a/test/capacity/daemon.go
+++ b/test/capacity/daemon.go
@@ -82,7 +82,7 @@
 
 // Follow implements fleet.Handler. The stand-in knows no table.
 func (d *daemon) Follow(context.Context, platform.FeedQuery) (platform.FeedAnswer, error) {
-	return platform.FeedAnswer{}, platform.ErrFeedUnfit
+	return platform.FeedAnswer{}, platform.ErrReaderNotCurrent
 }
 
 // Claim implements fleet.Handler.
--- a/test/configuration/configuration_test.go
+++ b/test/configuration/configuration_test.go
@@ -125,7 +125,7 @@
 func (o *operators) note(service ident.Service, revision uint64, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	var unknown *platform.Unknown
+	var unknown *platform.UnknownOutcome
 	switch {
 	case errors.As(err, &unknown):
 		o.unknown++
