--- a/cmd/savorystall/main.go
+++ b/cmd/savorystall/main.go
@@ -1,5 +1,5 @@
-// Command savorystall is the operators' tool: it edits service documents in the
-// platform's table and shows what the daemons do with them.
+// Command savorystall is the operators' command-line tool: it edits service
+// documents in the platform's table and shows the state of the daemons.
 package main
 
 import (
@@ -16,10 +16,10 @@
 func run() int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	return cli.Run(ctx, cli.System{
-		Arguments: os.Args[1:],
-		Input:     os.Stdin,
-		Output:    os.Stdout,
-		Errors:    os.Stderr,
+	return cli.Run(ctx, cli.Invocation{
+		Args:   os.Args[1:],
+		Stdin:  os.Stdin,
+		Stdout: os.Stdout,
+		Stderr: os.Stderr,
 	})
 }
--- a/cmd/savorystalld/main.go
+++ b/cmd/savorystalld/main.go
@@ -1,6 +1,6 @@
-// Command savorystalld is the daemon: it accepts callers' requests, shares the
-// capacity of targets among workspaces together with its peers, and runs the
-// requests on targets.
+// Command savorystalld is the daemon: it accepts callers' requests, divides the
+// capacity of targets among workspaces in cooperation with its peers, and
+// forwards the requests to targets.
 package main
 
 import (
@@ -24,8 +24,8 @@
 	"github.com/savorystall/savorystall/internal/settings"
 )
 
-// options are the flags. A flag overrides the environment, which overrides the
-// settings file.
+// options are the command-line flags. A flag overrides the environment, which
+// overrides the settings file.
 type options struct {
 	Settings  string `short:"s" long:"settings" description:"settings file (YAML)" value-name:"FILE"`
 	Check     bool   `long:"check" description:"check the settings and exit"`
@@ -41,27 +41,27 @@
 
 // Exit codes.
 const (
-	exitOK       = 0
-	exitFailed   = 1
-	exitSettings = 2
+	exitOK              = 0
+	exitFailed          = 1
+	exitInvalidSettings = 2
 )
 
 func main() { os.Exit(run()) }
 
 func run() int {
 	reloads := make(chan os.Signal, 1)
-	signal.Notify(reloads, syscall.SIGHUP) // first: until then the signal ends the process
+	signal.Notify(reloads, syscall.SIGHUP) // must come first: an unhandled SIGHUP terminates the process
 	var o options
 	if _, err := flags.Parse(&o); err != nil {
 		var flagErr *flags.Error
 		if errors.As(err, &flagErr) && flagErr.Type == flags.ErrHelp {
 			return exitOK
 		}
-		return exitSettings
+		return exitInvalidSettings
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	defaults, closeDev, err := o.stall(ctx)
+	defaults, closeDev, err := o.startDev(ctx)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "savorystalld:", err)
 		return exitFailed
@@ -70,11 +70,11 @@
 	s, err := settings.Load(o.Settings, defaults, settings.FromEnvironment(os.LookupEnv), o.override)
 	if err != nil {
 		event.SettingsInvalid.Log(newLogger("info"), "error", err)
-		return exitSettings
+		return exitInvalidSettings
 	}
 	if err := daemon.CheckFiles(s); err != nil {
 		event.SettingsInvalid.Log(newLogger("info"), "error", err)
-		return exitSettings
+		return exitInvalidSettings
 	}
 	if o.Check {
 		fmt.Println("the settings are valid")
@@ -85,53 +85,53 @@
 	if s.Log.Output == "stdout" {
 		out = os.Stdout
 	}
-	lines := logging.NewWriter(out)
-	defer lines.Close()
-	log := newLoggerTo(lines, s.Log.Level)
-	reloading := o.reload(ctx, log, reloads, defaults)
-	defer reloading()
-	if err := daemon.Run(ctx, s, log, func(a daemon.Addresses) { o.announce(a, s.Platform.URL) }); err != nil {
+	logOutput := logging.NewWriter(out)
+	defer logOutput.Close()
+	log := newLoggerTo(logOutput, s.Log.Level)
+	stopReloads := o.handleReloads(ctx, log, reloads, defaults)
+	defer stopReloads()
+	if err := daemon.Run(ctx, s, log, func(a daemon.Addresses) { o.printReady(a, s.Platform.URL) }); err != nil {
 		fmt.Fprintln(os.Stderr, "savorystalld:", err)
 		return exitFailed
 	}
 	return exitOK
 }
 
-// stall starts the stand-ins where they are asked for and returns the settings
-// that follow from them.
-func (o *options) stall(ctx context.Context) (settings.Override, func(), error) {
+// startDev starts the stand-ins if --dev is set. It returns the settings that
+// refer to them and a function that stops them.
+func (o *options) startDev(ctx context.Context) (settings.Override, func(), error) {
 	if !o.Dev {
 		return func(*settings.Settings) {}, func() {}, nil
 	}
-	stall, err := dev.Start(ctx)
+	emulated, err := dev.Start(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
 	return func(s *settings.Settings) {
 		s.Daemon, s.Zone = "dev", dev.Zone
-		s.Platform.URL = stall.URL
+		s.Platform.URL = emulated.PlatformURL
 		s.Stop.BalancerLag = 0
-	}, stall.Close, nil
+	}, emulated.Close, nil
 }
 
 func (o *options) override(s *settings.Settings) {
-	set := func(value string, assign func(string)) {
+	setIfGiven := func(value string, assign func(string)) {
 		if value != "" {
 			assign(value)
 		}
 	}
-	set(o.Daemon, func(v string) { s.Daemon = ident.Daemon(v) })
-	set(o.Zone, func(v string) { s.Zone = ident.Zone(v) })
-	set(o.Callers, func(v string) { s.Callers.Listen = v })
-	set(o.Operators, func(v string) { s.Operators.Listen = v })
-	set(o.Fleet, func(v string) { s.Fleet.Listen = v })
-	set(o.Platform, func(v string) { s.Platform.URL = v })
-	set(o.LogLevel, func(v string) { s.Log.Level = v })
+	setIfGiven(o.Daemon, func(v string) { s.Daemon = ident.Daemon(v) })
+	setIfGiven(o.Zone, func(v string) { s.Zone = ident.Zone(v) })
+	setIfGiven(o.Callers, func(v string) { s.Callers.Listen = v })
+	setIfGiven(o.Operators, func(v string) { s.Operators.Listen = v })
+	setIfGiven(o.Fleet, func(v string) { s.Fleet.Listen = v })
+	setIfGiven(o.Platform, func(v string) { s.Platform.URL = v })
+	setIfGiven(o.LogLevel, func(v string) { s.Log.Level = v })
 }
 
-// announce tells people and scripts on stdout that callers are served, and in
-// dev mode how the operators' tool and a caller reach the site.
-func (o *options) announce(a daemon.Addresses, platform string) {
+// printReady prints to stdout, for users and scripts, that the daemon accepts
+// requests, and with --dev how the operators' tool and a caller can connect to it.
+func (o *options) printReady(a daemon.Addresses, platform string) {
 	fmt.Printf("ready http://%s\n", a.Callers)
 	if !o.Dev {
 		return
@@ -144,31 +144,33 @@
 
 func newLoggerTo(out io.Writer, level string) *slog.Logger {
 	var l slog.Level
-	// The settings' validator has checked the level; an unknown one is info.
+	// The level was checked by the validation of the settings; an invalid one
+	// results in info.
 	_ = l.UnmarshalText([]byte(level))
 	return slog.New(slog.NewJSONHandler(out, &slog.HandlerOptions{Level: l}))
 }
 
 const (
 	megabyte = 1 << 20
-	// heapShare is the part of the VM's memory that the Go heap may take before
-	// the collector works harder. The rest is for stacks, the kernel's buffers of
-	// unread bytes, and the binary.
-	heapShare = 0.7
+	// heapFraction is the fraction of the VM's memory that the Go heap may use
+	// before the garbage collector runs more often. The rest is for stacks, unread
+	// bytes in the kernel's socket buffers, and the binary.
+	heapFraction = 0.7
 )
 
-// limitMemory sets the runtime's soft limit for a VM with so many MB; zero means no
-// bound, and leaves the runtime as it is.
+// limitMemory sets the soft memory limit of the Go runtime for a VM with mb MB of
+// memory. Zero means that the memory is not bounded, and leaves the runtime's
+// limit unchanged.
 func limitMemory(mb int) {
 	if mb <= 0 {
 		return
 	}
-	debug.SetMemoryLimit(int64(float64(mb) * megabyte * heapShare))
+	debug.SetMemoryLimit(int64(float64(mb) * megabyte * heapFraction))
 }
 
-// reload answers SIGHUP: the settings are read and checked again, and the line
-// says what came of it. What changed takes effect at the next start.
-func (o *options) reload(ctx context.Context, log *slog.Logger, signals <-chan os.Signal, defaults settings.Override) (stop func()) {
+// handleReloads reads and validates the settings again at each SIGHUP and logs the
+// result. Changes take effect at the next start.
+func (o *options) handleReloads(ctx context.Context, log *slog.Logger, signals <-chan os.Signal, defaults settings.Override) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		for {
--- a/cmd/savorystalld/signals_test.go
+++ b/cmd/savorystalld/signals_test.go
@@ -18,12 +18,13 @@
 	"github.com/savorystall/savorystall/test/program"
 )
 
-// A second stop signal, or a reload in the same second, cuts requests off.
-func TestFurtherSignalsCutNoRequestOff(t *testing.T) {
+// Guards against further stop or reload signals during the shutdown interrupting
+// requests in progress.
+func TestRepeatedSignalsDoNotInterruptRequests(t *testing.T) {
 	is := is.New(t)
-	binary, err := program.Build(t.TempDir())
+	daemonPath, err := program.Build(t.TempDir())
 	is.NoErr(err)
-	cmd := exec.Command(binary, "--dev", "--callers", "127.0.0.1:0", "--operators", "127.0.0.1:0", "--fleet", "127.0.0.1:0", "--log-level", "error")
+	cmd := exec.Command(daemonPath, "--dev", "--callers", "127.0.0.1:0", "--operators", "127.0.0.1:0", "--fleet", "127.0.0.1:0", "--log-level", "error")
 	cmd.Stderr = os.Stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	out, err := cmd.StdoutPipe()
@@ -36,34 +37,34 @@
 	address := strings.TrimSpace(strings.TrimPrefix(line, "ready "))
 	go func() { _, _ = io.Copy(io.Discard, lines) }()
 
-	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, address+"/v1/completions",
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, address+"/v1/completions",
 		strings.NewReader(`{"model":"recap-1","prompt":"p","max_tokens":64,"stream":true}`))
 	is.NoErr(err)
-	r.Header.Set("Authorization", "Bearer "+dev.Key)
-	r.Header.Set("Content-Type", "application/json")
-	w, err := http.DefaultClient.Do(r)
+	request.Header.Set("Authorization", "Bearer "+dev.Key)
+	request.Header.Set("Content-Type", "application/json")
+	response, err := http.DefaultClient.Do(request)
 	is.NoErr(err)
-	defer func() { _ = w.Body.Close() }()
+	defer func() { _ = response.Body.Close() }()
 	for _, signal := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT} {
 		is.NoErr(cmd.Process.Signal(signal))
 		time.Sleep(20 * time.Millisecond)
 	}
-	begun := time.Now()
-	body, err := io.ReadAll(w.Body)
+	start := time.Now()
+	body, err := io.ReadAll(response.Body)
 	is.NoErr(err)
-	t.Logf("the answer went on for %v after the signals", time.Since(begun))
+	t.Logf("the response continued for %v after the signals", time.Since(start))
 	is.True(strings.HasSuffix(string(body), "data: [DONE]\n\n"))
-	is.NoErr(cmd.Wait()) // by its own planned stop
+	is.NoErr(cmd.Wait()) // exits after its graceful shutdown
 }
 
-// A reload reaches a daemon that is still reading its settings, and ends it.
-func TestAReloadDoesNotEndADaemonThatStarts(t *testing.T) {
+// Guards against SIGHUP terminating a daemon that is still reading its settings.
+func TestReloadSignalDuringStartIsIgnored(t *testing.T) {
 	is := is.New(t)
-	binary, err := program.Build(t.TempDir())
+	daemonPath, err := program.Build(t.TempDir())
 	is.NoErr(err)
 	file := filepath.Join(t.TempDir(), "settings")
-	is.NoErr(syscall.Mkfifo(file, 0o600)) // it is read when the test writes it
-	cmd := exec.Command(binary, "--dev", "--settings", file, "--callers", "127.0.0.1:0", "--operators", "127.0.0.1:0", "--fleet", "127.0.0.1:0")
+	is.NoErr(syscall.Mkfifo(file, 0o600)) // the daemon blocks until the test has written the settings
+	cmd := exec.Command(daemonPath, "--dev", "--settings", file, "--callers", "127.0.0.1:0", "--operators", "127.0.0.1:0", "--fleet", "127.0.0.1:0")
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	out, err := cmd.StdoutPipe()
 	is.NoErr(err)
@@ -77,6 +78,6 @@
 	is.NoErr(err)
 	is.NoErr(content.Close())
 	line, err := bufio.NewReader(out).ReadString('\n')
-	is.NoErr(err) // else it has ended
+	is.NoErr(err) // end of file if the daemon has exited
 	is.True(strings.HasPrefix(line, "ready "))
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,6 +1,7 @@
-// Package cli is the operators' command-line tool. It talks to the platform's
-// table for documents, and to the operators' ports of daemons for what is in
-// force and what happens now. It keeps nothing.
+// Package cli implements the operators' command-line tool. It reads and writes
+// service documents in the platform's table, and queries the operators' ports of
+// daemons for the active configuration and the current load. It keeps no state
+// between runs.
 package cli
 
 import (
@@ -22,59 +23,63 @@
 // Exit codes of the tool.
 const (
 	ExitOK = 0
-	// ExitFailed is any failure that has no code of its own.
+	// ExitFailed is returned for failures that have no specific code.
 	ExitFailed = 1
-	// ExitUsage is a command line that is not in order.
+	// ExitUsage is returned for an invalid command line.
 	ExitUsage = 2
-	// ExitInvalid is a document that is not in order; nothing was changed.
+	// ExitInvalid is returned for an invalid document; nothing was changed.
 	ExitInvalid = 3
-	// ExitConflict is another operator's change that went first; nothing was
-	// changed.
+	// ExitConflict is returned if another operator has changed the service since
+	// the base revision; nothing was changed.
 	ExitConflict = 4
-	// ExitNotFound is a service or revision that the table does not hold.
+	// ExitNotFound is returned if the table does not contain the service or
+	// revision.
 	ExitNotFound = 5
-	// ExitUnavailable is a platform or daemon out of reach; nothing was changed.
+	// ExitUnavailable is returned if the platform cannot be reached or no daemon
+	// responds; nothing was changed.
 	ExitUnavailable = 6
-	// ExitUnknown is a change that may have taken effect; look at the history.
+	// ExitUnknown is returned if a change may or may not have been written; the
+	// history shows whether it was.
 	ExitUnknown = 7
-	// ExitNotInForce is a change that was accepted but not seen in force on
-	// every daemon in time.
-	ExitNotInForce = 8
+	// ExitNotActive is returned if a change was accepted but did not become
+	// active on every daemon within the timeout of --wait.
+	ExitNotActive = 8
 )
 
-// System is what the tool has of its surroundings.
-type System struct {
-	// Arguments are those of the command line without the program's name.
-	Arguments []string
-	Input     io.Reader
-	Output    io.Writer
-	Errors    io.Writer
+// Invocation holds the arguments and the standard streams of one run of the tool.
+type Invocation struct {
+	// Args are the command-line arguments without the program name.
+	Args   []string
+	Stdin  io.Reader
+	Stdout io.Writer
+	Stderr io.Writer
 }
 
 // globalOptions apply to every command.
 type globalOptions struct {
-	Platform string        `long:"platform" env:"SAVORYSTALL_PLATFORM" value-name:"URL" description:"base URL of the platform's services"`
-	Token    string        `long:"platform-token" env:"SAVORYSTALL_PLATFORM_TOKEN" value-name:"KEY" description:"bearer key for the platform"`
-	Daemons  []string      `long:"daemon" env:"SAVORYSTALL_DAEMONS" env-delim:"," value-name:"IP:PORT" description:"operators' port of a daemon; repeat for more (default: the daemons of the VM list)"`
-	Port     string        `long:"operators-port" env:"SAVORYSTALL_OPERATORS_PORT" default:"8081" value-name:"PORT" description:"operators' port of the daemons of the VM list"`
-	Author   string        `long:"author" env:"USER" value-name:"NAME" description:"whose change it is"`
-	Timeout  time.Duration `long:"timeout" default:"10s" value-name:"DURATION" description:"bound on the calls of one command"`
-	Format   string        `long:"output" choice:"table" choice:"json" default:"table" description:"form of the output"`
+	Platform      string        `long:"platform" env:"SAVORYSTALL_PLATFORM" value-name:"URL" description:"base URL of the platform's services"`
+	Token         string        `long:"platform-token" env:"SAVORYSTALL_PLATFORM_TOKEN" value-name:"KEY" description:"bearer key for the platform"`
+	Daemons       []string      `long:"daemon" env:"SAVORYSTALL_DAEMONS" env-delim:"," value-name:"IP:PORT" description:"operators' port of a daemon; repeat for more (default: the daemons of the VM list)"`
+	OperatorsPort string        `long:"operators-port" env:"SAVORYSTALL_OPERATORS_PORT" default:"8081" value-name:"PORT" description:"operators' port of the daemons of the VM list"`
+	Author        string        `long:"author" env:"USER" value-name:"NAME" description:"whose change it is"`
+	Timeout       time.Duration `long:"timeout" default:"10s" value-name:"DURATION" description:"bound on the calls of one command"`
+	Format        string        `long:"output" choice:"table" choice:"json" default:"table" description:"form of the output"`
 }
 
-// command is one leaf of the command line.
+// command is an executable subcommand.
 type command interface {
 	run(ctx context.Context, a *app) error
 }
 
-// leaf makes a command acceptable to the parser; Run calls run in its place.
-type leaf struct{}
+// noopCommander implements flags.Commander, which the parser requires of commands.
+// Run calls command.run instead, which also takes a context.
+type noopCommander struct{}
 
-// Execute implements flags.Commander.
-func (leaf) Execute([]string) error { return nil }
+// Execute implements flags.Commander and does nothing.
+func (noopCommander) Execute([]string) error { return nil }
 
-// commands is the tree of commands.
-type commands struct {
+// rootCommand holds the global options and all subcommands.
+type rootCommand struct {
 	globalOptions
 
 	Service struct {
@@ -105,76 +110,76 @@
 	Completion completionCommand `command:"completion" description:"print the shell's completion script"`
 }
 
-// app is what a command works with.
+// app is passed to the command that runs.
 type app struct {
-	options globalOptions
-	system  System
-	client  *platform.Client
+	options    globalOptions
+	invocation Invocation
+	client     *platform.Client
 }
 
 // Run runs the tool and returns its exit code.
-func Run(ctx context.Context, s System) int {
-	var tree commands
+func Run(ctx context.Context, s Invocation) int {
+	var root rootCommand
 	parser := flags.NewNamedParser("savorystall", flags.HelpFlag|flags.PassDoubleDash)
-	if _, err := parser.AddGroup("Options", "", &tree); err != nil {
-		return report(s, err)
+	if _, err := parser.AddGroup("Options", "", &root); err != nil {
+		return reportError(s, err)
 	}
-	var chosen command
+	var selected command
 	parser.CommandHandler = func(c flags.Commander, _ []string) error {
-		chosen, _ = c.(command)
+		selected, _ = c.(command)
 		return nil
 	}
-	rest, err := parser.ParseArgs(s.Arguments)
+	extra, err := parser.ParseArgs(s.Args)
 	if err != nil {
-		return report(s, err)
+		return reportError(s, err)
 	}
-	if len(rest) > 0 {
-		return report(s, usage("unexpected argument %q", rest[0]))
+	if len(extra) > 0 {
+		return reportError(s, usageErrorf("unexpected argument %q", extra[0]))
 	}
-	a := &app{options: tree.globalOptions, system: s}
+	a := &app{options: root.globalOptions, invocation: s}
 	defer a.close()
-	return report(s, chosen.run(ctx, a))
+	return reportError(s, selected.run(ctx, a))
 }
 
-// usageError is a command line that the parser took but that is not in order.
-type usageError struct{ text string }
+// usageError describes a command line that the parser accepts but that is invalid.
+type usageError struct{ message string }
 
-func (u *usageError) Error() string { return u.text }
+func (u *usageError) Error() string { return u.message }
 
-func usage(format string, args ...any) error { return &usageError{fmt.Sprintf(format, args...)} }
+func usageErrorf(format string, args ...any) error { return &usageError{fmt.Sprintf(format, args...)} }
 
-// report prints an error for the operator and returns its exit code.
-func report(s System, err error) int {
+// reportError prints err, if it is not nil, with a hint, and returns the exit code.
+func reportError(s Invocation, err error) int {
 	if err == nil {
 		return ExitOK
 	}
 	var flagError *flags.Error
 	if errors.As(err, &flagError) && flagError.Type == flags.ErrHelp {
-		fmt.Fprintln(s.Output, flagError.Message)
+		fmt.Fprintln(s.Stdout, flagError.Message)
 		return ExitOK
 	}
-	fmt.Fprintln(s.Errors, "savorystall:", err)
-	if hint := hintOf(err); hint != "" {
-		fmt.Fprintln(s.Errors, hint)
+	fmt.Fprintln(s.Stderr, "savorystall:", err)
+	if hint := errorHint(err); hint != "" {
+		fmt.Fprintln(s.Stderr, hint)
 	}
 	return exitCode(err)
 }
 
 func exitCode(err error) int {
 	var (
-		flagError   *flags.Error
-		usageError  *usageError
-		invalid     *document.Invalid
-		conflict    *config.EditConflict
-		taken       *config.ModelConflict
-		unknown     *platform.UnknownOutcome
-		unavailable *platform.Unavailable
-		notInForce  *notInForce
+		flagError     *flags.Error
+		usageError    *usageError
+		invalid       *document.Invalid
+		conflict      *config.EditConflict
+		modelConflict *config.ModelConflict
+		unknown       *platform.UnknownOutcome
+		unavailable   *platform.Unavailable
+		notActive     *notActiveError
 	)
 	switch {
 	case errors.As(err, &flagError), errors.As(err, &usageError):
 		return ExitUsage
-	case errors.As(err, &invalid), errors.As(err, &taken):
+	case errors.As(err, &invalid), errors.As(err, &modelConflict):
 		return ExitInvalid
 	case errors.As(err, &conflict):
 		return ExitConflict
@@ -184,14 +189,14 @@
 		return ExitUnknown
 	case errors.As(err, &unavailable), errors.Is(err, errNoDaemon):
 		return ExitUnavailable
-	case errors.As(err, &notInForce):
-		return ExitNotInForce
+	case errors.As(err, &notActive):
+		return ExitNotActive
 	}
 	return ExitFailed
 }
 
-// hintOf returns what an operator can do about an error.
-func hintOf(err error) string {
+// errorHint returns advice on how to resolve an error, or "".
+func errorHint(err error) string {
 	var conflict *config.EditConflict
 	var unknown *platform.UnknownOutcome
 	switch {
@@ -215,10 +220,11 @@
 		c.Current.Service, c.CurrentBase())
 }
 
-// platform returns the client of the platform's services.
-func (a *app) platform() (*platform.Client, error) {
+// platformClient returns the client of the platform's services. It is created at
+// the first call.
+func (a *app) platformClient() (*platform.Client, error) {
 	if a.options.Platform == "" {
-		return nil, usage("no platform: set --platform or SAVORYSTALL_PLATFORM")
+		return nil, usageErrorf("no platform: set --platform or SAVORYSTALL_PLATFORM")
 	}
 	if a.client == nil {
 		a.client = platform.NewClient(platform.ClientConfig{
@@ -237,9 +243,9 @@
 	}
 }
 
-// editor returns the editor of documents in the operator's name.
+// editor returns an editor that records the operator as the author of changes.
 func (a *app) editor() (*config.Editor, error) {
-	client, err := a.platform()
+	client, err := a.platformClient()
 	if err != nil {
 		return nil, err
 	}
@@ -250,7 +256,7 @@
 	return &config.Editor{Table: client, Author: author}, nil
 }
 
-// within bounds the calls of one command by the timeout.
-func (a *app) within(ctx context.Context) (context.Context, context.CancelFunc) {
+// withTimeout returns a context that is canceled after the --timeout option.
+func (a *app) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeoutCause(ctx, a.options.Timeout, merry.Errorf("no answer within %s", a.options.Timeout))
 }
--- a/internal/cli/daemons.go
+++ b/internal/cli/daemons.go
@@ -21,33 +21,34 @@
 )
 
 const (
-	// statusTimeout bounds one daemon's answer.
+	// statusTimeout bounds the status request to one daemon.
 	statusTimeout = 2 * time.Second
-	// statusBytes bounds a daemon's answer.
-	statusBytes = 32 << 20
-	// askAtOnce bounds the daemons that are asked at the same time.
-	askAtOnce = 32
-	// inForcePause is the wait between two rounds of questions.
-	inForcePause = 250 * time.Millisecond
-	roleDaemon   = "daemon"
+	// maxStatusBytes bounds the body of a status response.
+	maxStatusBytes = 32 << 20
+	// maxConcurrentQueries bounds the number of concurrent status requests.
+	maxConcurrentQueries = 32
+	// rolloutPollInterval is the pause between two queries of all daemons in
+	// waitActive.
+	rolloutPollInterval = 250 * time.Millisecond
+	roleDaemon          = "daemon"
 )
 
 var errNoDaemon = merry.Sentinel("no daemon answers")
 
-// answer is what one daemon said, or why it did not.
-type answer struct {
+// daemonResponse is the status of one daemon, or the error of the request.
+type daemonResponse struct {
 	address string
 	status  admin.Status
 	err     error
 }
 
-// addresses returns the operators' ports of all daemons: those of --daemon,
-// else one for each daemon of the VM list that is live.
-func (a *app) addresses(ctx context.Context) ([]string, error) {
+// daemonAddresses returns the addresses of the operators' ports of all daemons:
+// those given by --daemon, or else one for each live daemon in the VM list.
+func (a *app) daemonAddresses(ctx context.Context) ([]string, error) {
 	if len(a.options.Daemons) > 0 {
 		return a.options.Daemons, nil
 	}
-	client, err := a.platform()
+	client, err := a.platformClient()
 	if err != nil {
 		return nil, err
 	}
@@ -61,45 +62,46 @@
 			continue
 		}
 		if host, _, err := net.SplitHostPort(vm.Address); err == nil {
-			list = append(list, net.JoinHostPort(host, a.options.Port))
+			list = append(list, net.JoinHostPort(host, a.options.OperatorsPort))
 		}
 	}
 	return list, nil
 }
 
-// ask asks all daemons for their status at once. The answers are in the order
-// of the addresses.
-func (a *app) ask(ctx context.Context) ([]answer, error) {
-	addresses, err := a.addresses(ctx)
+// queryDaemons requests the status of all daemons concurrently. The responses are
+// in the order of the addresses.
+func (a *app) queryDaemons(ctx context.Context) ([]daemonResponse, error) {
+	addresses, err := a.daemonAddresses(ctx)
 	if err != nil {
 		return nil, err
 	}
 	client := &http.Client{Timeout: statusTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	answers := make([]answer, len(addresses))
-	slots := make(chan struct{}, askAtOnce)
+	responses := make([]daemonResponse, len(addresses))
+	semaphore := make(chan struct{}, maxConcurrentQueries)
 	var group sync.WaitGroup
 	for i, address := range addresses {
 		group.Go(func() {
-			slots <- struct{}{}
-			defer func() { <-slots }()
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
 			status, err := fetchStatus(ctx, client, address)
-			answers[i] = answer{address: address, status: status, err: reason(err)}
+			responses[i] = daemonResponse{address: address, status: status, err: withoutURL(err)}
 		})
 	}
 	group.Wait()
-	return answers, nil
+	return responses, nil
 }
 
-// reason returns an error without the URL, which the operator knows.
-func reason(err error) error {
-	var failed *url.Error
+// withoutURL returns the cause of an HTTP client error without the URL, because
+// the printed messages contain the daemon's address already.
+func withoutURL(err error) error {
+	var urlErr *url.Error
 	switch {
-	case !errors.As(err, &failed):
+	case !errors.As(err, &urlErr):
 		return err
-	case failed.Timeout():
+	case urlErr.Timeout():
 		return merry.Errorf("no answer within %s", statusTimeout)
 	}
-	return failed.Err
+	return urlErr.Err
 }
 
 func fetchStatus(ctx context.Context, client *http.Client, address string) (admin.Status, error) {
@@ -116,24 +118,24 @@
 	if response.StatusCode != http.StatusOK {
 		return status, merry.Errorf("status %d", response.StatusCode)
 	}
-	err = json.NewDecoder(io.LimitReader(response.Body, statusBytes)).Decode(&status)
+	err = json.NewDecoder(io.LimitReader(response.Body, maxStatusBytes)).Decode(&status)
 	return status, err
 }
 
-// statuses returns the status of every daemon that answers, and names the
-// others to the operator. It fails where none answers.
+// statuses returns the status of every daemon that responds, and prints a message
+// for each of the others. It returns errNoDaemon if none responds.
 func (a *app) statuses(ctx context.Context) ([]admin.Status, error) {
-	answers, err := a.ask(ctx)
+	responses, err := a.queryDaemons(ctx)
 	if err != nil {
 		return nil, err
 	}
 	list := []admin.Status{}
-	for _, one := range answers {
-		if one.err != nil {
-			a.say("daemon at %s does not answer: %v", one.address, one.err)
+	for _, response := range responses {
+		if response.err != nil {
+			a.printMessage("daemon at %s does not answer: %v", response.address, response.err)
 			continue
 		}
-		list = append(list, one.status)
+		list = append(list, response.status)
 	}
 	if len(list) == 0 {
 		return nil, errNoDaemon
@@ -141,77 +143,77 @@
 	return list, nil
 }
 
-// reach is on how many daemons a revision is in force.
-type reach struct {
-	inForce, daemons int
-	// missing names the daemons without it, for people.
+// rolloutStatus counts the daemons on which a revision is active.
+type rolloutStatus struct {
+	active, total int
+	// missing describes the daemons that do not have the revision, for messages.
 	missing []string
 }
 
-// notInForce is the error of an accepted change that some daemons do not have.
-type notInForce struct {
+// notActiveError reports an accepted change that is not active on all daemons.
+type notActiveError struct {
 	service  ident.Service
 	revision uint64
-	reach    reach
+	rollout  rolloutStatus
 }
 
 // Error implements error.
-func (n *notInForce) Error() string {
+func (n *notActiveError) Error() string {
 	return fmt.Sprintf("revision %d of service %s is accepted, but was not seen in force on %d of %d daemons: %s",
-		n.revision, n.service, n.reach.daemons-n.reach.inForce, n.reach.daemons, strings.Join(n.reach.missing, "; "))
+		n.revision, n.service, n.rollout.total-n.rollout.active, n.rollout.total, strings.Join(n.rollout.missing, "; "))
 }
 
-// waitInForce asks the daemons until each has the revision, or a higher one of
-// the service, in force.
-func (a *app) waitInForce(ctx context.Context, service ident.Service, revision uint64, bound time.Duration) (reach, error) {
-	ctx, cancel := context.WithTimeout(ctx, bound)
+// waitActive polls the daemons until the revision, or a higher one of the service,
+// is active on all of them.
+func (a *app) waitActive(ctx context.Context, service ident.Service, revision uint64, timeout time.Duration) (rolloutStatus, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	var last reach
+	var last rolloutStatus
 	for {
-		now, err := a.reach(ctx, service, revision)
+		current, err := a.rolloutStatus(ctx, service, revision)
 		if err == nil && ctx.Err() == nil {
-			if now.inForce != last.inForce || now.daemons != last.daemons {
-				a.say("in force on %d of %d daemons", now.inForce, now.daemons)
+			if current.active != last.active || current.total != last.total {
+				a.printMessage("in force on %d of %d daemons", current.active, current.total)
 			}
-			last = now
-			if now.daemons > 0 && now.inForce == now.daemons {
-				return now, nil
+			last = current
+			if current.total > 0 && current.active == current.total {
+				return current, nil
 			}
 		}
 		select {
 		case <-ctx.Done():
-			return last, a.notInForce(service, revision, last, err)
-		case <-time.After(inForcePause):
+			return last, a.newNotActiveError(service, revision, last, err)
+		case <-time.After(rolloutPollInterval):
 		}
 	}
 }
 
-func (a *app) notInForce(service ident.Service, revision uint64, last reach, err error) error {
-	if last.daemons == 0 && err == nil {
+func (a *app) newNotActiveError(service ident.Service, revision uint64, last rolloutStatus, err error) error {
+	if last.total == 0 && err == nil {
 		err = errNoDaemon
 	}
-	if last.daemons == 0 {
+	if last.total == 0 {
 		last.missing = []string{err.Error()}
 	}
-	return &notInForce{service: service, revision: revision, reach: last}
+	return &notActiveError{service: service, revision: revision, rollout: last}
 }
 
-func (a *app) reach(ctx context.Context, service ident.Service, revision uint64) (reach, error) {
-	answers, err := a.ask(ctx)
+func (a *app) rolloutStatus(ctx context.Context, service ident.Service, revision uint64) (rolloutStatus, error) {
+	responses, err := a.queryDaemons(ctx)
 	if err != nil {
-		return reach{}, err
+		return rolloutStatus{}, err
 	}
-	r := reach{daemons: len(answers)}
-	for _, one := range answers {
-		has := one.status.Config[service]
+	rollout := rolloutStatus{total: len(responses)}
+	for _, response := range responses {
+		active := response.status.ActiveRevisions[service]
 		switch {
-		case one.err != nil:
-			r.missing = append(r.missing, fmt.Sprintf("%s does not answer (%v)", one.address, one.err))
-		case has < revision:
-			r.missing = append(r.missing, fmt.Sprintf("%s has revision %d", one.status.Daemon, has))
+		case response.err != nil:
+			rollout.missing = append(rollout.missing, fmt.Sprintf("%s does not answer (%v)", response.address, response.err))
+		case active < revision:
+			rollout.missing = append(rollout.missing, fmt.Sprintf("%s has revision %d", response.status.Daemon, active))
 		default:
-			r.inForce++
+			rollout.active++
 		}
 	}
-	return r, nil
+	return rollout, nil
 }
--- a/internal/cli/emulate.go
+++ b/internal/cli/emulate.go
@@ -14,10 +14,10 @@
 	"github.com/savorystall/savorystall/internal/settings"
 )
 
-// emulateCommand runs stand-ins of the platform and of all targets of a set of
-// documents, for trying out a fleet on one machine.
+// emulateCommand runs stand-ins of the platform and of all targets in a set of
+// documents, for experiments with a fleet on one machine.
 type emulateCommand struct {
-	leaf
+	noopCommander
 	Listen   string        `long:"listen" default:"127.0.0.1:18080" value-name:"IP:PORT" description:"listener of the emulated platform"`
 	Settings []string      `long:"settings" value-name:"FILE" description:"settings file of a daemon to enter in the VM list; repeat for more"`
 	Step     time.Duration `long:"step" default:"20ms" value-name:"DURATION" description:"time in which an emulated engine adds a token to every stream"`
@@ -28,7 +28,7 @@
 }
 
 func (c *emulateCommand) run(ctx context.Context, a *app) error {
-	cfg := emulator.Config{Platform: c.Listen, Step: c.Step, Batch: c.Batch}
+	cfg := emulator.Config{PlatformAddress: c.Listen, Step: c.Step, Batch: c.Batch}
 	for _, path := range c.Settings {
 		s, err := settings.Load(path)
 		if err != nil {
@@ -46,19 +46,20 @@
 		}
 		cfg.Documents = append(cfg.Documents, string(text))
 	}
-	e, err := emulator.Start(ctx, cfg)
+	running, err := emulator.Start(ctx, cfg)
 	if err != nil {
 		return err
 	}
-	defer e.Close()
-	fmt.Fprintf(a.system.Output, "emulating the platform at %s, %d engines and %d plain targets\n", e.URL, len(e.Engines), len(e.Plain))
+	defer running.Close()
+	fmt.Fprintf(a.invocation.Stdout, "emulating the platform at %s, %d engines and %d plain targets\n", running.PlatformURL, len(running.Engines), len(running.PlainTargets))
 	<-ctx.Done()
 	return nil
 }
 
-// loadCommand sends checked requests to a fleet in front of emulated targets.
+// loadCommand sends requests to a fleet with emulated targets and verifies the
+// responses.
 type loadCommand struct {
-	leaf
+	noopCommander
 	Args struct {
 		Spec string `positional-arg-name:"FILE"`
 	} `positional-args:"true" required:"true"`
@@ -73,5 +74,5 @@
 	if err != nil {
 		return err
 	}
-	return loadclient.Write(a.system.Output, loadclient.Run(ctx, spec))
+	return loadclient.Write(a.invocation.Stdout, loadclient.Run(ctx, spec))
 }
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -12,56 +12,56 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// serviceFilter limits a list to one service.
+// serviceFilter restricts a list to one service, if one is given.
 type serviceFilter struct {
 	Service ident.Service `long:"service" value-name:"SERVICE" description:"only this service"`
 }
 
-func (f serviceFilter) allows(name ident.Service) bool { return f.Service == "" || f.Service == name }
+func (f serviceFilter) matches(name ident.Service) bool { return f.Service == "" || f.Service == name }
 
 type workspaceList struct {
-	leaf
+	noopCommander
 	serviceFilter
 }
 
-// workspaceRow sums one workspace of a service over the daemons.
+// workspaceRow aggregates one workspace of a service over all daemons.
 type workspaceRow struct {
 	Service   ident.Service   `json:"service"`
 	Workspace ident.Workspace `json:"workspace"`
 	Weight    float64         `json:"weight"`
-	// Waiting is by class: interactive, standard, batch.
+	// Waiting is indexed by class: interactive, standard, batch.
 	Waiting [3]int  `json:"waiting"`
 	Running int     `json:"running"`
 	Served  float64 `json:"served"`
-	// Lead is the largest that a daemon reports.
+	// Lead is the maximum over the daemons.
 	Lead float64 `json:"lead"`
 }
 
 func (c *workspaceList) run(ctx context.Context, a *app) error {
-	ctx, cancel := a.within(ctx)
+	ctx, cancel := a.withTimeout(ctx)
 	defer cancel()
 	statuses, err := a.statuses(ctx)
 	if err != nil {
 		return err
 	}
-	rows := sumWorkspaces(append(statuses, a.configured(ctx)), c.serviceFilter)
+	rows := aggregateWorkspaces(append(statuses, a.configuredWorkspaces(ctx)), c.serviceFilter)
 	t := newTable("SERVICE", "WORKSPACE", "WEIGHT", "INTERACTIVE", "STANDARD", "BATCH", "RUNNING", "SERVED", "LEAD")
 	for _, r := range rows {
-		t.add(r.Service, r.Workspace, r.Weight, r.Waiting[0], r.Waiting[1], r.Waiting[2], r.Running, r.Served, r.Lead)
+		t.addRow(r.Service, r.Workspace, r.Weight, r.Waiting[0], r.Waiting[1], r.Waiting[2], r.Running, r.Served, r.Lead)
 	}
-	return a.print(rows, t)
+	return a.printResult(rows, t)
 }
 
-// configured returns the workspaces of all documents as queues without work, so
-// that the list names idle ones too. Without a platform it is empty.
-func (a *app) configured(ctx context.Context) admin.Status {
+// configuredWorkspaces returns the workspaces of all documents as empty queues, so
+// that the list includes idle ones. Without a platform URL it is empty.
+func (a *app) configuredWorkspaces(ctx context.Context) admin.Status {
 	var status admin.Status
 	if a.options.Platform == "" {
 		return status
 	}
 	records, err := a.records(ctx)
 	if err != nil {
-		a.say("idle workspaces are not listed: %v", err)
+		a.printMessage("idle workspaces are not listed: %v", err)
 	}
 	for _, r := range records {
 		d, err := document.Parse([]byte(r.Text))
@@ -75,7 +75,7 @@
 	return status
 }
 
-func sumWorkspaces(statuses []admin.Status, filter serviceFilter) []workspaceRow {
+func aggregateWorkspaces(statuses []admin.Status, filter serviceFilter) []workspaceRow {
 	type key struct {
 		service   ident.Service
 		workspace ident.Workspace
@@ -83,11 +83,11 @@
 	sums := map[key]workspaceRow{}
 	for _, status := range statuses {
 		for _, q := range status.Queues {
-			if !filter.allows(q.Service) {
+			if !filter.matches(q.Service) {
 				continue
 			}
 			k := key{q.Service, q.Workspace}
-			sums[k] = sums[k].plus(q)
+			sums[k] = sums[k].add(q)
 		}
 	}
 	rows := make([]workspaceRow, 0, len(sums))
@@ -100,7 +100,7 @@
 	return rows
 }
 
-func (r workspaceRow) plus(q admin.Queue) workspaceRow {
+func (r workspaceRow) add(q admin.Queue) workspaceRow {
 	r.Service, r.Workspace, r.Weight = q.Service, q.Workspace, q.Weight
 	for class, waiting := range q.Waiting {
 		r.Waiting[class] += waiting
@@ -112,43 +112,43 @@
 }
 
 type targetList struct {
-	leaf
+	noopCommander
 	serviceFilter
 }
 
 func (c *targetList) run(ctx context.Context, a *app) error {
-	ctx, cancel := a.within(ctx)
+	ctx, cancel := a.withTimeout(ctx)
 	defer cancel()
 	statuses, err := a.statuses(ctx)
 	if err != nil {
 		return err
 	}
-	rows := joinTargets(statuses, c.serviceFilter)
+	rows := mergeTargets(statuses, c.serviceFilter)
 	t := newTable("SERVICE", "TARGET", "ZONE", "STATE", "RUNNING", "SLOTS", "OWNER")
 	for _, r := range rows {
-		t.add(r.Service, r.Target, r.Zone, r.State, r.Running, r.Slots, r.Owner)
+		t.addRow(r.Service, r.Target, r.Zone, r.State, r.Running, r.Slots, r.Owner)
 	}
-	return a.print(rows, t)
+	return a.printResult(rows, t)
 }
 
-// joinTargets takes each target's line from its owner where the owner answered,
-// else from any daemon.
-func joinTargets(statuses []admin.Status, filter serviceFilter) []admin.Target {
+// mergeTargets returns one row for each target: that of its owner if the owner
+// responded, or else that of any daemon.
+func mergeTargets(statuses []admin.Status, filter serviceFilter) []admin.Target {
 	type key struct {
 		service ident.Service
 		target  ident.Target
 	}
-	lines := map[key]admin.Target{}
+	targets := map[key]admin.Target{}
 	for _, status := range statuses {
 		for _, t := range status.Targets {
 			k := key{t.Service, t.Target}
-			if _, known := lines[k]; filter.allows(t.Service) && (!known || t.Owner == status.Daemon) {
-				lines[k] = t
+			if _, found := targets[k]; filter.matches(t.Service) && (!found || t.Owner == status.Daemon) {
+				targets[k] = t
 			}
 		}
 	}
-	rows := make([]admin.Target, 0, len(lines))
-	for _, row := range lines {
+	rows := make([]admin.Target, 0, len(targets))
+	for _, row := range targets {
 		rows = append(rows, row)
 	}
 	slices.SortFunc(rows, func(a, b admin.Target) int {
@@ -157,28 +157,28 @@
 	return rows
 }
 
-type statusCommand struct{ leaf }
+type statusCommand struct{ noopCommander }
 
 func (c *statusCommand) run(ctx context.Context, a *app) error {
-	ctx, cancel := a.within(ctx)
+	ctx, cancel := a.withTimeout(ctx)
 	defer cancel()
 	statuses, err := a.statuses(ctx)
 	if err != nil {
 		return err
 	}
-	return a.print(statuses, statusTable(statuses))
+	return a.printResult(statuses, statusTable(statuses))
 }
 
 func statusTable(statuses []admin.Status) *table {
 	t := newTable("DAEMON", "ZONE", "STATE", "REVISION", "MEMBERS", "WAITING", "RUNNING", "OWNED TARGETS")
 	for _, s := range statuses {
-		waiting, running := load(s)
-		t.add(s.Daemon, s.Zone, s.State, s.Head, len(s.Members), waiting, running, owned(s))
+		waiting, running := countRequests(s)
+		t.addRow(s.Daemon, s.Zone, s.State, s.Head, len(s.Members), waiting, running, countOwnedTargets(s))
 	}
 	return t
 }
 
-func load(s admin.Status) (waiting, running int) {
+func countRequests(s admin.Status) (waiting, running int) {
 	for _, q := range s.Queues {
 		for _, n := range q.Waiting {
 			waiting += n
@@ -188,7 +188,7 @@
 	return waiting, running
 }
 
-func owned(s admin.Status) int {
+func countOwnedTargets(s admin.Status) int {
 	count := 0
 	for _, t := range s.Targets {
 		if t.Owner == s.Daemon {
@@ -199,18 +199,18 @@
 }
 
 type watchCommand struct {
-	leaf
+	noopCommander
 	Interval time.Duration `long:"interval" default:"2s" value-name:"DURATION" description:"time between two looks"`
 	Count    int           `long:"count" value-name:"N" description:"end after so many looks (default: go on)"`
 }
 
-// run prints a table a look, or one JSON line a look.
+// run prints a table, or one line of JSON, at each refresh.
 func (c *watchCommand) run(ctx context.Context, a *app) error {
-	for looks := 1; ; looks++ {
-		if err := c.look(ctx, a); err != nil {
-			a.say("%v", err)
+	for refreshes := 1; ; refreshes++ {
+		if err := c.refresh(ctx, a); err != nil {
+			a.printMessage("%v", err)
 		}
-		if looks == c.Count {
+		if refreshes == c.Count {
 			return nil
 		}
 		select {
@@ -221,16 +221,16 @@
 	}
 }
 
-func (c *watchCommand) look(ctx context.Context, a *app) error {
-	ctx, cancel := a.within(ctx)
+func (c *watchCommand) refresh(ctx context.Context, a *app) error {
+	ctx, cancel := a.withTimeout(ctx)
 	defer cancel()
 	statuses, err := a.statuses(ctx)
 	if err != nil {
 		return err
 	}
 	if a.options.Format == "json" {
-		return json.NewEncoder(a.system.Output).Encode(statuses)
+		return json.NewEncoder(a.invocation.Stdout).Encode(statuses)
 	}
-	a.say("%s", stamp(time.Now()))
-	return a.print(statuses, statusTable(statuses))
+	a.printMessage("%s", formatTime(time.Now()))
+	return a.printResult(statuses, statusTable(statuses))
 }
--- a/internal/cli/key.go
+++ b/internal/cli/key.go
@@ -12,13 +12,14 @@
 	"github.com/savorystall/savorystall/internal/document"
 )
 
-// keyBytes is the randomness of a new bearer key.
+// keyBytes is the number of random bytes in a new bearer key.
 const keyBytes = 32
 
-type keyNew struct{ leaf }
+type keyNew struct{ noopCommander }
 
-// newKey is a bearer key for its holder and its digest for the document.
-type newKey struct {
+// generatedKey is a new bearer key, which is given to the caller, and its digest,
+// which is stored in the document.
+type generatedKey struct {
 	Key  string `json:"key"`
 	Hash string `json:"hash"`
 }
@@ -27,37 +28,38 @@
 	var b [keyBytes]byte
 	_, _ = rand.Read(b[:]) // never fails since Go 1.24
 	key := base64.RawURLEncoding.EncodeToString(b[:])
-	made := newKey{Key: key, Hash: document.HashKey(key)}
+	generated := generatedKey{Key: key, Hash: document.HashKey(key)}
 	t := newTable("KEY", "HASH")
-	t.add(made.Key, made.Hash)
-	return a.print(made, t)
+	t.addRow(generated.Key, generated.Hash)
+	return a.printResult(generated, t)
 }
 
-type keyHash struct{ leaf }
+type keyHash struct{ noopCommander }
 
-// run reads the key from standard input, because arguments show in the list of
-// processes and in the shell's history.
+// run reads the key from standard input, because arguments are visible in the
+// process list and in the shell history.
 func (c *keyHash) run(_ context.Context, a *app) error {
-	line, err := bufio.NewReader(a.system.Input).ReadString('\n')
+	line, err := bufio.NewReader(a.invocation.Stdin).ReadString('\n')
 	if err != nil && err != io.EOF {
 		return err
 	}
 	key := strings.TrimRight(line, "\r\n")
 	if key == "" {
-		return usage("give the key on standard input")
+		return usageErrorf("give the key on standard input")
 	}
-	_, err = fmt.Fprintln(a.system.Output, document.HashKey(key))
+	_, err = fmt.Fprintln(a.invocation.Stdout, document.HashKey(key))
 	return err
 }
 
 type completionCommand struct {
-	leaf
+	noopCommander
 	Positional struct {
 		Shell string `positional-arg-name:"SHELL" description:"bash or zsh"`
 	} `positional-args:"yes" required:"yes"`
 }
 
-// The parser completes by itself when GO_FLAGS_COMPLETION is set.
+// bashCompletion runs the tool with GO_FLAGS_COMPLETION set, in which case the
+// parser prints the completions.
 const bashCompletion = `_savorystall() {
   local IFS=$'\n'
   COMPREPLY=($(GO_FLAGS_COMPLETION=1 "${COMP_WORDS[0]}" "${COMP_WORDS[@]:1:$COMP_CWORD}"))
@@ -76,8 +78,8 @@
 	case "zsh":
 		script = zshCompletion
 	default:
-		return usage("completion knows bash and zsh, not %q", c.Positional.Shell)
+		return usageErrorf("completion knows bash and zsh, not %q", c.Positional.Shell)
 	}
-	_, err := io.WriteString(a.system.Output, script)
+	_, err := io.WriteString(a.invocation.Stdout, script)
 	return err
 }
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -7,9 +7,9 @@
 	"text/tabwriter"
 )
 
-const columnGap = 2
+const columnPadding = 2
 
-// table is output in rows and columns.
+// table is tabular output of a command.
 type table struct {
 	columns []string
 	rows    [][]string
@@ -17,7 +17,7 @@
 
 func newTable(columns ...string) *table { return &table{columns: columns} }
 
-func (t *table) add(cells ...any) {
+func (t *table) addRow(cells ...any) {
 	row := make([]string, len(cells))
 	for i, cell := range cells {
 		row[i] = fmt.Sprint(cell)
@@ -25,14 +25,15 @@
 	t.rows = append(t.rows, row)
 }
 
-// print writes a value as JSON or the table that shows it.
-func (a *app) print(value any, t *table) error {
+// printResult writes the result of a command: value as JSON or t as a table,
+// depending on the --output option.
+func (a *app) printResult(value any, t *table) error {
 	if a.options.Format == "json" {
-		encoder := json.NewEncoder(a.system.Output)
+		encoder := json.NewEncoder(a.invocation.Stdout)
 		encoder.SetIndent("", "  ")
 		return encoder.Encode(value)
 	}
-	w := tabwriter.NewWriter(a.system.Output, 0, 0, columnGap, ' ', 0)
+	w := tabwriter.NewWriter(a.invocation.Stdout, 0, 0, columnPadding, ' ', 0)
 	fmt.Fprintln(w, strings.Join(t.columns, "\t"))
 	for _, row := range t.rows {
 		fmt.Fprintln(w, strings.Join(row, "\t"))
@@ -40,7 +41,8 @@
 	return w.Flush()
 }
 
-// say writes a line for people that is no part of the output.
-func (a *app) say(format string, args ...any) {
-	fmt.Fprintf(a.system.Errors, format+"\n", args...)
+// printMessage writes a line to standard error, so that it does not mix with the
+// result on standard output.
+func (a *app) printMessage(format string, args ...any) {
+	fmt.Fprintf(a.invocation.Stderr, format+"\n", args...)
 }
--- a/internal/cli/service.go
+++ b/internal/cli/service.go
@@ -17,69 +17,70 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// basePrefix starts the line that `service get` puts before a document. It
-// carries the revision that the operator has seen back to `service apply`.
-const basePrefix = "# savorystall revision: "
+// baseRevisionPrefix starts the line that `service get` prints before a document.
+// `service apply` reads from it the revision that the edited document is based on.
+const baseRevisionPrefix = "# savorystall revision: "
 
-// serviceName is the argument of most commands.
-type serviceName struct {
+// serviceArgument is the positional argument of commands that apply to one service.
+type serviceArgument struct {
 	Positional struct {
 		Name ident.Service `positional-arg-name:"SERVICE"`
 	} `positional-args:"yes" required:"yes"`
 }
 
-// fileName is the argument of commands that read a document.
-type fileName struct {
+// fileArgument is the positional argument of commands that read a document.
+type fileArgument struct {
 	Positional struct {
 		File string `positional-arg-name:"FILE" description:"document; - is standard input"`
 	} `positional-args:"yes" required:"yes"`
 }
 
-// changeOptions belong to every command that changes a service.
+// changeOptions are common to all commands that change a service.
 type changeOptions struct {
-	Note string        `long:"note" value-name:"TEXT" description:"reason, for the history"`
-	Wait bool          `long:"wait" description:"wait until the change is in force on every daemon"`
-	For  time.Duration `long:"wait-for" default:"30s" value-name:"DURATION" description:"bound on --wait"`
+	Note        string        `long:"note" value-name:"TEXT" description:"reason, for the history"`
+	Wait        bool          `long:"wait" description:"wait until the change is in force on every daemon"`
+	WaitTimeout time.Duration `long:"wait-for" default:"30s" value-name:"DURATION" description:"bound on --wait"`
 }
 
-// change is the result of a command that changes a service.
-type change struct {
+// changeResult is the output of a command that changes a service.
+type changeResult struct {
 	Service  ident.Service `json:"service"`
 	Revision uint64        `json:"revision"`
-	// InForce and Daemons are set by --wait.
-	InForce int `json:"in_force,omitempty"`
-	Daemons int `json:"daemons,omitempty"`
+	// ActiveDaemons and TotalDaemons are set only with --wait.
+	ActiveDaemons int `json:"in_force,omitempty"`
+	TotalDaemons  int `json:"daemons,omitempty"`
 }
 
-// finish reports a change, after it is in force where that is asked for.
-func (o changeOptions) finish(ctx context.Context, a *app, done change) error {
+// reportChange prints a change. With --wait it first waits until the change is
+// active on all daemons.
+func (o changeOptions) reportChange(ctx context.Context, a *app, result changeResult) error {
 	if !o.Wait {
-		return a.printChange(done)
+		return a.printChange(result)
 	}
-	reached, err := a.waitInForce(ctx, done.Service, done.Revision, o.For)
-	done.InForce, done.Daemons = reached.inForce, reached.daemons
-	if printErr := a.printChange(done); printErr != nil {
+	rollout, err := a.waitActive(ctx, result.Service, result.Revision, o.WaitTimeout)
+	result.ActiveDaemons, result.TotalDaemons = rollout.active, rollout.total
+	if printErr := a.printChange(result); printErr != nil {
 		return printErr
 	}
 	return err
 }
 
-func (a *app) printChange(done change) error {
+func (a *app) printChange(result changeResult) error {
 	t := newTable("SERVICE", "REVISION", "IN FORCE")
-	inForce := "not asked"
-	if done.Daemons > 0 {
-		inForce = fmt.Sprintf("%d of %d daemons", done.InForce, done.Daemons)
+	active := "not asked"
+	if result.TotalDaemons > 0 {
+		active = fmt.Sprintf("%d of %d daemons", result.ActiveDaemons, result.TotalDaemons)
 	}
-	t.add(done.Service, done.Revision, inForce)
-	return a.print(done, t)
+	t.addRow(result.Service, result.Revision, active)
+	return a.printResult(result, t)
 }
 
 type serviceList struct {
-	leaf
+	noopCommander
 	All bool `long:"all" description:"list deleted services too"`
 }
 
-// serviceRow is one line of the list of services.
+// serviceRow is one row of the list of services.
 type serviceRow struct {
 	Service    ident.Service `json:"service"`
 	Kind       document.Kind `json:"kind"`
@@ -92,7 +93,7 @@
 }
 
 func (c *serviceList) run(ctx context.Context, a *app) error {
-	ctx, cancel := a.within(ctx)
+	ctx, cancel := a.withTimeout(ctx)
 	defer cancel()
 	records, err := a.records(ctx)
 	if err != nil {
@@ -106,9 +107,9 @@
 		}
 		row := newServiceRow(r)
 		rows = append(rows, row)
-		t.add(row.Service, row.Kind, row.Revision, row.Workspaces, row.Targets, row.Author, stamp(row.At))
+		t.addRow(row.Service, row.Kind, row.Revision, row.Workspaces, row.Targets, row.Author, formatTime(row.At))
 	}
-	return a.print(rows, t)
+	return a.printResult(rows, t)
 }
 
 func newServiceRow(r config.Record) serviceRow {
@@ -123,7 +124,7 @@
 	return row
 }
 
-func stamp(at time.Time) string { return at.UTC().Format(time.RFC3339) }
+func formatTime(at time.Time) string { return at.UTC().Format(time.RFC3339) }
 
 func (a *app) records(ctx context.Context) ([]config.Record, error) {
 	editor, err := a.editor()
@@ -134,29 +135,29 @@
 }
 
 type serviceGet struct {
-	leaf
-	serviceName
+	noopCommander
+	serviceArgument
 	Revision uint64 `long:"revision" value-name:"N" description:"an earlier revision"`
 }
 
 func (c *serviceGet) run(ctx context.Context, a *app) error {
-	ctx, cancel := a.within(ctx)
+	ctx, cancel := a.withTimeout(ctx)
 	defer cancel()
 	record, err := a.record(ctx, c.Positional.Name, c.Revision)
 	if err != nil {
 		return err
 	}
 	if a.options.Format == "json" {
-		return a.print(record, nil)
+		return a.printResult(record, nil)
 	}
 	if record.Deleted {
 		return merry.Prependf(config.ErrNotFound, "service %s was deleted by %s at revision %d", record.Service, record.Author, record.Revision)
 	}
-	_, err = fmt.Fprintf(a.system.Output, "%s%d\n%s", basePrefix, record.Revision, record.Text)
+	_, err = fmt.Fprintf(a.invocation.Stdout, "%s%d\n%s", baseRevisionPrefix, record.Revision, record.Text)
 	return err
 }
 
-// record returns a service's record at a revision; zero is the present one.
+// record returns the record of a service at a revision; zero means the current one.
 func (a *app) record(ctx context.Context, name ident.Service, revision uint64) (config.Record, error) {
 	editor, err := a.editor()
 	if err != nil {
@@ -169,8 +170,8 @@
 }
 
 type serviceCheck struct {
-	leaf
-	fileName
+	noopCommander
+	fileArgument
 }
 
 func (c *serviceCheck) run(_ context.Context, a *app) error {
@@ -182,36 +183,36 @@
 	if err != nil {
 		return err
 	}
-	a.say("the document of service %s is valid", d.Service)
+	a.printMessage("the document of service %s is valid", d.Service)
 	return nil
 }
 
-// readDocument reads a document and the base revision that its first line
-// names, if it was written by `service get`.
+// readDocument reads a document. If its first line was written by `service get`,
+// the line is removed and the base revision in it is returned.
 func (a *app) readDocument(file string) (text []byte, base *uint64, err error) {
 	if file == "-" {
-		text, err = io.ReadAll(io.LimitReader(a.system.Input, document.MaxBytes+1))
+		text, err = io.ReadAll(io.LimitReader(a.invocation.Stdin, document.MaxBytes+1))
 	} else {
 		text, err = os.ReadFile(file)
 	}
 	if err != nil {
 		return nil, nil, merry.Prepend(err, "document")
 	}
-	first, rest, _ := bytes.Cut(text, []byte("\n"))
-	number, found := bytes.CutPrefix(first, []byte(basePrefix))
+	firstLine, rest, _ := bytes.Cut(text, []byte("\n"))
+	number, found := bytes.CutPrefix(firstLine, []byte(baseRevisionPrefix))
 	if !found {
 		return text, nil, nil
 	}
 	revision, err := strconv.ParseUint(string(bytes.TrimSpace(number)), 10, 64)
 	if err != nil {
-		return nil, nil, usage("the first line of the document names no revision: %q", first)
+		return nil, nil, usageErrorf("the first line of the document names no revision: %q", firstLine)
 	}
 	return rest, &revision, nil
 }
 
 type serviceApply struct {
-	leaf
-	fileName
+	noopCommander
+	fileArgument
 	changeOptions
 	Base *uint64 `long:"base" value-name:"N" description:"revision that the document is based on (default: that of 'service get', else a new service)"`
 }
@@ -239,16 +240,16 @@
 	if err != nil {
 		return err
 	}
-	return c.finish(ctx, a, change{Service: d.Service, Revision: revision})
+	return c.reportChange(ctx, a, changeResult{Service: d.Service, Revision: revision})
 }
 
 type serviceHistory struct {
-	leaf
-	serviceName
+	noopCommander
+	serviceArgument
 }
 
 func (c *serviceHistory) run(ctx context.Context, a *app) error {
-	ctx, cancel := a.within(ctx)
+	ctx, cancel := a.withTimeout(ctx)
 	defer cancel()
 	editor, err := a.editor()
 	if err != nil {
@@ -263,12 +264,12 @@
 	}
 	t := newTable("REVISION", "CHANGED", "AUTHOR", "CHANGE", "NOTE")
 	for _, r := range records {
-		t.add(r.Revision, stamp(r.At), r.Author, kindOfChange(r), r.Note)
+		t.addRow(r.Revision, formatTime(r.At), r.Author, changeKind(r), r.Note)
 	}
-	return a.print(records, t)
+	return a.printResult(records, t)
 }
 
-func kindOfChange(r config.Record) string {
+func changeKind(r config.Record) string {
 	switch {
 	case r.Deleted:
 		return "deleted"
@@ -279,31 +280,31 @@
 }
 
 type serviceDiff struct {
-	leaf
-	serviceName
+	noopCommander
+	serviceArgument
 	From uint64 `long:"from" value-name:"N" description:"older revision (default: the one before --to)"`
 	To   uint64 `long:"to" value-name:"N" description:"newer revision (default: the present one)"`
 	File string `long:"file" value-name:"FILE" description:"compare the present document with this one"`
 }
 
 func (c *serviceDiff) run(ctx context.Context, a *app) error {
-	ctx, cancel := a.within(ctx)
+	ctx, cancel := a.withTimeout(ctx)
 	defer cancel()
-	from, to, err := c.sides(ctx, a)
+	from, to, err := c.recordsToCompare(ctx, a)
 	if err != nil {
 		return err
 	}
 	diff := config.Diff(from, to)
 	if a.options.Format == "json" {
-		return a.print(struct {
+		return a.printResult(struct {
 			Diff string `json:"diff"`
 		}{diff}, nil)
 	}
-	_, err = io.WriteString(a.system.Output, diff)
+	_, err = io.WriteString(a.invocation.Stdout, diff)
 	return err
 }
 
-func (c *serviceDiff) sides(ctx context.Context, a *app) (from, to config.Record, err error) {
+func (c *serviceDiff) recordsToCompare(ctx context.Context, a *app) (from, to config.Record, err error) {
 	if to, err = a.record(ctx, c.Positional.Name, c.To); err != nil {
 		return from, to, err
 	}
@@ -311,20 +312,20 @@
 		text, _, err := a.readDocument(c.File)
 		return to, config.Record{Service: to.Service, Text: string(text)}, err
 	}
-	before := c.From
-	if before == 0 {
-		before = to.Previous
+	fromRevision := c.From
+	if fromRevision == 0 {
+		fromRevision = to.Previous
 	}
-	if before == 0 {
+	if fromRevision == 0 {
 		return from, to, nil // the service was created by this revision
 	}
-	from, err = a.record(ctx, c.Positional.Name, before)
+	from, err = a.record(ctx, c.Positional.Name, fromRevision)
 	return from, to, err
 }
 
 type serviceRollback struct {
-	leaf
-	serviceName
+	noopCommander
+	serviceArgument
 	changeOptions
 	To   uint64 `long:"to" required:"yes" value-name:"N" description:"revision to return to"`
 	Base uint64 `long:"base" required:"yes" value-name:"N" description:"present revision that you have seen; 0 if the service is deleted"`
@@ -339,12 +340,12 @@
 	if err != nil {
 		return err
 	}
-	return c.finish(ctx, a, change{Service: c.Positional.Name, Revision: revision})
+	return c.reportChange(ctx, a, changeResult{Service: c.Positional.Name, Revision: revision})
 }
 
 type serviceDelete struct {
-	leaf
-	serviceName
+	noopCommander
+	serviceArgument
 	changeOptions
 	Base uint64 `long:"base" required:"yes" value-name:"N" description:"present revision that you have seen"`
 }
@@ -357,10 +358,10 @@
 	revision, err := editor.Delete(ctx, c.Positional.Name, c.Base, c.Note)
 	var conflict *config.EditConflict
 	if errors.As(err, &conflict) && conflict.Current.Revision == 0 {
-		return config.ErrNotFound // nobody went first: there never was one
+		return config.ErrNotFound // not a concurrent change: the service never existed
 	}
 	if err != nil {
 		return err
 	}
-	return c.finish(ctx, a, change{Service: c.Positional.Name, Revision: revision})
+	return c.reportChange(ctx, a, changeResult{Service: c.Positional.Name, Revision: revision})
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -25,7 +25,7 @@
 	emu, err := dev.Start(t.Context())
 	is.New(t).NoErr(err)
 	t.Cleanup(emu.Close)
-	return emu, startDaemon(t, append(overrides, func(s *settings.Settings) { s.Platform.URL = emu.URL })...)
+	return emu, startDaemon(t, append(overrides, func(s *settings.Settings) { s.Platform.URL = emu.PlatformURL })...)
 }
 
 // startDaemon runs a daemon until the test ends, and returns once the daemon is ready.
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -64,15 +64,15 @@
 
 func (o *operators) status(w http.ResponseWriter, _ *http.Request) {
 	status := admin.Status{
-		Daemon:      o.identity.Daemon,
-		Incarnation: o.identity.Incarnation,
-		Zone:        o.identity.Zone,
-		State:       string(o.life.State()),
-		Head:        o.store.Head(),
-		Config:      map[ident.Service]uint64{},
+		Daemon:          o.identity.Daemon,
+		Incarnation:     o.identity.Incarnation,
+		Zone:            o.identity.Zone,
+		State:           string(o.life.State()),
+		Head:            o.store.Head(),
+		ActiveRevisions: map[ident.Service]uint64{},
 	}
 	for service, revision := range o.store.Revisions() {
-		status.Config[service] = revision
+		status.ActiveRevisions[service] = revision
 	}
 	status.Members = append(status.Members, admin.Member{
 		ID: o.identity.Daemon, Zone: o.identity.Zone, Incarnation: o.identity.Incarnation, State: admin.MemberLive,
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -1,5 +1,5 @@
-// Package dev holds the small site that `savorystalld --dev` embeds: a pool of
-// two model engines and one plain service, beside the platform's stand-ins.
+// Package dev provides the emulated environment that `savorystalld --dev` embeds:
+// a pool of two inference engines, one plain service, and the platform's stand-in.
 package dev
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// Zone is the availability zone of the stand-ins.
+// Zone is the availability zone of the emulated targets.
 const Zone ident.Zone = "dev-a"
 
 // Key is the bearer key of workspace club-nord, OtherKey that of club-sud.
@@ -22,7 +22,7 @@
 	OtherKey = "dev-key-club-sud"
 )
 
-// Start starts the site on free loopback ports.
+// Start starts the emulated environment on free loopback ports.
 func Start(ctx context.Context) (*emulator.Emulator, error) {
 	listeners := map[string]net.Listener{}
 	var addresses []string
@@ -36,13 +36,13 @@
 		addresses = append(addresses, address)
 	}
 	return emulator.Start(ctx, emulator.Config{
-		Platform:  "127.0.0.1:0",
-		Documents: []string{pool(addresses[0], addresses[1]), portal(addresses[2])},
-		Listeners: listeners,
+		PlatformAddress: "127.0.0.1:0",
+		Documents:       []string{poolDocument(addresses[0], addresses[1]), portalDocument(addresses[2])},
+		Listeners:       listeners,
 	})
 }
 
-func pool(engine1, engine2 string) string {
+func poolDocument(engine1, engine2 string) string {
 	return `service: lm-pool
 kind: model
 models: [recap-1]
@@ -64,7 +64,7 @@
 `
 }
 
-func portal(address string) string {
+func portalDocument(address string) string {
 	return `service: portal
 kind: plain
 workspaces:
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -1,6 +1,6 @@
-// Package emulator runs small stand-ins of what stands around a fleet: the
-// platform's services and every target that a set of documents names. It is for
-// trying a fleet out on one machine; nothing in it lasts.
+// Package emulator runs stand-ins of the systems that a fleet depends on: the
+// platform's services and all targets in a set of documents. It is meant for
+// experiments with a fleet on one machine and stores nothing persistently.
 package emulator
 
 import (
@@ -23,60 +23,62 @@
 	platformstandin "github.com/savorystall/savorystall/internal/standin/platform"
 )
 
-// Config says what is emulated.
+// Config describes an Emulator.
 type Config struct {
-	// Platform is the listener of the platform's services, host:port.
-	Platform string
-	// Documents are applied to the table; each target in them gets a stand-in.
+	// PlatformAddress is the listen address of the platform's services, host:port.
+	PlatformAddress string
+	// Documents are written to the table. A stand-in is started for each of their
+	// targets.
 	Documents []string
-	// Daemons are entered in the VM list beside the targets.
+	// Daemons are added to the VM list in addition to the targets.
 	Daemons []platform.VM
-	// Step is the time in which an engine adds one token to every stream.
-	// Default 20 ms; the true step time of engines is not known.
+	// Step is the time in which an engine generates one token of every stream.
+	// Default: 20 ms, an assumption, as the step time of real engines is not known.
 	Step time.Duration
-	// Batch is how many streams an engine runs at once. Default: the slots that
-	// its document says. Set it to try out documents that are wrong.
+	// Batch is the number of streams that an engine runs concurrently. Default:
+	// the slots in its document. A different value emulates an incorrect document.
 	Batch int
-	// Delay is how long a plain service takes. Default none.
+	// Delay is the response time of plain services. Default: none.
 	Delay time.Duration
-	// Listeners are used for the addresses that they are mapped from, in place
-	// of new ones. Default none.
+	// Listeners maps addresses to open listeners, which are used instead of new
+	// ones. Default: none.
 	Listeners map[string]net.Listener
 }
 
 const defaultStep = 20 * time.Millisecond
 
-// Emulator is a set of running stand-ins.
+// Emulator runs the stand-ins of the platform and of the targets.
 type Emulator struct {
-	// Platform is the platform stand-in; faults can be set on it.
+	// Platform is the stand-in of the platform, on which faults can be injected.
 	Platform *platformstandin.Server
-	// URL is its base URL.
-	URL string
-	// Engines and Plain are the targets by service and name.
-	Engines map[Name]*enginestandin.Engine
-	Plain   map[Name]*plainstandin.Service
-
-	cfg      Config
-	servers  []*http.Server
-	requests atomic.Int64
+	// PlatformURL is the base URL of Platform.
+	PlatformURL string
+	// Engines and PlainTargets hold the stand-ins of the targets of model and plain
+	// services.
+	Engines      map[TargetKey]*enginestandin.Engine
+	PlainTargets map[TargetKey]*plainstandin.Service
+
+	cfg            Config
+	servers        []*http.Server
+	targetRequests atomic.Int64
 }
 
-// Name names a target in the fleet.
-type Name struct {
+// TargetKey identifies a target in the fleet.
+type TargetKey struct {
 	Service ident.Service
 	Target  ident.Target
 }
 
-// Start starts the stand-ins and applies the documents.
+// Start starts the stand-ins and writes the documents to the table.
 func Start(ctx context.Context, cfg Config) (*Emulator, error) {
 	if cfg.Step == 0 {
 		cfg.Step = defaultStep
 	}
 	e := &Emulator{
-		cfg:      cfg,
-		Platform: platformstandin.New(platformstandin.Config{}),
-		Engines:  map[Name]*enginestandin.Engine{},
-		Plain:    map[Name]*plainstandin.Service{},
+		cfg:          cfg,
+		Platform:     platformstandin.New(platformstandin.Config{}),
+		Engines:      map[TargetKey]*enginestandin.Engine{},
+		PlainTargets: map[TargetKey]*plainstandin.Service{},
 	}
 	if err := e.start(ctx); err != nil {
 		e.Close()
@@ -86,11 +88,11 @@
 }
 
 func (e *Emulator) start(ctx context.Context) error {
-	address, err := e.serve(e.cfg.Platform, e.Platform)
+	address, err := e.serve(e.cfg.PlatformAddress, e.Platform)
 	if err != nil {
 		return err
 	}
-	e.URL = "http://" + address
+	e.PlatformURL = "http://" + address
 	vms := wireVMs(e.cfg.Daemons)
 	for _, text := range e.cfg.Documents {
 		doc, err := document.Parse([]byte(text))
@@ -105,7 +107,7 @@
 		}
 	}
 	e.Platform.SetVMs(vms...)
-	return e.apply(ctx)
+	return e.applyDocuments(ctx)
 }
 
 func wireVMs(vms []platform.VM) []wire.VM {
@@ -117,19 +119,19 @@
 }
 
 func (e *Emulator) startTarget(doc *document.Document, t document.Target) error {
-	name := Name{doc.Service, t.Name}
+	key := TargetKey{doc.Service, t.Name}
 	var handler http.Handler
 	if doc.Kind == document.Model {
 		engine := enginestandin.New(enginestandin.Config{
 			Step: e.cfg.Step, Slots: cmp.Or(e.cfg.Batch, t.Slots),
 			EnforceFencing: doc.Orders != nil && doc.Orders.Fencing == document.Enforced,
 		})
-		e.Engines[name], handler = engine, engine
+		e.Engines[key], handler = engine, engine
 	} else {
 		plain := plainstandin.New(plainstandin.Config{Delay: e.cfg.Delay})
-		e.Plain[name], handler = plain, plain
+		e.PlainTargets[key], handler = plain, plain
 	}
-	_, err := e.serve(t.Address, e.counted(handler))
+	_, err := e.serve(t.Address, e.countRequests(handler))
 	return err
 }
 
@@ -143,29 +145,30 @@
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second}
 	e.servers = append(e.servers, server)
-	go func() { _ = server.Serve(listener) }() // ends with ErrServerClosed
+	go func() { _ = server.Serve(listener) }() // returns ErrServerClosed after Close
 	return listener.Addr().String(), nil
 }
 
-// ownPaths are what daemons ask targets on their own account, at their own times.
-var ownPaths = map[string]bool{"/status": true, "/orders": true, "/cache/events": true}
+// daemonPaths are the paths that daemons request from targets periodically,
+// independently of callers.
+var daemonPaths = map[string]bool{"/status": true, "/orders": true, "/cache/events": true}
 
-// counted counts what a target sees of callers' requests.
-func (e *Emulator) counted(target http.Handler) http.Handler {
+// countRequests wraps the handler of a target and counts callers' requests.
+func (e *Emulator) countRequests(target http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !ownPaths[r.URL.Path] {
-			e.requests.Add(1)
+		if !daemonPaths[r.URL.Path] {
+			e.targetRequests.Add(1)
 		}
 		target.ServeHTTP(w, r)
 	})
 }
 
-// TargetRequests returns how many requests of callers all targets have seen
-// together. What daemons ask on their own account is not counted.
-func (e *Emulator) TargetRequests() int64 { return e.requests.Load() }
+// TargetRequests returns the number of callers' requests that all targets have
+// received in total. Requests that daemons send by themselves are not counted.
+func (e *Emulator) TargetRequests() int64 { return e.targetRequests.Load() }
 
-func (e *Emulator) apply(ctx context.Context) error {
-	editor := &config.Editor{Table: platform.NewClient(platform.ClientConfig{URL: e.URL}), Author: "emulator"}
+func (e *Emulator) applyDocuments(ctx context.Context) error {
+	editor := &config.Editor{Table: platform.NewClient(platform.ClientConfig{URL: e.PlatformURL}), Author: "emulator"}
 	for _, text := range e.cfg.Documents {
 		if _, err := editor.Apply(ctx, []byte(text), 0, "emulated"); err != nil {
 			return merry.Prepend(err, "document")
@@ -182,7 +185,7 @@
 	for _, engine := range e.Engines {
 		engine.Close()
 	}
-	for _, plain := range e.Plain {
+	for _, plain := range e.PlainTargets {
 		plain.Close()
 	}
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,6 @@
-// Package explain tells from the log lines of daemons what became of one request, and what
-// decided it. It has no network: lines come from a reader, the story goes to a writer.
+// Package explain reconstructs the timeline of one request from the log lines of daemons,
+// with the reasons for each decision. It does not use the network: it reads lines from an
+// io.Reader and writes the timeline to an io.Writer.
 package explain
 
 import (
@@ -15,44 +16,47 @@
 )
 
 const (
-	// maxLine bounds one line; a daemon's are below 2 kB, one with a stack below 64 kB.
+	// maxLine bounds the length of a line. Lines of daemons are below 2 kB, or below 64 kB
+	// with a stack trace.
 	maxLine = 1 << 20
-	// around is how long before a request's arrival and after its end a daemon's other lines
-	// may have to do with it: a lost dependency is told within a second or two.
-	around = 2 * time.Second
+	// relatedWindow is the time before the arrival and after the end of a request in which
+	// other lines of the same daemon are considered related to it. The loss of a dependency
+	// is logged within one or two seconds.
+	relatedWindow = 2 * time.Second
 )
 
 // line is one log line of a daemon.
 type line struct {
-	// Source is who wrote it: what stands before the JSON, as collectors add it, or else
-	// the name of the file.
-	source string
-	at     time.Time
-	event  int
-	level  string
-	text   string
-	fields map[string]any
+	// source identifies the daemon: the last word before the JSON, which log collectors add,
+	// or else the name of the file.
+	source  string
+	at      time.Time
+	event   int
+	level   string
+	message string
+	fields  map[string]any
 }
 
-// Log holds the lines that were read.
+// Log holds the log lines of one or more daemons.
 type Log struct {
 	lines []line
-	// unreadable counts lines that are no log lines of a daemon.
-	unreadable int
+	// skipped counts lines that are not log lines of a daemon.
+	skipped int
 }
 
-// Read takes in the lines of a reader. Source names those that do not say who wrote them.
-// Lines that are none of a daemon's are counted and passed over.
-func (l *Log) Read(from io.Reader, source string) error {
-	scanner := bufio.NewScanner(from)
+// Read adds the lines of a reader. The source parameter identifies the daemon for lines that
+// have no prefix before the JSON. Lines that are not log lines of a daemon are skipped and
+// counted.
+func (l *Log) Read(reader io.Reader, source string) error {
+	scanner := bufio.NewScanner(reader)
 	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
 		if len(bytes.TrimSpace(scanner.Bytes())) == 0 {
 			continue
 		}
-		parsed, ok := parse(scanner.Bytes(), source)
+		parsed, ok := parseLine(scanner.Bytes(), source)
 		if !ok {
-			l.unreadable++
+			l.skipped++
 			continue
 		}
 		l.lines = append(l.lines, parsed)
@@ -60,70 +64,72 @@
 	return scanner.Err()
 }
 
-// Unreadable returns how many lines were passed over.
-func (l *Log) Unreadable() int { return l.unreadable }
+// Skipped returns the number of skipped lines.
+func (l *Log) Skipped() int { return l.skipped }
 
-func parse(text []byte, source string) (line, bool) {
-	begin := bytes.IndexByte(text, '{')
-	if begin < 0 {
+func parseLine(raw []byte, source string) (line, bool) {
+	start := bytes.IndexByte(raw, '{')
+	if start < 0 {
 		return line{}, false
 	}
 	var fields map[string]any
-	if json.Unmarshal(text[begin:], &fields) != nil {
+	if json.Unmarshal(raw[start:], &fields) != nil {
 		return line{}, false
 	}
 	parsed := line{source: source, fields: fields}
-	if words := strings.Fields(string(text[:begin])); len(words) > 0 {
-		parsed.source = words[len(words)-1]
+	if prefix := strings.Fields(string(raw[:start])); len(prefix) > 0 {
+		parsed.source = prefix[len(prefix)-1]
 	}
-	parsed.text, _ = fields["msg"].(string)
+	parsed.message, _ = fields["msg"].(string)
 	parsed.level, _ = fields["level"].(string)
 	number, _ := fields["event"].(float64)
 	parsed.event = int(number)
-	stamp, _ := fields["time"].(string)
-	at, err := time.Parse(time.RFC3339Nano, stamp)
+	timestamp, _ := fields["time"].(string)
+	at, err := time.Parse(time.RFC3339Nano, timestamp)
 	parsed.at = at
 	return parsed, err == nil && parsed.event > 0
 }
 
-// ErrNotFound is the error of Story where no line names the request.
+// ErrNotFound is returned by WriteTimeline if no line refers to the request.
 var ErrNotFound = errors.New("no line names the request: lines are bounded, and what went well is sampled (event 205 counts those left out)")
 
-// Story writes what became of a request, in order of time: a line for each of its attempts,
-// with what decided it, and beside it what the same daemon logged then of what it depends on.
-func (l *Log) Story(to io.Writer, request string) error {
-	var own []line
-	for _, each := range l.lines {
-		if each.field("request") == request {
-			own = append(own, each)
+// WriteTimeline writes the timeline of a request in chronological order: each line about the
+// request with the reasons for the decision, and the lines about dependencies that the same
+// daemons logged around that time.
+func (l *Log) WriteTimeline(w io.Writer, request string) error {
+	var requestLines []line
+	for _, candidate := range l.lines {
+		if candidate.field("request") == request {
+			requestLines = append(requestLines, candidate)
 		}
 	}
-	if len(own) == 0 {
+	if len(requestLines) == 0 {
 		return ErrNotFound
 	}
 	byTime := func(a, b line) int { return a.at.Compare(b.at) }
-	slices.SortStableFunc(own, byTime)
-	story := slices.Clone(own)
-	for _, each := range l.lines {
-		if each.field("request") == "" && each.event != eventShared && near(each, own) {
-			story = append(story, each)
+	slices.SortStableFunc(requestLines, byTime)
+	timeline := slices.Clone(requestLines)
+	for _, candidate := range l.lines {
+		if candidate.field("request") == "" && candidate.event != eventShareReport && isRelated(candidate, requestLines) {
+			timeline = append(timeline, candidate)
 		}
 	}
-	story = l.addSharing(story, own)
-	slices.SortStableFunc(story, byTime)
-	for _, each := range story {
-		if _, err := fmt.Fprintln(to, each.tell()); err != nil {
+	timeline = l.addShareReports(timeline, requestLines)
+	slices.SortStableFunc(timeline, byTime)
+	for _, entry := range timeline {
+		if _, err := fmt.Fprintln(w, entry.describe()); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// near tells whether a line may have to do with one of a request's.
-func near(other line, own []line) bool {
-	for _, each := range own {
-		begin := each.at.Add(-each.duration("total_ms") - around)
-		if other.source == each.source && other.at.After(begin) && other.at.Before(each.at.Add(around)) {
+// isRelated reports whether a line was logged by the same daemon and around the same time as
+// one of the lines of a request.
+func isRelated(other line, requestLines []line) bool {
+	for _, requestLine := range requestLines {
+		start := requestLine.at.Add(-requestLine.duration("total_ms") - relatedWindow)
+		if other.source == requestLine.source && other.at.After(start) && other.at.Before(requestLine.at.Add(relatedWindow)) {
 			return true
 		}
 	}
@@ -131,8 +137,8 @@
 }
 
 func (l *line) field(name string) string {
-	value, there := l.fields[name]
-	if !there || value == nil {
+	value, ok := l.fields[name]
+	if !ok || value == nil {
 		return ""
 	}
 	return fmt.Sprint(value)
@@ -147,22 +153,22 @@
 	return time.Duration(l.number(name)) * time.Millisecond
 }
 
-// tell writes the line for people.
-func (l *line) tell() string {
-	head := fmt.Sprintf("%s  %s  %d %s", l.at.UTC().Format("15:04:05.000"), l.source, l.event, l.text)
-	if l.event == eventShared {
-		if s, err := l.sharing(); err == nil {
-			return head + "\n" + strings.Join(s.sentences(), "\n")
+// describe returns the line in human-readable form.
+func (l *line) describe() string {
+	heading := fmt.Sprintf("%s  %s  %d %s", l.at.UTC().Format("15:04:05.000"), l.source, l.event, l.message)
+	if l.event == eventShareReport {
+		if s, err := l.shareReport(); err == nil {
+			return heading + "\n" + strings.Join(s.details(), "\n")
 		}
 	}
 	if l.field("request") == "" {
-		return head + l.rest()
+		return heading + l.otherFields()
 	}
-	return head + "\n" + strings.Join(l.sentences(), "\n")
+	return heading + "\n" + strings.Join(l.requestDetails(), "\n")
 }
 
-// rest lists the other fields of a line that is about no request.
-func (l *line) rest() string {
+// otherFields lists the fields of a line that does not refer to a request.
+func (l *line) otherFields() string {
 	var names []string
 	for name := range l.fields {
 		if name != "time" && name != "level" && name != "msg" && name != "event" {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -10,9 +10,9 @@
 	"github.com/savorystall/savorystall/internal/explain"
 )
 
-// lines are those of two daemons, as a collector hands them on; the first daemon lost the
-// store before it refused the request, and the other one served the caller's next try.
-const lines = `
+// logLines are lines of two daemons in the format of a log collector. The first daemon lost
+// the store shortly before it refused the request, and the second one served the retry.
+const logLines = `
    2.511 entry-1 {"time":"2026-02-19T20:13:55.509Z","level":"WARN","msg":"a table of the store cannot be followed; what is known stays in force","event":420,"table":"op","error":"the store answered 429"}
    2.512 entry-2 {"time":"2026-02-19T20:13:55.510Z","level":"INFO","msg":"the registered targets of a service have changed","event":310,"read":16}
    2.631 entry-1 {"time":"2026-02-19T20:13:55.630Z","level":"INFO","msg":"request refused before it ran","event":204,"request":"c364","route":"r-gmd","service":"pool","workspace":"kalo","routes_version":10,"target":"","by":"home 2","asked":2,"expected_ms":38,"late":false,"back":false,"source":"","held":false,"limit":"share","share_used":2.16,"tokens":1422,"due_ms":495,"waited_ms":7,"first_ms":0,"total_ms":7,"sends":0,"runs":0,"events":0,"last_event":0,"status":0,"code":2004,"run":"not_run","reason":"2004 fleet_full: the fleet is full"}
@@ -22,16 +22,17 @@
 panic: not one of ours
 `
 
-// A user complains of one request: refused by one daemon though engines had room, and late
-// at another one. The story has both tries in order, what decided each, and what the daemon
-// had lost just before, and nothing of other requests, daemons or hours.
-func TestStory(t *testing.T) {
+// A request is refused by one daemon although engines have free capacity, and is late at
+// another one. The timeline must contain both attempts in order, the reasons for each, and the
+// dependency that the daemon had lost just before, and nothing about other requests, daemons
+// or times.
+func TestTimeline(t *testing.T) {
 	is := is.New(t)
 	var log explain.Log
-	is.NoErr(log.Read(strings.NewReader(lines), "file"))
-	is.Equal(log.Unreadable(), 1)
+	is.NoErr(log.Read(strings.NewReader(logLines), "file"))
+	is.Equal(log.Skipped(), 1)
 	var b strings.Builder
-	is.NoErr(log.Story(&b, "c364"))
+	is.NoErr(log.WriteTimeline(&b, "c364"))
 	is.Equal(b.String(), `20:13:55.509  entry-1  420 a table of the store cannot be followed; what is known stays in force error=the store answered 429 table=op
 20:13:55.510  entry-2  310 the registered targets of a service have changed read=16
 20:13:55.630  entry-1  204 request refused before it ran
@@ -47,44 +48,46 @@
 `)
 }
 
-// A daemon short of processor time refuses a request before it reads more of it than its
-// address, and no owner is asked. Its line has no route to tell of.
-func TestStoryOfARequestThatWasHardlyRead(t *testing.T) {
+// A daemon that is short of processor time refuses a request when it has read only the URL,
+// without asking an owner. The log line then has no route.
+func TestTimelineOfARequestWithoutRoute(t *testing.T) {
 	is := is.New(t)
 	var log explain.Log
 	is.NoErr(log.Read(strings.NewReader(`{"time":"2026-02-19T20:13:55Z","level":"INFO","msg":"request refused before it ran","event":204,"request":"a1","host":"h.example","path":"/x/","code":2010,"run":"not_run","reason":"2010 daemon_busy"}`), "entry-7.log"))
 	var b strings.Builder
-	is.NoErr(log.Story(&b, "a1"))
+	is.NoErr(log.WriteTimeline(&b, "a1"))
 	is.Equal(b.String(), `20:13:55.000  entry-7.log  204 request refused before it ran
     the daemon knew no more of it than its address h.example/x/
     2010 daemon_busy; run: not_run
 `)
 }
 
-// Lines about requests are bounded, so that one may have none: that is no empty story.
-func TestNoLineNamesTheRequest(t *testing.T) {
+// Log lines about requests are rate-limited and sampled, so that a request may have none. This
+// must be reported as an error and not as an empty timeline.
+func TestUnknownRequestIsAnError(t *testing.T) {
 	is := is.New(t)
 	var log explain.Log
-	is.NoErr(log.Read(strings.NewReader(lines), "file"))
-	is.True(errors.Is(log.Story(&strings.Builder{}, "never"), explain.ErrNotFound))
+	is.NoErr(log.Read(strings.NewReader(logLines), "file"))
+	is.True(errors.Is(log.WriteTimeline(&strings.Builder{}, "never"), explain.ErrNotFound))
 }
 
-// Guards against a refusal whose cause no reader finds: the line about shares nearest to it
-// says who refused the workspace, and how near it came to half of what the best served got.
-func TestStoryOfARefusalTellsHowTheServiceWasShared(t *testing.T) {
+// Guards against a refusal without a visible cause: the share report nearest to it shows why
+// requests of the workspace were refused, and how the workspace's tokens compare to half of
+// those of the best-served one.
+func TestTimelineOfARefusalIncludesShareReport(t *testing.T) {
 	is := is.New(t)
-	const shared = `
+	const shareLines = `
 {"time":"2026-02-19T20:13:53Z","level":"INFO","msg":"how a service is shared","event":701,"service":"pool","level":1,"most":null}
 {"time":"2026-02-19T20:13:55Z","level":"INFO","msg":"how a service is shared","event":701,"service":"pool","level":63000,"most":[{"workspace":"kalo","asked":6850000,"shed":5000000,"granted":690000,"unused":0},{"workspace":"timi","asked":3000000,"shed":0,"granted":1650000,"unused":10000}],"sheds":0.95,"own":[{"workspace":"kalo","shed":98000,"unheard":12,"granted":4000,"refused":{"time":70,"spare":2000}}],"targets":{"owned":2,"taken":0.25,"use":0.4}}
 {"time":"2026-02-19T20:13:55.1Z","level":"INFO","msg":"how a service is shared","event":701,"service":"other","level":2}
 {"time":"2026-02-19T20:13:55.3Z","level":"INFO","msg":"request refused before it ran","event":204,"request":"a1","route":"r","service":"pool","workspace":"kalo","routes_version":10,"tokens":1422,"due_ms":495,"limit":"spare","asked":2,"expected_ms":38,"share_used":1.5,"reason":"2004 fleet_full","run":"not_run"}
 `
 	var log explain.Log
-	is.NoErr(log.Read(strings.NewReader(shared), "file"))
+	is.NoErr(log.Read(strings.NewReader(shareLines), "file"))
 	var b strings.Builder
-	is.NoErr(log.Story(&b, "a1"))
-	story, _, _ := strings.Cut(b.String(), "20:13:55.300")
-	is.Equal(story, `20:13:55.000  file  701 how a service is shared
+	is.NoErr(log.WriteTimeline(&b, "a1"))
+	beforeRefusal, _, _ := strings.Cut(b.String(), "20:13:55.300")
+	is.Equal(beforeRefusal, `20:13:55.000  file  701 how a service is shared
     a workspace may have 63000 tokens a second
     kalo asked for 6850000, 5000000 of it refused for want of processor time, and got 690000: 0.84 of half of what timi got
     timi asked for 3000000, 0 of it refused for want of processor time, and got 1640000
--- a/internal/explain/sentences.go
+++ b/internal/explain/sentences.go
@@ -2,37 +2,37 @@
 
 import "fmt"
 
-// Events of requests that have an end.
+// Numbers of the events that are logged at the end of a request.
 const (
 	eventServed  = 203
 	eventRefused = 204
 )
 
-// indent sets what decided a request off from its line.
+// indent precedes the details below the first line of an entry.
 const indent = "    "
 
-// sentences say what decided a request.
-func (l *line) sentences() []string {
+// requestDetails explains how a request was handled and why.
+func (l *line) requestDetails() []string {
 	if l.field("route") == "" {
-		return []string{indent + "the daemon knew no more of it than its address " + l.field("host") + l.field("path"), l.cause()}
+		return []string{indent + "the daemon knew no more of it than its address " + l.field("host") + l.field("path"), l.outcomeText()}
 	}
-	said := []string{
+	details := []string{
 		fmt.Sprintf("%sworkspace %s, service %s, route %s at version %s, %s prompt tokens",
 			indent, l.field("workspace"), l.field("service"), l.field("route"), l.field("routes_version"), l.field("tokens")),
-		l.arrival(),
+		l.deadlineText(),
 	}
 	if l.event == eventRefused {
-		return append(said, l.refusal(), l.cause())
+		return append(details, l.refusalText(), l.outcomeText())
 	}
-	said = append(said, l.placing(), l.answer())
+	details = append(details, l.placementText(), l.responseText())
 	if l.event != eventServed {
-		said = append(said, l.cause())
+		details = append(details, l.outcomeText())
 	}
-	return said
+	return details
 }
 
-// arrival says by when an answer was due.
-func (l *line) arrival() string {
+// deadlineText describes the deadline of the first byte.
+func (l *line) deadlineText() string {
 	switch {
 	case l.field("late") == "true":
 		return indent + "it was late on arrival, and got what is spare"
@@ -42,8 +42,8 @@
 	return fmt.Sprintf("%sits first byte was due within %s ms", indent, l.field("due_ms"))
 }
 
-// limits say what kept an owner from taking a request, by the name of booking.Limit.
-var limits = map[string]string{
+// limitReasons describes why an owner refused a request, by the name of booking.Limit.
+var limitReasons = map[string]string{
 	"failing": "the target failed too many requests of late",
 	"memory":  "what ran on the target filled its memory",
 	"slots":   "all slots of the target were in use",
@@ -53,34 +53,34 @@
 	"prompt":  "the prompt alone takes the target longer than its objective",
 }
 
-// refusal says which limit refused the request.
-func (l *line) refusal() string {
-	why := limits[l.field("limit")]
-	if why == "" {
+// refusalText describes the limit because of which the request was refused.
+func (l *line) refusalText() string {
+	reason := limitReasons[l.field("limit")]
+	if reason == "" {
 		return indent + "no owner of a target was asked, or none answered"
 	}
 	if alone := l.number("alone_ms"); alone > 0 {
-		why += fmt.Sprintf(" (%.0f ms)", alone)
+		reason += fmt.Sprintf(" (%.0f ms)", alone)
 	}
 	return fmt.Sprintf("%srefused: %s (%s owners asked, a wait of %s ms told; the workspace had had %.0f%% of its share)",
-		indent, why, l.field("asked"), l.field("expected_ms"), 100*l.number("share_used"))
+		indent, reason, l.field("asked"), l.field("expected_ms"), 100*l.number("share_used"))
 }
 
-// placing says which target it was sent to.
-func (l *line) placing() string {
-	said := fmt.Sprintf("%ssent to %s (%s, %s owners asked) after %s ms, its first byte expected after %s ms",
+// placementText describes the target that the request was sent to.
+func (l *line) placementText() string {
+	text := fmt.Sprintf("%ssent to %s (%s, %s owners asked) after %s ms, its first byte expected after %s ms",
 		indent, l.field("target"), l.field("by"), l.field("asked"), l.field("waited_ms"), l.field("expected_ms"))
 	if l.field("held") == "true" {
-		said += "; held back until the target had read what it shares with another request"
+		text += "; held back until the target had read what it shares with another request"
 	}
 	if source := l.field("source"); source != "" {
-		said += "; the beginning of its prompt was copied from " + source
+		text += "; the beginning of its prompt was copied from " + source
 	}
-	return said
+	return text
 }
 
-// answer says what came back.
-func (l *line) answer() string {
+// responseText describes the response of the target.
+func (l *line) responseText() string {
 	if l.number("first_ms") == 0 {
 		return fmt.Sprintf("%sno byte of an answer came in %s ms; %s targets may have run it", indent, l.field("total_ms"), l.field("runs"))
 	}
@@ -88,7 +88,7 @@
 		indent, l.field("first_ms"), l.field("total_ms"), l.field("events"), l.field("status"), l.field("runs"))
 }
 
-// cause is the result code's own text.
-func (l *line) cause() string {
+// outcomeText returns the text of the result code and whether the request has run.
+func (l *line) outcomeText() string {
 	return fmt.Sprintf("%s%s; run: %s", indent, l.field("reason"), l.field("run"))
 }
--- a/internal/reference/commands_test.go
+++ b/internal/reference/commands_test.go
@@ -114,7 +114,7 @@
 
 func helpText(command []string) (text string, ok bool) {
 	var output bytes.Buffer
-	code := cli.Run(context.Background(), cli.System{Arguments: append(append([]string{}, command...), "--help"), Output: &output, Errors: &output})
+	code := cli.Run(context.Background(), cli.Invocation{Args: append(append([]string{}, command...), "--help"), Stdout: &output, Stderr: &output})
 	return output.String(), code == cli.ExitOK
 }
 
--- a/test/configuration/configuration_test.go
+++ b/test/configuration/configuration_test.go
@@ -67,7 +67,7 @@
 func (m *monitor) run(ctx context.Context, p *process) {
 	for ctx.Err() == nil {
 		if status, err := p.status(ctx); err == nil {
-			for service, revision := range status.Config {
+			for service, revision := range status.ActiveRevisions {
 				m.see(fmt.Sprint(p.name, "/", status.Incarnation, "/", service), revision)
 			}
 		}
--- a/test/configuration/site_test.go
+++ b/test/configuration/site_test.go
@@ -184,11 +184,11 @@
 	for _, p := range daemons {
 		for {
 			status, err := p.status(s.t.Context())
-			if err == nil && status.State == "ready" && covers(status.Config, want) {
+			if err == nil && status.State == "ready" && covers(status.ActiveRevisions, want) {
 				break
 			}
 			if time.Since(began) > bound {
-				s.t.Fatalf("%s has %v in state %q (%v), want %v", p.name, status.Config, status.State, err, want)
+				s.t.Fatalf("%s has %v in state %q (%v), want %v", p.name, status.ActiveRevisions, status.State, err, want)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
--- a/test/cost/stage.go
+++ b/test/cost/stage.go
@@ -78,17 +78,17 @@
 		return err
 	}
 	e, err := emulator.Start(context.Background(), emulator.Config{
-		Platform: "127.0.0.1:0", Documents: documents, Listeners: listeners, Step: stepTime,
+		PlatformAddress: "127.0.0.1:0", Documents: documents, Listeners: listeners, Step: stepTime,
 	})
 	if err != nil {
 		return err
 	}
 	s.cleanup(e.Close)
-	s.engineStandin = e.Engines[emulator.Name{Service: "pool", Target: "engine"}]
+	s.engineStandin = e.Engines[emulator.TargetKey{Service: "pool", Target: "engine"}]
 	transport := &http.Transport{MaxIdleConnsPerHost: callers}
 	s.cleanup(transport.CloseIdleConnections)
 	s.client = &http.Client{Transport: transport}
-	return s.startDaemon(e.URL)
+	return s.startDaemon(e.PlatformURL)
 }
 
 func (s *stage) documents() ([]string, error) {
--- a/test/integration/failures_test.go
+++ b/test/integration/failures_test.go
@@ -334,13 +334,13 @@
 		status, err := readStatus(ctx, client, f.daemon(i).operators)
 		if err == nil && status.State == "ready" {
 			for service, revision := range seen {
-				if status.Config[service] < revision {
+				if status.ActiveRevisions[service] < revision {
 					w.mu.Lock()
-					w.faults = append(w.faults, fmt.Sprintf("%s: %s went from %d to %d", status.Daemon, service, revision, status.Config[service]))
+					w.faults = append(w.faults, fmt.Sprintf("%s: %s went from %d to %d", status.Daemon, service, revision, status.ActiveRevisions[service]))
 					w.mu.Unlock()
 				}
 			}
-			for service, revision := range status.Config {
+			for service, revision := range status.ActiveRevisions {
 				seen[service] = max(seen[service], revision)
 			}
 		}
