--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -1,4 +1,4 @@
-// Package examples holds example files; each is loaded by a test.
+// Package examples contains example files, each of which is loaded by a test.
 package examples
 
 import (
@@ -15,7 +15,8 @@
 	"github.com/savorystall/savorystall/internal/settings"
 )
 
-// Every YAML file of the examples must load as what its place says that it is.
+// Every YAML file of the examples must load as the kind of file that its name
+// indicates.
 func TestExamplesLoad(t *testing.T) {
 	files, err := filepath.Glob("*/*.yaml")
 	is.New(t).NoErr(err)
@@ -35,18 +36,19 @@
 			is.NoErr(err)
 		})
 	}
-	is.New(t).True(len(files) > 10) // the pattern finds the files
+	is.New(t).True(len(files) > 10) // the glob pattern matches the files
 }
 
-// A fleet of the examples must be whole: the load file names its daemons, each
-// on ports and under a name of its own, and every target has a daemon in its
-// availability zone. Else a new user's first run idles targets or collides.
-func TestFleetsAreWhole(t *testing.T) {
+// Each example fleet must be complete: the load file lists all its daemons, each
+// daemon has a unique name and unique ports, and every target has a daemon in its
+// availability zone. Otherwise targets stay idle or ports collide when a new user
+// first runs the example.
+func TestFleetsAreComplete(t *testing.T) {
 	fleets := map[string][]string{"kettleford": {"lm-pool", "sync-api"}, "tierra-firme": {"redactor", "portal-socios"}}
 	for fleet, services := range fleets {
 		t.Run(fleet, func(t *testing.T) {
 			is := is.New(t)
-			zones, ports := daemonsOf(t, fleet)
+			zones, ports := loadDaemons(t, fleet)
 			for _, service := range services {
 				text, err := os.ReadFile(filepath.Join(fleet, service+".yaml"))
 				is.NoErr(err)
@@ -55,8 +57,8 @@
 				is.Equal(string(d.Service), service)
 				is.Equal(len(d.Workspaces), 16)
 				for _, target := range d.Targets {
-					is.True(zones[target.Zone])     // a daemon of its zone
-					is.True(!ports[target.Address]) // a port of its own
+					is.True(zones[target.Zone])     // a daemon in its zone
+					is.True(!ports[target.Address]) // a unique port
 					ports[target.Address] = true
 				}
 			}
@@ -64,8 +66,9 @@
 	}
 }
 
-// daemonsOf returns the availability zones and listeners of a fleet's daemons.
-func daemonsOf(t *testing.T, fleet string) (zones map[ident.Zone]bool, ports map[string]bool) {
+// loadDaemons checks the settings of a fleet's daemons and returns the daemons'
+// availability zones and listen addresses.
+func loadDaemons(t *testing.T, fleet string) (zones map[ident.Zone]bool, ports map[string]bool) {
 	t.Helper()
 	is := is.New(t)
 	zones, ports = map[ident.Zone]bool{}, map[string]bool{}
@@ -81,18 +84,18 @@
 		s, err := settings.Load(path)
 		is.NoErr(err)
 		is.Equal(spec.Daemons[i], "http://"+s.Callers.Listen)
-		is.True(!names[s.Daemon]) // a name of its own
+		is.True(!names[s.Daemon]) // a unique name
 		names[s.Daemon], zones[s.Zone] = true, true
 		for _, address := range []string{s.Callers.Listen, s.Operators.Listen, s.Fleet.Listen} {
-			is.True(!ports[address]) // a port of its own
+			is.True(!ports[address]) // a unique port
 			ports[address] = true
 		}
 	}
 	return zones, ports
 }
 
-// The unit must start the daemon with flags that it has, and must not cut off a
-// planned stop.
+// The systemd unit must start the daemon with existing flags, and its stop timeout
+// must not interrupt a planned shutdown.
 func TestSystemdUnit(t *testing.T) {
 	is := is.New(t)
 	text, err := os.ReadFile("systemd/savorystalld.service")
--- a/internal/attempt/cache_test.go
+++ b/internal/attempt/cache_test.go
@@ -21,11 +21,11 @@
 func TestCacheEventsAreReadInPages(t *testing.T) {
 	is := is.New(t)
 	r := newRunner(t, shortTimeouts())
-	cfg := enginestandin.Config{CacheEntries: 200, CacheLag: time.Nanosecond, CacheGap: -1}
+	cfg := enginestandin.Config{CacheEntries: 200, CacheEventDelay: time.Nanosecond, CacheEventDropInterval: -1}
 	e, engine := newEngine(t, cfg)
 	const prompts = 100
 	for i := range prompts {
-		e.Store(fmt.Sprint("case ", i))
+		e.CachePrompt(fmt.Sprint("case ", i))
 	}
 	var after uint64
 	for after < prompts {
@@ -35,7 +35,7 @@
 		for _, event := range page.Events {
 			after++
 			is.Equal(event.Sequence, after)
-			is.Equal(event.Prefix, enginestandin.Prefix(fmt.Sprint("case ", after-1)))
+			is.Equal(event.Prefix, enginestandin.PrefixID(fmt.Sprint("case ", after-1)))
 			is.True(event.Stored)
 		}
 		is.Equal(page.Next, after)
@@ -46,7 +46,7 @@
 	is.Equal(len(empty.Events), 0)
 
 	restarted, engine := newEngine(t, cfg)
-	restarted.Store("case 7")
+	restarted.CachePrompt("case 7")
 	page, err := r.CacheEvents(t.Context(), engine, after)
 	is.NoErr(err)
 	is.True(page.Run != empty.Run)
@@ -71,12 +71,12 @@
 // BenchmarkCacheEvents measures a poll that returns a full page, including the
 // work of the stand-in engine.
 func BenchmarkCacheEvents(b *testing.B) {
-	e := enginestandin.New(enginestandin.Config{CacheEntries: 200, CacheLag: time.Nanosecond, CacheGap: -1})
+	e := enginestandin.New(enginestandin.Config{CacheEntries: 200, CacheEventDelay: time.Nanosecond, CacheEventDropInterval: -1})
 	defer e.Close()
 	s := httptest.NewServer(e)
 	defer s.Close()
 	for i := range attempt.MaxCachePageEvents {
-		e.Store(fmt.Sprint("case ", i))
+		e.CachePrompt(fmt.Sprint("case ", i))
 	}
 	r := attempt.NewRunner(attempt.Config{})
 	defer r.Close()
--- a/internal/attempt/helpers_test.go
+++ b/internal/attempt/helpers_test.go
@@ -49,7 +49,7 @@
 }
 
 func newEngine(t *testing.T, cfg enginestandin.Config) (*enginestandin.Engine, string) {
-	cfg.Heartbeat = 50 * time.Millisecond
+	cfg.HeartbeatInterval = 50 * time.Millisecond
 	e := enginestandin.New(cfg)
 	return e, serve(t, e, e.Close)
 }
--- a/internal/attempt/link_test.go
+++ b/internal/attempt/link_test.go
@@ -41,7 +41,7 @@
 		})
 	}
 	streamsStarted.Wait()
-	link.SilenceOpen()
+	link.StallOpenConnections()
 	streamsEnded.Wait()
 }
 
@@ -59,7 +59,7 @@
 	}
 	sink, got := run("before")
 	checkCompleteAnswer(t, e, "before", sink, got)
-	link.SilenceOpen()
+	link.StallOpenConnections()
 	_, got = run("lost")
 	is.Equal(got.Outcome, resultcode.MayHaveRun)
 	is.True(got.TargetFailed)
@@ -82,7 +82,7 @@
 		checkCompleteAnswer(t, e, prompt, sink, got)
 	}
 	run("question", false) // leaves an idle connection in the pool
-	link.SilenceOpen()
+	link.StallOpenConnections()
 	run("claim", true)
 }
 
@@ -96,7 +96,7 @@
 	sink.onChunk = func(n uint64) error {
 		if n == 3 {
 			link.Cut()
-			link.Slow(20 * time.Millisecond)
+			link.SetDelay(20 * time.Millisecond)
 			return link.Restore()
 		}
 		return nil
--- a/internal/attempt/model_test.go
+++ b/internal/attempt/model_test.go
@@ -29,7 +29,7 @@
 	is.Equal(sink.text.String(), enginestandin.Text(prompt, answerTokens)) // each token once, in order
 	is.Equal(got.Tokens, answerTokens)
 	is.Equal(got.PromptTokens, enginestandin.PromptTokens(prompt))
-	is.Equal(e.Ran(prompt), 1) // the engine ran it once
+	is.Equal(e.RunCount(prompt), 1) // the engine ran it once
 }
 
 func TestModelAnswerIsComplete(t *testing.T) {
@@ -46,14 +46,14 @@
 // it twice. The attempt must resume at the exact offset on a new connection.
 func TestModelResumesBrokenStream(t *testing.T) {
 	faults := map[string]enginestandin.FaultKind{
-		"cut":                     enginestandin.FaultCut,
-		"silent connection":       enginestandin.FaultSilence,
+		"cut":                     enginestandin.FaultDisconnect,
+		"silent connection":       enginestandin.FaultStall,
 		"no end mark":             enginestandin.FaultEndEarly,
-		"skipped token":           enginestandin.FaultSkip,
+		"skipped token":           enginestandin.FaultSkipToken,
 		"reset after write":       enginestandin.FaultReset,
-		"no response after write": enginestandin.FaultMute,
-		"cut at last token":       enginestandin.FaultCut,
-		"cut before a token":      enginestandin.FaultCut,
+		"no response after write": enginestandin.FaultNoResponse,
+		"cut at last token":       enginestandin.FaultDisconnect,
+		"cut before a token":      enginestandin.FaultDisconnect,
 	}
 	offsets := map[string]int{"cut at last token": answerTokens - 1, "cut before a token": 0}
 	for name, kind := range faults {
@@ -77,7 +77,7 @@
 func TestModelResumesRepeatedly(t *testing.T) {
 	e, address := newEngine(t, enginestandin.Config{})
 	for offset := 1; offset < 20; offset++ {
-		e.Inject(enginestandin.Fault{Kind: enginestandin.FaultCut, AfterTokens: offset})
+		e.Inject(enginestandin.Fault{Kind: enginestandin.FaultDisconnect, AfterTokens: offset})
 	}
 	sink := &collectingSink{}
 	got := newRunner(t, shortTimeouts()).Model(t.Context(), modelRequest(address, "again", answerTokens), sink)
@@ -94,10 +94,10 @@
 		tokens int
 		code   resultcode.Code
 	}{
-		"restart within the answer": {enginestandin.FaultForget, 10, resultcode.AnswerCut},
-		"restart before the answer": {enginestandin.FaultForget, 0, resultcode.ConnectionLost},
+		"restart within the answer": {enginestandin.FaultLoseStream, 10, resultcode.AnswerCut},
+		"restart before the answer": {enginestandin.FaultLoseStream, 0, resultcode.ConnectionLost},
 		"error event":               {enginestandin.FaultErrorEvent, 10, resultcode.TargetError},
-		"status 500":                {enginestandin.FaultFail, 0, resultcode.TargetError},
+		"status 500":                {enginestandin.FaultServerError, 0, resultcode.TargetError},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -111,7 +111,7 @@
 			is.Equal(got.Outcome, resultcode.MayHaveRun)
 			is.Equal(sink.text.String(), enginestandin.Text(name, c.tokens)) // the received part is correct
 			is.True(got.TargetFailed)
-			is.Equal(e.Ran(name), 1)
+			is.Equal(e.RunCount(name), 1)
 		})
 	}
 }
@@ -124,8 +124,8 @@
 	cfg := shortTimeouts()
 	cfg.ResumeWindow = 200 * time.Millisecond
 	e, address := newEngine(t, enginestandin.Config{})
-	e.Inject(enginestandin.Fault{Kind: enginestandin.FaultCut, AfterTokens: 10})
-	e.Inject(enginestandin.Fault{Kind: enginestandin.FaultMute, Times: 1 << 20})
+	e.Inject(enginestandin.Fault{Kind: enginestandin.FaultDisconnect, AfterTokens: 10})
+	e.Inject(enginestandin.Fault{Kind: enginestandin.FaultNoResponse, Times: 1 << 20})
 	sink := &collectingSink{}
 	got := newRunner(t, cfg).Model(t.Context(), modelRequest(address, "gone", answerTokens), sink)
 	is.True(got.Failure != nil)
@@ -148,12 +148,12 @@
 	t.Run("full", func(t *testing.T) {
 		is := is.New(t)
 		e, address := newEngine(t, enginestandin.Config{})
-		e.Inject(enginestandin.Fault{Kind: enginestandin.FaultRefuse})
+		e.Inject(enginestandin.Fault{Kind: enginestandin.FaultReject})
 		got := newRunner(t, shortTimeouts()).Model(t.Context(), modelRequest(address, "x", 1), &collectingSink{})
 		is.Equal(got.Outcome, resultcode.NotRun)
 		is.True(!got.Leaving)
 		is.True(!got.TargetFailed)
-		is.Equal(e.Ran("x"), 0)
+		is.Equal(e.RunCount("x"), 0)
 	})
 	t.Run("leaving", func(t *testing.T) {
 		is := is.New(t)
@@ -162,7 +162,7 @@
 		got := newRunner(t, shortTimeouts()).Model(t.Context(), modelRequest(address, "x", 1), &collectingSink{})
 		is.Equal(got.Outcome, resultcode.NotRun)
 		is.True(got.Leaving)
-		is.Equal(e.Ran("x"), 0)
+		is.Equal(e.RunCount("x"), 0)
 	})
 	t.Run("caller canceled before dial", func(t *testing.T) {
 		is := is.New(t)
@@ -171,7 +171,7 @@
 		cancel()
 		got := newRunner(t, shortTimeouts()).Model(ctx, modelRequest(address, "x", 1), &collectingSink{})
 		is.Equal(got.Outcome, resultcode.NotRun)
-		is.Equal(e.Ran("x"), 0)
+		is.Equal(e.RunCount("x"), 0)
 	})
 }
 
@@ -230,7 +230,7 @@
 	for name, cancelCall := range cancellations {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			e, address := newEngine(t, enginestandin.Config{KeepDetached: time.Hour})
+			e, address := newEngine(t, enginestandin.Config{DetachedTimeout: time.Hour})
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			sink := &collectingSink{}
@@ -238,7 +238,7 @@
 			got := newRunner(t, shortTimeouts()).Model(ctx, modelRequest(address, "x", 1<<20), sink)
 			is.Equal(got.Outcome, resultcode.MayHaveRun)
 			is.True(!got.TargetFailed) // the target did not cause the failure
-			eventually(t, "the engine's slot is free", func() bool { return e.Counts().Canceled == 1 && e.Running() == 0 })
+			eventually(t, "the engine's slot is free", func() bool { return e.Counts().Canceled == 1 && e.ActiveStreams() == 0 })
 		})
 	}
 }
--- a/internal/attempt/plain_test.go
+++ b/internal/attempt/plain_test.go
@@ -55,7 +55,7 @@
 				is.Equal(echo, plainstandin.Echo{
 					Method: method, Path: "/a/b/c", Query: "q=1&q=2", Mark: "m", BodySHA256: hex.EncodeToString(sum[:]),
 				})
-				is.Equal(s.Ran("m"), 1)
+				is.Equal(s.RunCount("m"), 1)
 				is.Equal(s.Header("m").Get("Authorization"), "") // the bearer key is not forwarded
 				is.Equal(s.Header("m").Get("X-Only-Here"), "")
 				is.Equal(s.Header("m").Get("X-Savorystall-Attempt"), string(req.Attempt))
@@ -74,12 +74,12 @@
 		runs    int
 		header  bool
 	}{
-		plainstandin.FailReset:    {resultcode.ConnectionLost, resultcode.MayHaveRun, 1, false},
-		plainstandin.FailMute:     {resultcode.TargetStalled, resultcode.MayHaveRun, 1, false},
-		plainstandin.FailCut:      {resultcode.AnswerCut, resultcode.MayHaveRun, 1, true},
-		plainstandin.FailSilent:   {resultcode.TargetStalled, resultcode.MayHaveRun, 1, true},
-		plainstandin.FailUnframed: {resultcode.TargetProtocol, resultcode.MayHaveRun, 1, false},
-		plainstandin.FailRefuse:   {resultcode.TargetRefused, resultcode.NotRun, 0, false},
+		plainstandin.FailReset:      {resultcode.ConnectionLost, resultcode.MayHaveRun, 1, false},
+		plainstandin.FailNoResponse: {resultcode.TargetStalled, resultcode.MayHaveRun, 1, false},
+		plainstandin.FailDisconnect: {resultcode.AnswerCut, resultcode.MayHaveRun, 1, true},
+		plainstandin.FailStall:      {resultcode.TargetStalled, resultcode.MayHaveRun, 1, true},
+		plainstandin.FailNoLength:   {resultcode.TargetProtocol, resultcode.MayHaveRun, 1, false},
+		plainstandin.FailReject:     {resultcode.TargetRefused, resultcode.NotRun, 0, false},
 	}
 	for fail, c := range cases {
 		t.Run(fail, func(t *testing.T) {
@@ -90,7 +90,7 @@
 			is.True(got.Failure != nil)
 			is.Equal(got.Failure.Code.Name, c.code.Name)
 			is.Equal(got.Outcome, c.outcome)
-			is.Equal(s.Ran("m"), c.runs)
+			is.Equal(s.RunCount("m"), c.runs)
 			is.Equal(sink.headerWritten, c.header)
 		})
 	}
@@ -193,7 +193,7 @@
 			got := r.Plain(ctx, req, httptest.NewRecorder())
 			if got.Outcome == resultcode.NotRun {
 				notRun.Add(1)
-				is.NewRelaxed(t).Equal(s.Ran(mark), 0)
+				is.NewRelaxed(t).Equal(s.RunCount(mark), 0)
 			}
 		})
 	}
--- a/internal/attempt/preempt_test.go
+++ b/internal/attempt/preempt_test.go
@@ -72,8 +72,8 @@
 	}
 	is.NoErr(sink.err)
 	is.Equal(sink.text.String(), enginestandin.Text("draft", draftTokens))
-	is.Equal(engines[0].Counts().Reread, 0)
-	is.True(engines[1].Counts().Reread >= enginestandin.PromptTokens("draft")+7)
+	is.Equal(engines[0].Counts().RecomputedTokens, 0)
+	is.True(engines[1].Counts().RecomputedTokens >= enginestandin.PromptTokens("draft")+7)
 	is.Equal(engines[2].Counts().Continued, 1)
 }
 
@@ -84,14 +84,14 @@
 	is := is.New(t)
 	r := newRunner(t, shortTimeouts())
 	first, address := newEngine(t, enginestandin.Config{})
-	first.Inject(enginestandin.Fault{Kind: enginestandin.FaultCut, AfterTokens: 10})
+	first.Inject(enginestandin.Fault{Kind: enginestandin.FaultDisconnect, AfterTokens: 10})
 	sink := &collectingSink{}
 	preemptAt(t, r, continuationRequest(address, "draft", sink), sink, 10)
 	is.Equal(sink.offset, uint64(10))
 
 	second, address := newEngine(t, enginestandin.Config{})
-	second.Inject(enginestandin.Fault{Kind: enginestandin.FaultCut, AfterTokens: 10})
-	second.Inject(enginestandin.Fault{Kind: enginestandin.FaultSkip, AfterTokens: 30})
+	second.Inject(enginestandin.Fault{Kind: enginestandin.FaultDisconnect, AfterTokens: 10})
+	second.Inject(enginestandin.Fault{Kind: enginestandin.FaultSkipToken, AfterTokens: 30})
 	result := r.Model(t.Context(), continuationRequest(address, "draft", sink), sink)
 	is.True(result.Failure == nil)
 	is.Equal(result.ResumeCount, 2)
@@ -107,8 +107,8 @@
 	cfg.ResumeWindow = time.Minute
 	r := newRunner(t, cfg)
 	e, address := newEngine(t, enginestandin.Config{})
-	e.Inject(enginestandin.Fault{Kind: enginestandin.FaultCut, AfterTokens: 5})
-	e.Inject(enginestandin.Fault{Kind: enginestandin.FaultMute, Times: 100})
+	e.Inject(enginestandin.Fault{Kind: enginestandin.FaultDisconnect, AfterTokens: 5})
+	e.Inject(enginestandin.Fault{Kind: enginestandin.FaultNoResponse, Times: 100})
 	sink := &collectingSink{}
 	ctx, cancel := context.WithCancelCause(t.Context())
 	ended := make(chan attempt.Result, 1)
@@ -135,7 +135,7 @@
 	preemptAt(t, r, continuationRequest(address, "draft", sink), sink, 10)
 	offsetBefore := sink.offset
 
-	_, address = newEngine(t, enginestandin.Config{NoContinue: true})
+	_, address = newEngine(t, enginestandin.Config{IgnoreOffset: true})
 	result := r.Model(t.Context(), continuationRequest(address, "draft", sink), sink)
 	is.Equal(result.Failure.Code, resultcode.TargetProtocol)
 	is.Equal(result.Tokens, 0)
--- a/internal/claim/claimer_test.go
+++ b/internal/claim/claimer_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestMain(m *testing.M) {
-	process.Main(map[string]process.Part{"claimant": runClaimant})
+	process.Main(map[string]process.ChildFunc{"claimant": runClaimant})
 	goleak.VerifyTestMain(m)
 }
 
--- a/internal/claim/explore_test.go
+++ b/internal/claim/explore_test.go
@@ -18,7 +18,7 @@
 // expiry of the row. It uses the same functions as Claimer: evaluateRow,
 // evaluateStatus, evaluateFinalConflict and ledger.
 
-func init() { fixedseed.Explore(3000, 60) }
+func init() { fixedseed.SetChecksAndSteps(3000, 60) }
 
 const (
 	simulatedStartTimeout = 10 * time.Second
--- a/internal/claim/platform_test.go
+++ b/internal/claim/platform_test.go
@@ -50,7 +50,7 @@
 func startPlatform(t *testing.T) (*platformstandin.Server, string) {
 	server := platformstandin.New(platformstandin.Config{})
 	listener := httptest.NewServer(server)
-	t.Cleanup(func() { listener.Close(); server.Wait() })
+	t.Cleanup(func() { listener.Close(); server.WaitForDelayedWrites() })
 	return server, listener.URL
 }
 
@@ -65,7 +65,7 @@
 	const keys = 40
 	var granted [keys]int
 	for _, c := range []*claim.Claimer{a, b} {
-		server.SetFaults(platformstandin.Table, platformstandin.Faults{LoseAnswers: 3})
+		server.SetFaults(platformstandin.Table, platformstandin.Faults{LostResponses: 3})
 		var callers sync.WaitGroup
 		for i := range keys {
 			callers.Go(func() {
@@ -89,9 +89,9 @@
 	// The table does not respond for longer than ClaimTimeout. The writes sent to it
 	// may then take effect late, and the caller retries through another daemon.
 	for name, faults := range map[string]platformstandin.Faults{
-		"down":   {Down: true},
-		"silent": {Silent: true},
-		"late":   {LoseAnswers: -1, LateEffect: 400 * time.Millisecond},
+		"down":   {Unavailable: true},
+		"silent": {NoResponse: true},
+		"late":   {LostResponses: -1, LostWriteDelay: 400 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -104,7 +104,7 @@
 			is.NoErr(err)
 			is.Equal(decision.(claim.Refuse).Failure.Code, resultcode.StoreUnavailable)
 			server.SetFaults(platformstandin.Table, platformstandin.Faults{})
-			server.Wait()
+			server.WaitForDelayedWrites()
 			decision, err = b.Claim(t.Context(), k, []byte("digest"), "x")
 			is.NoErr(err)
 			is.NoErr(decision.(claim.Proceed).Hold.Start(time.Now()))
--- a/internal/claim/process_test.go
+++ b/internal/claim/process_test.go
@@ -21,7 +21,7 @@
 // runClaimant is the main function of a process that claims the key, waits for the
 // test, starts, waits again and finishes. Its StartTimeout is an argument, so that
 // a test can stop the process for longer.
-func runClaimant(lines *process.Lines, args []string) {
+func runClaimant(lines *process.ParentPipe, args []string) {
 	cfg := testConfig("claimant")
 	cfg.StartTimeout, _ = time.ParseDuration(args[1])
 	client := platform.NewClient(platform.ClientConfig{URL: args[0], Logger: slog.New(slog.DiscardHandler)})
@@ -32,13 +32,13 @@
 		_ = json.NewEncoder(w).Encode(c.AnswerQuery("claimant", 1, testKey, attempt))
 	}))
 	d, _ := c.Claim(context.Background(), testKey, testDigest, "x")
-	lines.Say("held %s", server.URL)
-	lines.Hear()
+	lines.Send("held %s", server.URL)
+	lines.Receive()
 	h := d.(Proceed).Hold
-	lines.Say("started %v", h.Start(time.Now()) == nil)
-	lines.Hear()
+	lines.Send("started %v", h.Start(time.Now()) == nil)
+	lines.Receive()
 	_ = h.Finish(context.Background(), Outcome{Result: resultcode.Ran})
-	lines.Say("finished")
+	lines.Send("finished")
 	select {} // until the test ends
 }
 
@@ -66,7 +66,7 @@
 	t.Cleanup(platformServer.Close)
 	child := process.Start(t, "claimant", platformServer.URL, term.String())
 	url := child.Expect("held")
-	child.Stop()
+	child.Suspend()
 	client := platform.NewClient(platform.ClientConfig{URL: platformServer.URL, Logger: slog.New(slog.DiscardHandler)})
 	c := New(testConfig("other"), client, httpQuerier{url}, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -94,12 +94,12 @@
 	other.cfg.QueryTimeout = 200 * time.Millisecond // the stopped process does not reply
 	is.Equal(mustBeRefused(t, other), resultcode.OutcomeUnknown)
 	other.cfg.QueryTimeout = 20 * time.Second // long enough for a reply on a busy machine
-	child.Continue()
+	child.Resume()
 	is.Equal(mustBeRefused(t, other), resultcode.InProgress)
-	child.Tell("start")
+	child.Send("start")
 	is.Equal(child.Expect("started"), "true")
 	is.Equal(mustBeRefused(t, other), resultcode.InProgress)
-	child.Tell("finish")
+	child.Send("finish")
 	child.Expect("finished")
 	is.Equal(mustBeRefused(t, other), resultcode.AlreadyRan)
 }
@@ -113,10 +113,10 @@
 	const term = 300 * time.Millisecond
 	child, other := stoppedClaimant(t, term)
 	time.Sleep(2 * term) // the pause under test; the result does not depend on its exact length
-	child.Continue()
+	child.Resume()
 	other.cfg.QueryTimeout = 20 * time.Second
 	h := mustHold(t, other)
 	is.NoErr(h.Start(time.Now()))
-	child.Tell("start")
+	child.Send("start")
 	is.Equal(child.Expect("started"), "false")
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -218,9 +218,9 @@
 func TestPlatformOutageExitCodes(t *testing.T) {
 	is := is.New(t)
 	s := newTestFleet(t)
-	s.platform.SetFaults(platformstandin.Table, platformstandin.Faults{Down: true})
+	s.platform.SetFaults(platformstandin.Table, platformstandin.Faults{Unavailable: true})
 	is.Equal(s.run("--timeout", "300ms", "service", "apply", s.writeDocument(1, "")).code, cli.ExitUnavailable)
-	s.platform.SetFaults(platformstandin.Table, platformstandin.Faults{LoseAnswers: -1})
+	s.platform.SetFaults(platformstandin.Table, platformstandin.Faults{LostResponses: -1})
 	unknown := s.run("--timeout", "300ms", "service", "apply", s.writeDocument(1, ""))
 	is.Equal(unknown.code, cli.ExitUnknown)
 	is.True(strings.Contains(unknown.stderr, "service history"))
--- a/internal/cli/emulate.go
+++ b/internal/cli/emulate.go
@@ -74,5 +74,5 @@
 	if err != nil {
 		return err
 	}
-	return loadclient.Write(a.invocation.Stdout, loadclient.Run(ctx, spec))
+	return loadclient.WriteTable(a.invocation.Stdout, loadclient.Run(ctx, spec))
 }
--- a/internal/config/editor_test.go
+++ b/internal/config/editor_test.go
@@ -79,9 +79,9 @@
 // that change instead.
 func TestLostResponseIsResolved(t *testing.T) {
 	for name, faults := range map[string]platformstandin.Faults{
-		"at once":     {LoseAnswers: 1},
-		"three times": {LoseAnswers: 3},
-		"late":        {LoseAnswers: 1, LateEffect: 30 * time.Millisecond},
+		"at once":     {LostResponses: 1},
+		"three times": {LostResponses: 3},
+		"late":        {LostResponses: 1, LostWriteDelay: 30 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -90,7 +90,7 @@
 			revision, err := env.editor("ana").Apply(t.Context(), plainDocument("portal", 1), 0, "")
 			is.NoErr(err)
 			is.Equal(revision, uint64(1))
-			env.server.Wait()
+			env.server.WaitForDelayedWrites()
 			history, err := env.editor("ana").History(t.Context(), "portal")
 			is.NoErr(err)
 			is.Equal(len(history), 1)
@@ -104,7 +104,7 @@
 func TestLostResponseWithConcurrentChange(t *testing.T) {
 	is := is.New(t)
 	env := newTestEnv(t)
-	env.server.SetFaults(platformstandin.Table, platformstandin.Faults{LoseAnswers: -1})
+	env.server.SetFaults(platformstandin.Table, platformstandin.Faults{LostResponses: -1})
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	_, err := env.editor("ana").Apply(ctx, plainDocument("portal", 1), 0, "")
 	cancel()
--- a/internal/config/fixture_test.go
+++ b/internal/config/fixture_test.go
@@ -56,7 +56,7 @@
 	server := platformstandin.New(c)
 	listener := httptest.NewServer(server)
 	t.Cleanup(listener.Close)
-	t.Cleanup(server.Wait)
+	t.Cleanup(server.WaitForDelayedWrites)
 	client := platform.NewClient(platform.ClientConfig{URL: listener.URL, Logger: discardLogger})
 	t.Cleanup(client.Close)
 	return &testEnv{server: server, client: client, url: listener.URL}
--- a/internal/config/fleet_bench_test.go
+++ b/internal/config/fleet_bench_test.go
@@ -107,7 +107,7 @@
 	stores := env.startFleet(b)
 	waitForAll(b, stores, env.applyEdit(b, 0, revisions))
 	for n := 1; b.Loop(); n++ {
-		env.server.SetFaults(platformstandin.Table, platformstandin.Faults{Down: true})
+		env.server.SetFaults(platformstandin.Table, platformstandin.Faults{Unavailable: true})
 		time.Sleep(outage / 2) // circuit breakers are open and backoffs have increased
 		before := env.tableCalls()
 		time.Sleep(outage / 2)
--- a/internal/config/revert_test.go
+++ b/internal/config/revert_test.go
@@ -121,7 +121,7 @@
 }
 
 func (m *stateMachine) injectLostResponses(t *rapid.T) {
-	m.setFaults(platformstandin.Faults{LoseAnswers: rapid.IntRange(0, 2).Draw(t, "lost")})
+	m.setFaults(platformstandin.Faults{LostResponses: rapid.IntRange(0, 2).Draw(t, "lost")})
 }
 
 func (m *stateMachine) recordResult(t *rapid.T, service ident.Service, revision uint64, weight int, err error) {
@@ -147,7 +147,7 @@
 }
 
 func (s staleTable) drawStaleness() {
-	s.m.setFaults(platformstandin.Faults{StaleBy: rapid.Uint64Range(0, 4).Draw(s.t, "stale")})
+	s.m.setFaults(platformstandin.Faults{StaleCommits: rapid.Uint64Range(0, 4).Draw(s.t, "stale")})
 }
 
 func (s staleTable) Get(ctx context.Context, keys ...string) ([]platform.Row, error) {
--- a/internal/daemon/answers_test.go
+++ b/internal/daemon/answers_test.go
@@ -55,7 +55,7 @@
 	is := is.New(t)
 	emu, addrs := startDev(t)
 	for _, engine := range emu.Engines {
-		engine.Inject(enginestandin.Fault{Kind: enginestandin.FaultForget, AfterTokens: 3})
+		engine.Inject(enginestandin.Fault{Kind: enginestandin.FaultLoseStream, AfterTokens: 3})
 	}
 	status, _, body := postCompletion(t, addrs.Callers, "forgotten", nil, "")
 	is.Equal(status, http.StatusOK)
@@ -69,7 +69,7 @@
 	is := is.New(t)
 	emu, addrs := startDev(t)
 	for _, engine := range emu.Engines {
-		engine.Inject(enginestandin.Fault{Kind: enginestandin.FaultForget, AfterTokens: 3})
+		engine.Inject(enginestandin.Fault{Kind: enginestandin.FaultLoseStream, AfterTokens: 3})
 	}
 	header := map[string]string{"X-Savorystall-Operation": "tag-scene", "Idempotency-Key": "tag-7"}
 	for range 2 {
@@ -80,7 +80,7 @@
 	}
 	runs := 0
 	for _, engine := range emu.Engines {
-		runs += engine.Ran("once")
+		runs += engine.RunCount("once")
 	}
 	is.Equal(runs, 1)
 }
@@ -110,7 +110,7 @@
 	is := is.New(t)
 	emu, addrs := startDev(t)
 	for _, engine := range emu.Engines {
-		engine.Inject(enginestandin.Fault{Kind: enginestandin.FaultForget, AfterTokens: 3})
+		engine.Inject(enginestandin.Fault{Kind: enginestandin.FaultLoseStream, AfterTokens: 3})
 	}
 	request, err := http.NewRequest(http.MethodPost, "http://"+addrs.Callers+"/v1/completions",
 		strings.NewReader(`{"model":"recap-1","prompt":"cut","max_tokens":8,"stream":true}`))
--- a/internal/daemon/trace_test.go
+++ b/internal/daemon/trace_test.go
@@ -37,7 +37,7 @@
 		is.Equal(status, http.StatusOK)
 		seen := ""
 		for _, engine := range emu.Engines {
-			seen += engine.Trace("traced")
+			seen += engine.TraceParent("traced")
 		}
 		is.True(strings.Contains(seen, trace)) // the engine received the caller's trace
 	})
--- a/internal/fleet/silence_test.go
+++ b/internal/fleet/silence_test.go
@@ -30,8 +30,8 @@
 	for range 2 { // repeated, to start from a replaced link as well
 		before := ra.linkUpCount("b")
 		beforeAtA := rb.linkUpCount("a")
-		toA.SilenceOpen()
-		toB.SilenceOpen()
+		toA.StallOpenConnections()
+		toB.StallOpenConnections()
 		ra.eventually(t, "new link at a", func(r *recorder) bool { return r.linkUps["b"] > before && linked("b")(r) })
 		rb.eventually(t, "new link at b", func(r *recorder) bool { return r.linkUps["a"] > beforeAtA && linked("a")(r) })
 		ra.withLock(func() { ra.messages = nil })
--- a/internal/fleet/watch_test.go
+++ b/internal/fleet/watch_test.go
@@ -44,7 +44,7 @@
 			}
 		}
 	}
-	proxy.SilenceOpen()
+	proxy.StallOpenConnections()
 	stopNode(t, victim)
 	for _, id := range ids {
 		recorders[id].eventually(t, "removal of z at "+string(id), func(r *recorder) bool { return r.peers["z"].ID == "" })
@@ -76,7 +76,7 @@
 	time.Sleep(5 * shortHeartbeat) // until links that are not watched have stopped frequent heartbeats
 	for id, proxy := range proxies {
 		before := ra.linkUpCount(id)
-		proxy.SilenceOpen()
+		proxy.StallOpenConnections()
 		ra.eventually(t, "new link to "+string(id), func(r *recorder) bool {
 			a.Send(id, scheduler.Message{Demand: []scheduler.Demand{{Service: "s", Workspace: "w", Waiting: 1}}})
 			return r.linkUps[id] > before
--- a/internal/lease/explore_test.go
+++ b/internal/lease/explore_test.go
@@ -16,7 +16,7 @@
 // clocks run at different rates. It is driven by random interleavings of lost
 // and late writes, late orders, lost responses, pauses and restarts.
 
-func init() { fixedseed.Explore(3000, 60) }
+func init() { fixedseed.SetChecksAndSteps(3000, 60) }
 
 type simDaemon struct {
 	claim     Claim
--- a/internal/load/call.go
+++ b/internal/load/call.go
@@ -17,49 +17,51 @@
 	plainstandin "github.com/savorystall/savorystall/internal/standin/plain"
 )
 
-// answer is what one request received.
-type answer struct {
-	refused      string
-	cut, wrong   bool
-	tokens       int
-	first, total time.Duration
+// result is the outcome of one request. The rejection is the name of a result code
+// or of an error, empty if the request was accepted; truncated reports a response
+// that ended early, mismatch a complete response with the wrong content.
+type result struct {
+	rejection           string
+	truncated, mismatch bool
+	tokens              int
+	firstByte, total    time.Duration
 }
 
-func (c *caller) call(ctx context.Context) answer {
+func (c *caller) send(ctx context.Context) result {
 	c.sent++
-	began := time.Now()
-	mark := fmt.Sprintf("%s-%d-%d-%s", c.stream.Name, c.number, c.sent, ident.NewRequest())
-	request, err := c.request(ctx, mark)
+	start := time.Now()
+	mark := fmt.Sprintf("%s-%d-%d-%s", c.stream.Name, c.index, c.sent, ident.NewRequest())
+	request, err := c.newRequest(ctx, mark)
 	if err != nil {
-		return answer{refused: "bad_url"}
+		return result{rejection: "bad_url"}
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		return answer{refused: "no_connection"}
+		return result{rejection: "no_connection"}
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode >= http.StatusBadRequest {
-		return answer{refused: refusal(response)}
+		return result{rejection: rejectionName(response)}
 	}
-	var a answer
+	var res result
 	if c.stream.Model != "" {
-		a = c.readStream(response.Body, mark, began)
+		res = c.readEventStream(response.Body, mark, start)
 	} else {
-		a = readPlain(response.Body, mark, began)
+		res = readEcho(response.Body, mark, start)
 	}
-	a.total = time.Since(began)
-	return a
+	res.total = time.Since(start)
+	return res
 }
 
-func (c *caller) request(ctx context.Context, mark string) (*http.Request, error) {
-	base := c.stream.Daemons[(c.number+c.sent)%len(c.stream.Daemons)]
+func (c *caller) newRequest(ctx context.Context, mark string) (*http.Request, error) {
+	base := c.stream.Daemons[(c.index+c.sent)%len(c.stream.Daemons)]
 	method, path, body := c.stream.Method, c.stream.Path, io.Reader(strings.NewReader(mark))
 	if c.stream.Model != "" {
-		// Marshalling strings and numbers cannot fail.
-		text, _ := json.Marshal(map[string]any{
+		// Marshaling strings and numbers cannot fail.
+		encoded, _ := json.Marshal(map[string]any{
 			"model": c.stream.Model, "prompt": mark, "max_tokens": c.stream.MaxTokens, "stream": true,
 		})
-		method, path, body = http.MethodPost, "/v1/completions", bytes.NewReader(text)
+		method, path, body = http.MethodPost, "/v1/completions", bytes.NewReader(encoded)
 	}
 	request, err := http.NewRequestWithContext(ctx, method, base+path, body)
 	if err != nil {
@@ -75,7 +77,7 @@
 	return request, nil
 }
 
-func refusal(response *http.Response) string {
+func rejectionName(response *http.Response) string {
 	var body struct {
 		Error struct {
 			Name string `json:"name"`
@@ -87,10 +89,10 @@
 	return body.Error.Name
 }
 
-// readStream reads server-sent events up to the end mark and compares the text
-// with what the stand-in engine says to this prompt.
-func (c *caller) readStream(body io.Reader, mark string, began time.Time) answer {
-	var a answer
+// readEventStream reads server-sent events up to the end mark and compares the
+// text with the answer of the simulated engine to this prompt.
+func (c *caller) readEventStream(body io.Reader, mark string, start time.Time) result {
+	var res result
 	var text strings.Builder
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
@@ -99,17 +101,17 @@
 			continue
 		}
 		if data == "[DONE]" {
-			a.wrong = text.String() != enginestandin.Text(mark, c.stream.MaxTokens)
-			a.tokens = c.stream.MaxTokens
-			return a
+			res.mismatch = text.String() != enginestandin.Text(mark, c.stream.MaxTokens)
+			res.tokens = c.stream.MaxTokens
+			return res
 		}
-		if a.first == 0 {
-			a.first = time.Since(began)
+		if res.firstByte == 0 {
+			res.firstByte = time.Since(start)
 		}
 		text.WriteString(chunkText(data))
 	}
-	a.cut = true
-	return a
+	res.truncated = true
+	return res
 }
 
 func chunkText(data string) string {
@@ -124,17 +126,18 @@
 	return chunk.Choices[0].Text
 }
 
-// readPlain checks that the stand-in service answered this very request.
-func readPlain(body io.Reader, mark string, began time.Time) answer {
+// readEcho checks that the response of the simulated plain service belongs to this
+// request.
+func readEcho(body io.Reader, mark string, start time.Time) result {
 	text, err := io.ReadAll(body)
-	a := answer{first: time.Since(began)}
+	res := result{firstByte: time.Since(start)}
 	if err != nil {
-		a.cut = true
-		return a
+		res.truncated = true
+		return res
 	}
 	var echo struct {
 		Mark string `json:"mark"`
 	}
-	a.wrong = json.Unmarshal(text, &echo) != nil || echo.Mark != mark
-	return a
+	res.mismatch = json.Unmarshal(text, &echo) != nil || echo.Mark != mark
+	return res
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -11,14 +11,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Write prints the rows as a table.
-func Write(w io.Writer, rows []*Row) error {
+// WriteTable writes the results as a table with one row per stream.
+func WriteTable(w io.Writer, results []*StreamResult) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "STREAM\tCOMPLETE\tWRONG\tCUT\tTOKENS\tFIRST p50\tp95\tp99\tTOTAL p50\tp99\tREFUSED")
-	for _, r := range rows {
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", r.Name, r.Complete, r.Wrong, r.Cut, r.Tokens,
-			quantile(r.First, 50), quantile(r.First, 95), quantile(r.First, 99),
-			quantile(r.Total, 50), quantile(r.Total, 99), refusals(r.Refused))
+	for _, result := range results {
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", result.Name, result.Complete, result.Wrong, result.Cut, result.Tokens,
+			quantile(result.First, 50), quantile(result.First, 95), quantile(result.First, 99),
+			quantile(result.Total, 50), quantile(result.Total, 99), formatRejections(result.Refused))
 	}
 	return table.Flush()
 }
@@ -28,12 +28,12 @@
 	return d.Round(100 * time.Microsecond).String()
 }
 
-func refusals(byName map[string]int) string {
-	if len(byName) == 0 {
+func formatRejections(counts map[string]int) string {
+	if len(counts) == 0 {
 		return "-"
 	}
 	var parts []string
-	for name, n := range byName {
+	for name, n := range counts {
 		parts = append(parts, fmt.Sprintf("%s:%d", name, n))
 	}
 	sort.Strings(parts)
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -9,18 +9,19 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Row is what the callers of one stream received.
-type Row struct {
+// StreamResult summarizes what the callers of one stream received.
+type StreamResult struct {
 	Name string
-	// Complete answers were whole and right; Wrong ones were called complete
-	// and were not right; Cut ones ended early with a visible error.
+	// Complete counts answers that were complete and correct, Wrong those that
+	// ended as complete but had the wrong content, and Cut those that ended early
+	// with a visible error.
 	Complete, Wrong, Cut int
-	// Refused counts refusals by the name of their result code.
+	// Refused counts rejected requests by the name of the result code.
 	Refused map[string]int
-	// Tokens were received in all.
+	// Tokens is the total number of tokens of the complete answers.
 	Tokens int64
-	// First is the time to the first byte of the answer, Total to its end,
-	// both in microseconds.
+	// First holds the times to the first byte of an answer, Total those to its
+	// end, both in microseconds.
 	First, Total *hdrhistogram.Histogram
 }
 
@@ -29,82 +30,82 @@
 	histogramDigits = 3
 )
 
-func newRow(name string) *Row {
-	return &Row{
+func newStreamResult(name string) *StreamResult {
+	return &StreamResult{
 		Name: name, Refused: map[string]int{},
 		First: hdrhistogram.New(1, histogramMax, histogramDigits),
 		Total: hdrhistogram.New(1, histogramMax, histogramDigits),
 	}
 }
 
-func (r *Row) add(a answer) {
+func (s *StreamResult) add(res result) {
 	switch {
-	case a.refused != "":
-		r.Refused[a.refused]++
+	case res.rejection != "":
+		s.Refused[res.rejection]++
 		return
-	case a.cut:
-		r.Cut++
+	case res.truncated:
+		s.Cut++
 		return
-	case a.wrong:
-		r.Wrong++
+	case res.mismatch:
+		s.Wrong++
 		return
 	}
-	r.Complete++
-	r.Tokens += int64(a.tokens)
-	// Values above an hour are recorded as an hour; a run is never longer.
-	_ = r.First.RecordValue(min(a.first.Microseconds(), histogramMax))
-	_ = r.Total.RecordValue(min(a.total.Microseconds(), histogramMax))
+	s.Complete++
+	s.Tokens += int64(res.tokens)
+	// Values above one hour are recorded as one hour; no run is longer.
+	_ = s.First.RecordValue(min(res.firstByte.Microseconds(), histogramMax))
+	_ = s.Total.RecordValue(min(res.total.Microseconds(), histogramMax))
 }
 
-// refusedPause keeps a refused caller from asking again at once.
-const refusedPause = 20 * time.Millisecond
+// minPauseAfterRejection keeps a rejected caller from retrying immediately.
+const minPauseAfterRejection = 20 * time.Millisecond
 
-// Run sends the load until the spec's duration has passed or ctx ends, waits for
-// the answers that are under way, and returns a row for each stream.
-func Run(ctx context.Context, s Spec) []*Row {
+// Run sends requests until the spec's duration has elapsed or ctx ends, waits for
+// the requests in flight, and returns one result per stream.
+func Run(ctx context.Context, s Spec) []*StreamResult {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024, IdleConnTimeout: 10 * time.Second}}
 	defer client.CloseIdleConnections()
-	starting, cancel := context.WithTimeout(ctx, s.Duration)
+	sendCtx, cancel := context.WithTimeout(ctx, s.Duration)
 	defer cancel()
-	rows := make([]*Row, len(s.Streams))
+	results := make([]*StreamResult, len(s.Streams))
 	var callers sync.WaitGroup
 	for i, stream := range s.Streams {
-		rows[i] = newRow(stream.Name)
+		results[i] = newStreamResult(stream.Name)
 		var mu sync.Mutex
 		for n := range stream.Concurrent {
-			c := &caller{client: client, stream: stream, number: n}
+			c := &caller{client: client, stream: stream, index: n}
 			callers.Go(func() {
-				c.loop(ctx, starting, func(a answer) {
+				c.loop(ctx, sendCtx, func(res result) {
 					mu.Lock()
 					defer mu.Unlock()
-					rows[i].add(a)
+					results[i].add(res)
 				})
 			})
 		}
 	}
 	callers.Wait()
-	return rows
+	return results
 }
 
-// caller keeps one request in flight.
+// caller sends requests one after the other, so that at most one is in flight.
 type caller struct {
 	client *http.Client
 	stream Stream
-	number int
+	index  int
 	sent   int
 }
 
-func (c *caller) loop(ctx, starting context.Context, record func(answer)) {
-	for starting.Err() == nil {
-		a := c.call(ctx)
-		record(a)
+func (c *caller) loop(ctx, sendCtx context.Context, record func(result)) {
+	for sendCtx.Err() == nil {
+		res := c.send(ctx)
+		record(res)
 		pause := c.stream.Pause
-		if a.refused != "" {
-			pause = max(pause, refusedPause)
+		if res.rejection != "" {
+			pause = max(pause, minPauseAfterRejection)
 		}
 		timer := time.NewTimer(pause)
 		select {
-		case <-starting.Done():
+		case <-sendCtx.Done():
 		case <-timer.C:
 		}
 		timer.Stop()
--- a/internal/order/process_test.go
+++ b/internal/order/process_test.go
@@ -55,7 +55,7 @@
 
 // runOldDaemon runs a daemon with document 1 that blocks once at the pause point
 // given by the test and prints whether its order was accepted.
-func runOldDaemon(lines *process.Lines, args []string) {
+func runOldDaemon(lines *process.ParentPipe, args []string) {
 	url, address, fenced, pausePoint := args[0], args[1], args[2] == "true", args[3]
 	pauseOnce := func() func() {
 		done := false
@@ -64,14 +64,14 @@
 				return
 			}
 			done = true
-			lines.Say("%s", pausePoint)
-			lines.Hear()
+			lines.Send("%s", pausePoint)
+			lines.Receive()
 		}
 	}()
 	noop := func() {}
 	client := platform.NewClient(platform.ClientConfig{URL: url, Logger: slog.New(slog.DiscardHandler)})
 	var table platform.Table = client
-	target := pausingTarget{NewHTTPClient(), noop, func(err error) { lines.Say("ordered %v", err == nil) }}
+	target := pausingTarget{NewHTTPClient(), noop, func(err error) { lines.Send("ordered %v", err == nil) }}
 	if pausePoint == pauseAfterAcquire {
 		table = pausingTable{client, pauseOnce}
 	} else {
@@ -108,13 +108,13 @@
 	f.address = server.Listener.Addr().String()
 	f.child = process.Start(t, "old-daemon", f.url, f.address, strconv.FormatBool(fenced), pausePoint)
 	f.child.Expect(pausePoint)
-	f.child.Stop()
+	f.child.Suspend()
 	f.desired = newProcessDesired(2, f.address, fenced)
 	f.newReconciler = f.reconciler(t, ident.Daemon("new"), NewHTTPClient())
 	f.newReconciler.SetTargets([]Desired{f.desired})
 	eventually(t, "the later state", holds(NewHTTPClient(), f.address, f.desired))
-	f.child.Continue()
-	f.child.Tell("go on")
+	f.child.Resume()
+	f.child.Send("go on")
 	return f
 }
 
--- a/internal/order/reconciler_test.go
+++ b/internal/order/reconciler_test.go
@@ -23,7 +23,7 @@
 )
 
 func TestMain(m *testing.M) {
-	process.Main(map[string]process.Part{"old-daemon": runOldDaemon})
+	process.Main(map[string]process.ChildFunc{"old-daemon": runOldDaemon})
 	goleak.VerifyTestMain(m)
 }
 
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -38,7 +38,7 @@
 	t.Cleanup(func() {
 		client.Close()
 		listener.Close()
-		server.Wait()
+		server.WaitForDelayedWrites()
 	})
 	return &testEnv{server: server, listener: listener, client: client}
 }
@@ -88,7 +88,7 @@
 func TestLostAnswerOfAConditionalWrite(t *testing.T) {
 	is := is.New(t)
 	env := newTestEnv(t, platform.ClientConfig{})
-	env.setTableFaults(platformstandin.Faults{LoseAnswers: 3})
+	env.setTableFaults(platformstandin.Faults{LostResponses: 3})
 	revision, err := env.client.Commit(t.Context(), insert("a", "x"))
 	is.NoErr(err)
 	rows, err := env.client.Get(t.Context(), "a")
@@ -103,7 +103,7 @@
 func TestLostAnswerOfAnUnconditionalWrite(t *testing.T) {
 	is := is.New(t)
 	env := newTestEnv(t, platform.ClientConfig{})
-	env.setTableFaults(platformstandin.Faults{LoseAnswers: 1})
+	env.setTableFaults(platformstandin.Faults{LostResponses: 1})
 	tx := insert("a", "x")
 	tx.Conditions = nil
 	_, err := env.client.Commit(t.Context(), tx)
@@ -117,7 +117,7 @@
 func TestLateCopyDoesNotOverwrite(t *testing.T) {
 	is := is.New(t)
 	env := newTestEnv(t, platform.ClientConfig{})
-	env.setTableFaults(platformstandin.Faults{LoseAnswers: -1, LateEffect: 200 * time.Millisecond})
+	env.setTableFaults(platformstandin.Faults{LostResponses: -1, LostWriteDelay: 200 * time.Millisecond})
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	_, err := env.client.Commit(ctx, insert("a", "first"))
@@ -129,7 +129,7 @@
 	if err != nil {
 		want = "first" // the copies arrived before the second write
 	}
-	env.server.Wait()
+	env.server.WaitForDelayedWrites()
 	is.Equal(env.readValue(t, "a"), want)
 }
 
@@ -139,7 +139,7 @@
 func TestSupersededWriteHasUnknownOutcome(t *testing.T) {
 	is := is.New(t)
 	env := newTestEnv(t, platform.ClientConfig{})
-	env.setTableFaults(platformstandin.Faults{LoseAnswers: -1})
+	env.setTableFaults(platformstandin.Faults{LostResponses: -1})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	result := make(chan error, 1)
@@ -163,7 +163,7 @@
 // the error must say so.
 func TestOutageIsUnavailable(t *testing.T) {
 	for name, injectOutage := range map[string]func(*testEnv){
-		"answers 503":        func(env *testEnv) { env.setTableFaults(platformstandin.Faults{Down: true}) },
+		"answers 503":        func(env *testEnv) { env.setTableFaults(platformstandin.Faults{Unavailable: true}) },
 		"refuses connection": func(env *testEnv) { env.listener.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -184,7 +184,7 @@
 func TestUnresponsiveStoreLeavesOutcomeUnknown(t *testing.T) {
 	is := is.New(t)
 	env := newTestEnv(t, platform.ClientConfig{AttemptTimeout: 50 * time.Millisecond})
-	env.setTableFaults(platformstandin.Faults{Silent: true})
+	env.setTableFaults(platformstandin.Faults{NoResponse: true})
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	_, err := env.client.Commit(ctx, insert("a", "x"))
@@ -199,7 +199,7 @@
 	is := is.New(t)
 	const callers = 50
 	env := newTestEnv(t, platform.ClientConfig{CallTimeout: time.Minute})
-	env.setTableFaults(platformstandin.Faults{Down: true})
+	env.setTableFaults(platformstandin.Faults{Unavailable: true})
 	for env.server.Calls(platformstandin.Table) < 4 { // then the circuit breaker is open
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		_, err := env.client.Get(ctx, "a")
--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -8,12 +8,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Token returns the i-th token (from zero) of the answer to a prompt. Every
-// token depends on the whole prompt and on i, so that a mixed-up, lost or
-// repeated token shows.
+// Token returns the i-th token (counted from zero) of the answer to a prompt.
+// Each token depends on the whole prompt and on i, so that a client detects
+// tokens that are lost, repeated, out of order or from another answer.
 func Token(prompt string, i int) string { return token(xxhash.Sum64String(prompt), i) }
 
-// Text returns the whole answer of n tokens to a prompt.
+// Text returns the complete answer of n tokens to a prompt.
 func Text(prompt string, n int) string {
 	seed := xxhash.Sum64String(prompt)
 	var b strings.Builder
@@ -31,14 +31,14 @@
 }
 
 // PromptTokens returns the number of tokens that the stand-in counts in a
-// prompt: one for each four bytes begun.
+// prompt: one per four bytes, rounded up.
 func PromptTokens(prompt string) int { return (len(prompt) + 3) / 4 }
 
-// prefixBytes is how much of a prompt its prefix id covers.
-const prefixBytes = 256
+// prefixLength is the number of bytes of a prompt that its prefix ID covers.
+const prefixLength = 256
 
-// Prefix returns the id under which the engine's cache events name the start
-// of a prompt: the xxhash64 of its first 256 bytes.
-func Prefix(prompt string) uint64 {
-	return xxhash.Sum64String(prompt[:min(len(prompt), prefixBytes)])
+// PrefixID returns the ID of the start of a prompt in the engine's cache events:
+// the xxhash64 of its first 256 bytes.
+func PrefixID(prompt string) uint64 {
+	return xxhash.Sum64String(prompt[:min(len(prompt), prefixLength)])
 }
--- a/internal/standin/engine/connection.go
+++ b/internal/standin/engine/connection.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// connection is one response that carries a stream or a part of it.
+// connection is one HTTP response that delivers all or part of a stream.
 type connection struct {
-	engine *Engine
-	stream *stream
-	reader chan struct{}
-	fault  *Fault
-	w      http.ResponseWriter
-	r      *http.Request
-	// skipped is set once FaultSkip has left out its token.
+	engine  *Engine
+	stream  *stream
+	updates chan struct{}
+	fault   *Fault
+	w       http.ResponseWriter
+	r       *http.Request
+	// skipped reports that FaultSkipToken has already omitted a token.
 	skipped bool
 }
 
-// follow writes the stream's events after the offset until its end.
-func (c *connection) follow(offset int) {
-	if c.failBeforeHeader() {
+// streamEvents writes the stream's events after the offset until the stream ends.
+func (c *connection) streamEvents(offset int) {
+	if c.applyFaultBeforeHeader() {
 		return
 	}
 	c.w.Header().Set("Content-Type", "text/event-stream")
 	c.w.WriteHeader(http.StatusOK)
-	flush := http.NewResponseController(c.w)
-	_ = flush.Flush()
-	heartbeat := time.NewTicker(c.engine.cfg.Heartbeat)
+	controller := http.NewResponseController(c.w)
+	_ = controller.Flush()
+	heartbeat := time.NewTicker(c.engine.cfg.HeartbeatInterval)
 	defer heartbeat.Stop()
 	for {
 		produced, canceled := c.progress()
@@ -44,19 +44,19 @@
 			_, _ = c.w.Write([]byte("data: [DONE]\n\n"))
 			return
 		}
-		_ = flush.Flush()
-		if !c.wait(heartbeat.C) {
+		_ = controller.Flush()
+		if !c.waitForProgress(heartbeat.C) {
 			return
 		}
 	}
 }
 
-// wait returns true when the stream has moved on, and false when the
-// connection is to end. It writes a heartbeat where nothing moves.
-func (c *connection) wait(heartbeat <-chan time.Time) bool {
+// waitForProgress returns true when the stream has changed, and false when the
+// client has disconnected. It sends heartbeats while it waits.
+func (c *connection) waitForProgress(heartbeat <-chan time.Time) bool {
 	for {
 		select {
-		case <-c.reader:
+		case <-c.updates:
 			return true
 		case <-heartbeat:
 			_, _ = c.w.Write([]byte(": heartbeat\n\n"))
@@ -75,22 +75,23 @@
 	return c.stream.produced, c.stream.canceled
 }
 
-// failBeforeHeader applies the faults that leave a request without an answer.
-func (c *connection) failBeforeHeader() bool {
+// applyFaultBeforeHeader applies the faults that leave a request without a
+// response.
+func (c *connection) applyFaultBeforeHeader() bool {
 	if c.fault == nil {
 		return false
 	}
 	switch c.fault.Kind {
 	case FaultReset:
 		panic(http.ErrAbortHandler)
-	case FaultMute:
-		c.hang()
+	case FaultNoResponse:
+		c.blockUntilClosed()
 		return true
 	}
 	return false
 }
 
-func (c *connection) hang() {
+func (c *connection) blockUntilClosed() {
 	select {
 	case <-c.r.Context().Done():
 	case <-c.engine.stop:
@@ -98,8 +99,8 @@
 	}
 }
 
-// writeEvents writes the tokens from one offset to another. It returns true
-// where a fault has ended the response.
+// writeEvents writes the events of the tokens in [from, to). It returns true if a
+// fault has ended the response.
 func (c *connection) writeEvents(from, to int) (ended bool) {
 	var b bytes.Buffer
 	for i := from; i < to; i++ {
@@ -110,7 +111,7 @@
 			if c.applyFault() {
 				return true
 			}
-			if c.fault.Kind == FaultSkip && !c.skipped {
+			if c.fault.Kind == FaultSkipToken && !c.skipped {
 				c.skipped = true
 				continue
 			}
@@ -121,16 +122,18 @@
 	return false
 }
 
-// applyFault returns true where the response has ended in good order.
+// applyFault applies the connection's fault. It returns true if the response ends
+// normally, and panics with http.ErrAbortHandler if the connection is to be
+// aborted.
 func (c *connection) applyFault() (ended bool) {
 	switch c.fault.Kind {
-	case FaultCut:
+	case FaultDisconnect:
 		panic(http.ErrAbortHandler)
-	case FaultForget:
-		c.forget()
+	case FaultLoseStream:
+		c.dropStream()
 		panic(http.ErrAbortHandler)
-	case FaultSilence:
-		c.hang()
+	case FaultStall:
+		c.blockUntilClosed()
 		return true
 	case FaultEndEarly:
 		return true
@@ -141,7 +144,7 @@
 	return false
 }
 
-func (c *connection) forget() {
+func (c *connection) dropStream() {
 	c.engine.mu.Lock()
 	defer c.engine.mu.Unlock()
 	c.engine.cancelStream(c.stream)
@@ -157,17 +160,17 @@
 	s := c.stream
 	text := Token(s.prompt, i)
 	out := chunk{ID: "cmpl-" + s.attempt, Object: objectCompletion, Created: s.created, Model: s.model}
-	one := choice{Text: &text}
+	answerChoice := choice{Text: &text}
 	if s.chat {
 		out.Object = objectChatChunk
-		one = choice{Delta: &message{Role: "assistant", Content: text}}
+		answerChoice = choice{Delta: &message{Role: "assistant", Content: text}}
 	}
 	if i+1 == s.total {
-		one.FinishReason = new(string)
-		*one.FinishReason = finishLength
+		answerChoice.FinishReason = new(string)
+		*answerChoice.FinishReason = finishLength
 		out.Usage = s.usage()
 	}
-	out.Choices = []choice{one}
+	out.Choices = []choice{answerChoice}
 	return out
 }
 
@@ -176,9 +179,10 @@
 	return &usage{PromptTokens: prompt, CompletionTokens: s.total, TotalTokens: prompt + s.total}
 }
 
-// whole writes the answer in one piece when it is complete.
-func (c *connection) whole() {
-	if c.failBeforeHeader() {
+// sendCompletion writes the complete answer as a single JSON body once it is
+// generated.
+func (c *connection) sendCompletion() {
+	if c.applyFaultBeforeHeader() {
 		return
 	}
 	for {
@@ -190,26 +194,26 @@
 			break
 		}
 		select {
-		case <-c.reader:
+		case <-c.updates:
 		case <-c.r.Context().Done():
 			return
 		case <-c.engine.stop:
 			panic(http.ErrAbortHandler)
 		}
 	}
-	writeJSON(c.w, http.StatusOK, c.wholeChunk())
+	writeJSON(c.w, http.StatusOK, c.completion())
 }
 
-func (c *connection) wholeChunk() chunk {
+func (c *connection) completion() chunk {
 	s := c.stream
 	text := Text(s.prompt, s.total)
-	finish := finishLength
+	finishReason := finishLength
 	out := chunk{ID: "cmpl-" + s.attempt, Object: objectCompletion, Created: s.created, Model: s.model, Usage: s.usage()}
-	one := choice{Text: &text, FinishReason: &finish}
+	answerChoice := choice{Text: &text, FinishReason: &finishReason}
 	if s.chat {
 		out.Object = objectChat
-		one = choice{Message: &message{Role: "assistant", Content: text}, FinishReason: &finish}
+		answerChoice = choice{Message: &message{Role: "assistant", Content: text}, FinishReason: &finishReason}
 	}
-	out.Choices = []choice{one}
+	out.Choices = []choice{answerChoice}
 	return out
 }
--- a/internal/standin/engine/control.go
+++ b/internal/standin/engine/control.go
@@ -10,21 +10,22 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// refreshStatus replaces the published figures once they are StatusLag old.
-// The word that the engine leaves is never late.
+// refreshStatus replaces the published figures once they are StatusLag old. The
+// leaving flag and the models are always current.
 func (e *Engine) refreshStatus(now time.Time) {
-	if now.Sub(e.statusSeen) >= e.cfg.StatusLag {
-		e.statusSeen = now
+	if now.Sub(e.statusUpdatedAt) >= e.cfg.StatusLag {
+		e.statusUpdatedAt = now
 		e.status.Running = len(e.running)
 		e.status.Waiting = len(e.waiting)
 		e.status.StepMS = float64(e.lastStep) / float64(time.Millisecond)
 	}
 	e.status.Leaving = e.leaving
-	e.status.Models = e.models()
+	e.status.Models = e.servedModels()
 }
 
-// models returns the models that are served; nil means any.
-func (e *Engine) models() []string {
+// servedModels returns the models of the latest orders, or those configured if
+// there are none; nil means any model.
+func (e *Engine) servedModels() []string {
 	if len(e.orders) == 0 {
 		return e.cfg.Models
 	}
@@ -32,29 +33,29 @@
 }
 
 func (e *Engine) postOrders(w http.ResponseWriter, r *http.Request) {
-	var o Orders
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&o); err != nil {
+	var orders Orders
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodySize)).Decode(&orders); err != nil {
 		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if n := len(e.orders); n > 0 && e.cfg.EnforceFencing && o.Fencing < e.orders[n-1].Fencing {
+	if n := len(e.orders); n > 0 && e.cfg.EnforceFencing && orders.Fencing < e.orders[n-1].Fencing {
 		writeJSON(w, http.StatusConflict, e.orders[n-1])
 		return
 	}
-	e.orders = append(e.orders, o)
-	writeJSON(w, http.StatusOK, o)
+	e.orders = append(e.orders, orders)
+	writeJSON(w, http.StatusOK, orders)
 }
 
 func (e *Engine) getOrders(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	present := Orders{Models: e.cfg.Models}
+	current := Orders{Models: e.cfg.Models}
 	if n := len(e.orders); n > 0 {
-		present = e.orders[n-1]
+		current = e.orders[n-1]
 	}
-	writeJSON(w, http.StatusOK, present)
+	writeJSON(w, http.StatusOK, current)
 }
 
 func (e *Engine) serveCache(w http.ResponseWriter, r *http.Request) {
@@ -66,86 +67,88 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cache.polls++
-	writeJSON(w, http.StatusOK, e.cache.after(after, limit, time.Now()))
+	writeJSON(w, http.StatusOK, e.cache.eventsAfter(after, limit, time.Now()))
 }
 
-// Store puts the start of a prompt into the cache, as a request with it does.
-func (e *Engine) Store(prompt string) {
+// CachePrompt adds the start of a prompt to the cache, as a request with this
+// prompt does.
+func (e *Engine) CachePrompt(prompt string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.cache.store(Prefix(prompt), time.Now())
+	e.cache.store(PrefixID(prompt), time.Now())
 }
 
-// CachePolls returns how often the cache events were asked for.
+// CachePolls returns the number of requests for cache events.
 func (e *Engine) CachePolls() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.cache.polls
 }
 
-// maxCacheEvents bounds the events that are kept for polls.
+// maxCacheEvents bounds the events that are retained for polls.
 const maxCacheEvents = 1024
 
-type timedEvent struct {
+type timestampedEvent struct {
 	CacheEvent
-	at time.Time
+	publishedAt time.Time
 }
 
-// cache is a prefix cache that forgets its oldest entry first.
+// cache is a prefix cache that evicts its oldest entry first (FIFO).
 type cache struct {
-	// run names the engine's run.
-	run     string
-	entries int
-	lag     time.Duration
-	gap     int
-	order   []uint64
-	held    map[uint64]bool
-	events  []timedEvent
-	next    uint64
-	polls   int
+	// runID identifies the run of the engine; a restarted engine has another.
+	runID          string
+	capacity       int
+	publishDelay   time.Duration
+	dropInterval   int
+	insertionOrder []uint64
+	cached         map[uint64]bool
+	events         []timestampedEvent
+	lastSequence   uint64
+	polls          int
 }
 
 func newCache(cfg Config) cache {
-	return cache{run: string(ident.NewAttempt()), entries: cfg.CacheEntries, lag: cfg.CacheLag, gap: cfg.CacheGap, held: map[uint64]bool{}}
+	return cache{runID: string(ident.NewAttempt()), capacity: cfg.CacheEntries, publishDelay: cfg.CacheEventDelay, dropInterval: cfg.CacheEventDropInterval, cached: map[uint64]bool{}}
 }
 
-func (c *cache) store(prefix uint64, now time.Time) {
-	if c.held[prefix] {
+func (c *cache) store(prefixID uint64, now time.Time) {
+	if c.cached[prefixID] {
 		return
 	}
-	c.held[prefix] = true
-	c.order = append(c.order, prefix)
-	c.publish("stored", prefix, now)
-	if len(c.order) <= c.entries {
+	c.cached[prefixID] = true
+	c.insertionOrder = append(c.insertionOrder, prefixID)
+	c.publish("stored", prefixID, now)
+	if len(c.insertionOrder) <= c.capacity {
 		return
 	}
-	oldest := c.order[0]
-	c.order = c.order[1:]
-	delete(c.held, oldest)
+	oldest := c.insertionOrder[0]
+	c.insertionOrder = c.insertionOrder[1:]
+	delete(c.cached, oldest)
 	c.publish("evicted", oldest, now)
 }
 
-func (c *cache) publish(kind string, prefix uint64, now time.Time) {
-	c.next++
-	if c.gap > 0 && c.next%uint64(c.gap) == 0 {
+func (c *cache) publish(kind string, prefixID uint64, now time.Time) {
+	c.lastSequence++
+	if c.dropInterval > 0 && c.lastSequence%uint64(c.dropInterval) == 0 {
 		return
 	}
-	e := CacheEvent{Sequence: c.next, Kind: kind, Prefix: fmt.Sprintf("%016x", prefix)}
-	c.events = append(c.events, timedEvent{CacheEvent: e, at: now})
+	e := CacheEvent{Sequence: c.lastSequence, Kind: kind, Prefix: fmt.Sprintf("%016x", prefixID)}
+	c.events = append(c.events, timestampedEvent{CacheEvent: e, publishedAt: now})
 	if len(c.events) > maxCacheEvents {
 		c.events = c.events[1:]
 	}
 }
 
-// after returns at most limit events that follow a number. A number that this run
-// has not reached is one of a former run: it gets none and starts anew.
-func (c *cache) after(seq uint64, limit int, now time.Time) CacheEvents {
-	if seq > c.next {
+// eventsAfter returns at most limit events with a sequence number above seq. A
+// number that this run has not reached belongs to an earlier run; reading then
+// restarts from the beginning.
+func (c *cache) eventsAfter(seq uint64, limit int, now time.Time) CacheEvents {
+	if seq > c.lastSequence {
 		seq = 0
 	}
-	out := CacheEvents{Run: c.run, Events: []CacheEvent{}, Next: seq}
+	out := CacheEvents{Run: c.runID, Events: []CacheEvent{}, Next: seq}
 	for _, e := range c.events {
-		if e.Sequence <= out.Next || now.Sub(e.at) < c.lag {
+		if e.Sequence <= out.Next || now.Sub(e.publishedAt) < c.publishDelay {
 			continue
 		}
 		if len(out.Events) == limit {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,8 +1,8 @@
-// Package enginestandin takes the place of a model engine in tests and in the
-// daemon's development mode. It batches continuously, knows no priorities,
-// admits requests as they arrive, streams answers that a client can verify
-// token by token, and keeps a record of all that it ran. Faults are injected
-// by its methods.
+// Package enginestandin simulates a model engine for tests and for the daemon's
+// development mode. It uses continuous batching, has no priorities, admits
+// requests in order of arrival, streams answers that a client can verify token
+// by token, and records every request that it ran. Faults are injected through
+// its methods.
 package enginestandin
 
 import (
@@ -14,86 +14,92 @@
 	"github.com/gorilla/mux"
 )
 
-// Config describes one stand-in.
+// Config configures an Engine.
 type Config struct {
-	// Step is the time in which every running stream gains one token.
-	// Default: 2 ms.
+	// Step is the duration of a step, in which every running stream generates one
+	// token. Default: 2 ms.
 	Step time.Duration
 	// StepPerStream is added to Step for each running stream. Default: none.
 	StepPerStream time.Duration
-	// Slots is the number of streams in the batch. Default: 64.
+	// Slots is the maximum number of streams in the batch. Default: 64.
 	Slots int
-	// Queue is the number of requests that wait for the batch. Default: 1024.
-	Queue int
-	// Models are served before any order. Default: any model is.
+	// QueueLimit is the maximum number of requests that wait for a slot in the
+	// batch. Default: 1024.
+	QueueLimit int
+	// Models lists the models that are served before any orders arrive. Default:
+	// any model.
 	Models []string
-	// EnforceFencing refuses an order with an old fencing number.
+	// EnforceFencing rejects orders with an outdated fencing number.
 	EnforceFencing bool
-	// KeepDetached is how long a stream without a connection is kept, to be
-	// resumed. Default: 10 s.
-	KeepDetached time.Duration
-	// Heartbeat is the longest silence on a healthy stream. Default: 1 s.
-	Heartbeat time.Duration
-	// StatusLag is the age of the figures of GET /status. Default: 200 ms.
+	// DetachedTimeout is how long a stream without a connection can be resumed
+	// before it is dropped. Default: 10 s.
+	DetachedTimeout time.Duration
+	// HeartbeatInterval is the maximum time without data on a healthy stream.
+	// Default: 1 s.
+	HeartbeatInterval time.Duration
+	// StatusLag is the maximum age of the figures of GET /status. Default: 200 ms.
 	StatusLag time.Duration
-	// CacheEntries bounds the prefixes in the cache. Default: 64.
+	// CacheEntries is the maximum number of prefixes in the cache. Default: 64.
 	CacheEntries int
-	// CacheLag is the age at which cache events are published. Default: 500 ms.
-	CacheLag time.Duration
-	// CacheGap drops each n-th cache event. Default: 7; below zero: none.
-	CacheGap int
-	// NoContinue ignores the offset of a request and begins its answer anew, as
-	// an engine does that does not know of it.
-	NoContinue bool
+	// CacheEventDelay is the time after which a cache event is published. Default:
+	// 500 ms.
+	CacheEventDelay time.Duration
+	// CacheEventDropInterval drops every n-th cache event. Default: 7; a negative
+	// value drops none.
+	CacheEventDropInterval int
+	// IgnoreOffset ignores the offset of a request and generates its answer from
+	// the start, as an engine without support for continuation does.
+	IgnoreOffset bool
 }
 
 // Defaults of Config.
 const (
-	defaultStep         = 2 * time.Millisecond
-	defaultSlots        = 64
-	defaultQueue        = 1024
-	defaultKeepDetached = 10 * time.Second
-	defaultHeartbeat    = time.Second
-	defaultStatusLag    = 200 * time.Millisecond
-	defaultCacheEntries = 64
-	defaultCacheLag     = 500 * time.Millisecond
-	defaultCacheGap     = 7
+	defaultStep                   = 2 * time.Millisecond
+	defaultSlots                  = 64
+	defaultQueueLimit             = 1024
+	defaultDetachedTimeout        = 10 * time.Second
+	defaultHeartbeatInterval      = time.Second
+	defaultStatusLag              = 200 * time.Millisecond
+	defaultCacheEntries           = 64
+	defaultCacheEventDelay        = 500 * time.Millisecond
+	defaultCacheEventDropInterval = 7
 )
 
 func (c Config) withDefaults() Config {
 	c.Step = cmp.Or(c.Step, defaultStep)
 	c.Slots = cmp.Or(c.Slots, defaultSlots)
-	c.Queue = cmp.Or(c.Queue, defaultQueue)
-	c.KeepDetached = cmp.Or(c.KeepDetached, defaultKeepDetached)
-	c.Heartbeat = cmp.Or(c.Heartbeat, defaultHeartbeat)
+	c.QueueLimit = cmp.Or(c.QueueLimit, defaultQueueLimit)
+	c.DetachedTimeout = cmp.Or(c.DetachedTimeout, defaultDetachedTimeout)
+	c.HeartbeatInterval = cmp.Or(c.HeartbeatInterval, defaultHeartbeatInterval)
 	c.StatusLag = cmp.Or(c.StatusLag, defaultStatusLag)
 	c.CacheEntries = cmp.Or(c.CacheEntries, defaultCacheEntries)
-	c.CacheLag = cmp.Or(c.CacheLag, defaultCacheLag)
-	c.CacheGap = cmp.Or(c.CacheGap, defaultCacheGap)
+	c.CacheEventDelay = cmp.Or(c.CacheEventDelay, defaultCacheEventDelay)
+	c.CacheEventDropInterval = cmp.Or(c.CacheEventDropInterval, defaultCacheEventDropInterval)
 	return c
 }
 
-// Counts is what the engine did since it started.
+// Counts holds the engine's counters since its start.
 type Counts struct {
-	// Started and Finished count streams; Canceled those that were deleted or
-	// that nobody resumed.
+	// Started and Finished count streams; Canceled counts those that were deleted
+	// or not resumed in time.
 	Started, Finished, Canceled int
 	// Resumed counts connections that resumed a stream.
 	Resumed int
-	// Continued counts streams that went on after an earlier one was canceled,
-	// and Reread the tokens of prompts and answers that were read again for them.
-	Continued, Reread int
-	// Refused counts requests that were not processed.
-	Refused int
-	// Repeated counts requests with an attempt that was known already.
-	Repeated int
-	// MaxRunning is the largest batch.
+	// Continued counts streams that continued the answer of an earlier, canceled
+	// one. RecomputedTokens counts the tokens of the prompts and partial answers
+	// that were processed again for them.
+	Continued, RecomputedTokens int
+	// Rejected counts requests that were not run.
+	Rejected int
+	// Duplicates counts requests with the attempt ID of an existing stream.
+	Duplicates int
+	// MaxRunning is the size of the largest batch.
 	MaxRunning int
 	// Tokens counts generated tokens.
 	Tokens int
 }
 
-// Engine is a stand-in. It is an http.Handler.
+// Engine is a simulated model engine. It is an http.Handler.
 type Engine struct {
 	cfg    Config
 	router *mux.Router
@@ -101,36 +107,36 @@
 	stop   chan struct{}
 	done   chan struct{}
 
-	mu                             sync.Mutex
-	streams                        map[string]*stream
-	running                        []*stream
-	waiting                        []*stream
-	ran                            map[string]int
-	traces                         map[string]string
-	counts                         Counts
-	faults                         []*Fault
-	leaving                        bool
-	step                           time.Duration
-	lastStep                       time.Duration
-	status                         Status
-	steppedAt, statusSeen, sweptAt time.Time
-	orders                         []Orders
-	cache                          cache
+	mu                                       sync.Mutex
+	streams                                  map[string]*stream
+	running                                  []*stream
+	waiting                                  []*stream
+	runCounts                                map[string]int
+	traceParents                             map[string]string
+	counts                                   Counts
+	faults                                   []*Fault
+	leaving                                  bool
+	stepTime                                 time.Duration
+	lastStep                                 time.Duration
+	status                                   Status
+	lastStepAt, statusUpdatedAt, lastSweepAt time.Time
+	orders                                   []Orders
+	cache                                    cache
 }
 
-// New starts an engine. Close ends it.
+// New starts an engine. Close stops it.
 func New(cfg Config) *Engine {
 	cfg = cfg.withDefaults()
 	e := &Engine{
-		cfg:     cfg,
-		wake:    make(chan struct{}, 1),
-		stop:    make(chan struct{}),
-		done:    make(chan struct{}),
-		streams: map[string]*stream{},
-		ran:     map[string]int{},
-		traces:  map[string]string{},
-		step:    cfg.Step,
-		cache:   newCache(cfg),
+		cfg:          cfg,
+		wake:         make(chan struct{}, 1),
+		stop:         make(chan struct{}),
+		done:         make(chan struct{}),
+		streams:      map[string]*stream{},
+		runCounts:    map[string]int{},
+		traceParents: map[string]string{},
+		stepTime:     cfg.Step,
+		cache:        newCache(cfg),
 	}
 	e.router = e.routes()
 	go e.run()
@@ -153,56 +159,56 @@
 // ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.router.ServeHTTP(w, r) }
 
-// Close ends the engine and its open connections.
+// Close stops the engine and aborts its open connections.
 func (e *Engine) Close() {
 	close(e.stop)
 	<-e.done
 }
 
-// Ran returns how often a request with this mark was run. The mark of a
-// request is its prompt.
-func (e *Engine) Ran(mark string) int {
+// RunCount returns the number of requests with this prompt that were run.
+func (e *Engine) RunCount(prompt string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.ran[mark]
+	return e.runCounts[prompt]
 }
 
-// Trace returns the traceparent header of the last request with this mark.
-func (e *Engine) Trace(mark string) string {
+// TraceParent returns the traceparent header of the last request with this
+// prompt.
+func (e *Engine) TraceParent(prompt string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.traces[mark]
+	return e.traceParents[prompt]
 }
 
-// Counts returns what the engine did so far.
+// Counts returns the current counters.
 func (e *Engine) Counts() Counts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.counts
 }
 
-// Running returns the number of streams that run or wait for the batch.
-func (e *Engine) Running() int {
+// ActiveStreams returns the number of streams that run or wait for a slot.
+func (e *Engine) ActiveStreams() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.running) + len(e.waiting)
 }
 
-// SetLeaving makes the engine refuse new work, or take it again.
+// SetLeaving makes the engine reject new requests, or accept them again.
 func (e *Engine) SetLeaving(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = leaving
 }
 
-// SetStep changes the time of a step.
-func (e *Engine) SetStep(step time.Duration) {
+// SetStepTime changes the duration of a step.
+func (e *Engine) SetStepTime(step time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.step = step
+	e.stepTime = step
 }
 
-// Orders returns the orders that were accepted, oldest first.
+// Orders returns the accepted orders, oldest first.
 func (e *Engine) Orders() []Orders {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/engine/fault.go
+++ b/internal/standin/engine/fault.go
@@ -1,47 +1,48 @@
 package enginestandin
 
-// FaultKind is a way in which a connection of the engine goes wrong.
+// FaultKind is the kind of a fault on a connection to the engine.
 type FaultKind int
 
 // Kinds of faults.
 const (
-	// FaultCut closes the connection after some tokens; the stream runs on.
-	FaultCut FaultKind = iota
-	// FaultSilence keeps the connection open after some tokens and writes
-	// nothing more to it, not even heartbeats; the stream runs on.
-	FaultSilence
-	// FaultEndEarly ends the response in good order after some tokens, without
-	// the end mark.
+	// FaultDisconnect closes the connection after some tokens; the stream keeps
+	// running.
+	FaultDisconnect FaultKind = iota
+	// FaultStall keeps the connection open after some tokens but sends nothing
+	// more, not even heartbeats; the stream keeps running.
+	FaultStall
+	// FaultEndEarly ends the response normally after some tokens, but without the
+	// end mark.
 	FaultEndEarly
 	// FaultErrorEvent sends an error event after some tokens.
 	FaultErrorEvent
-	// FaultSkip leaves out one token after some tokens.
-	FaultSkip
-	// FaultForget closes the connection after some tokens and forgets the
-	// stream, as a restarted engine does.
-	FaultForget
-	// FaultReset runs the request and closes the connection without an answer.
+	// FaultSkipToken omits one token after some tokens.
+	FaultSkipToken
+	// FaultLoseStream closes the connection after some tokens and drops the
+	// stream, as a restart of the engine does.
+	FaultLoseStream
+	// FaultReset runs the request and closes the connection without a response.
 	FaultReset
-	// FaultMute runs the request and never answers on this connection.
-	FaultMute
-	// FaultFail answers with status 500; the request is counted as run.
-	FaultFail
-	// FaultRefuse answers that the request was not processed.
-	FaultRefuse
+	// FaultNoResponse runs the request but never responds on this connection.
+	FaultNoResponse
+	// FaultServerError responds with status 500; the request is counted as run.
+	FaultServerError
+	// FaultReject responds that the request was not processed.
+	FaultReject
 )
 
-// Fault is one fault to inject.
+// Fault describes a fault to inject.
 type Fault struct {
 	Kind FaultKind
-	// Mark limits the fault to one request; empty means any.
-	Mark string
+	// Prompt limits the fault to requests with this prompt; empty means any.
+	Prompt string
 	// AfterTokens is the offset at which the fault takes effect.
 	AfterTokens int
-	// Times is the number of connections it hits; zero means one.
+	// Times is the number of connections that are affected; zero means one.
 	Times int
 }
 
-// Inject arms a fault.
+// Inject adds a fault, which applies to the next matching connections.
 func (e *Engine) Inject(f Fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -49,26 +50,27 @@
 	e.faults = append(e.faults, &f)
 }
 
-// ClearFaults disarms all faults.
+// ClearFaults removes all pending faults.
 func (e *Engine) ClearFaults() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = nil
 }
 
-// takeFault returns the armed fault that hits a connection for the mark, and
-// counts the hit. It returns nil where there is none. The caller holds e.mu.
-func (e *Engine) takeFault(mark string) *Fault {
+// consumeFault returns the first pending fault that matches the prompt and
+// decrements its remaining count. It returns nil if none matches. The caller
+// holds e.mu.
+func (e *Engine) consumeFault(prompt string) *Fault {
 	for i, f := range e.faults {
-		if f.Mark != "" && f.Mark != mark {
+		if f.Prompt != "" && f.Prompt != prompt {
 			continue
 		}
 		f.Times--
 		if f.Times == 0 {
 			e.faults = append(e.faults[:i:i], e.faults[i+1:]...)
 		}
-		hit := *f
-		return &hit
+		fault := *f
+		return &fault
 	}
 	return nil
 }
--- a/internal/standin/engine/protocol.go
+++ b/internal/standin/engine/protocol.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// Headers of the engine protocol; docs/ENGINE-API.md is its description.
+// Headers of the engine protocol, which docs/ENGINE-API.md describes.
 const (
-	// HeaderAttempt names the stream of a request.
+	// HeaderAttempt is the attempt ID, which identifies the stream of a request.
 	HeaderAttempt = "X-Savorystall-Attempt"
-	// HeaderNotProcessed is "true" on an answer to a request that was not run.
+	// HeaderNotProcessed is "true" on the response to a request that was not run.
 	HeaderNotProcessed = "X-Savorystall-Not-Processed"
-	// HeaderLeaving is "true" on a refusal of an engine that is leaving.
+	// HeaderLeaving is "true" on a rejection by an engine that is leaving.
 	HeaderLeaving = "X-Savorystall-Leaving"
-	// HeaderContinued repeats the offset at which a stream goes on.
+	// HeaderContinued confirms the offset from which an answer is continued.
 	HeaderContinued = "X-Savorystall-Continued"
 )
 
@@ -24,19 +24,21 @@
 	Content string `json:"content"`
 }
 
-// generation is the body of a completion or chat request.
-type generation struct {
+// generateRequest is the body of a completion or chat request.
+type generateRequest struct {
 	Model     string    `json:"model"`
 	Prompt    string    `json:"prompt"`
 	Messages  []message `json:"messages"`
 	MaxTokens int       `json:"max_tokens"`
 	Stream    bool      `json:"stream"`
-	// Answer is what was generated before, where the request goes on after it.
+	// Answer is the part of the answer generated so far, if the request continues
+	// it.
 	Answer string `json:"answer"`
 }
 
-// text returns the prompt: of a chat, the contents joined by line feeds.
-func (g *generation) text() string {
+// promptText returns the prompt. That of a chat request is the contents of its
+// messages joined by line feeds.
+func (g *generateRequest) promptText() string {
 	if g.Messages == nil {
 		return g.Prompt
 	}
@@ -61,7 +63,7 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// chunk is the data of one event, or the whole body of an answer that is not
+// chunk is the data of one event, or the complete body of a response that is not
 // streamed.
 type chunk struct {
 	ID      string   `json:"id"`
@@ -79,7 +81,7 @@
 	finishLength     = "length"
 )
 
-// Status is the answer to GET /status. It may lag behind the truth.
+// Status is the response to GET /status. Its figures may be out of date.
 type Status struct {
 	Leaving bool `json:"leaving"`
 	Running int  `json:"running"`
@@ -89,9 +91,10 @@
 	Models []string `json:"models"`
 }
 
-// Orders is the wanted state of an engine: the whole of it, never a step.
+// Orders is the complete desired state of an engine, never a change to it.
 type Orders struct {
-	// Fencing grows with each holder of the right to give orders.
+	// Fencing is the fencing number. It grows with each new holder of the lease
+	// that permits sending orders.
 	Fencing  uint64   `json:"fencing"`
 	Models   []string `json:"models"`
 	Adapters []string `json:"adapters"`
@@ -99,45 +102,46 @@
 	Role     string   `json:"role"`
 }
 
-// CacheEvent tells that the start of a prompt entered or left the cache.
+// CacheEvent reports that the start of a prompt was added to the cache or evicted
+// from it.
 type CacheEvent struct {
 	Sequence uint64 `json:"seq"`
 	// Kind is "stored" or "evicted".
 	Kind string `json:"kind"`
-	// Prefix is the prefix id as 16 hexadecimal digits.
+	// Prefix is the prefix ID as 16 hexadecimal digits.
 	Prefix string `json:"prefix"`
 }
 
-// CacheEvents is the answer to GET /cache/events.
+// CacheEvents is the response to GET /cache/events.
 type CacheEvents struct {
-	// Run names the run of the engine: its events count from one again in
-	// another.
+	// Run identifies the run of the engine. In each run the sequence numbers start
+	// at one.
 	Run    string       `json:"run"`
 	Events []CacheEvent `json:"events"`
-	// Next is the value of "after" for the next poll.
+	// Next is the "after" parameter for the next poll.
 	Next uint64 `json:"next"`
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A client that has gone away is no concern of the stand-in.
+	// The error is ignored because it only means that the client has disconnected.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
 type errorBody struct {
-	Error errorText `json:"error"`
+	Error errorDetail `json:"error"`
 }
 
-type errorText struct {
+type errorDetail struct {
 	Message string `json:"message"`
 }
 
 func writeError(w http.ResponseWriter, status int, text string) {
-	writeJSON(w, status, errorBody{Error: errorText{Message: text}})
+	writeJSON(w, status, errorBody{Error: errorDetail{Message: text}})
 }
 
-func writeRefusal(w http.ResponseWriter, leaving bool) {
+func writeNotProcessed(w http.ResponseWriter, leaving bool) {
 	w.Header().Set(HeaderNotProcessed, "true")
 	if leaving {
 		w.Header().Set(HeaderLeaving, "true")
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -4,34 +4,37 @@
 	"time"
 )
 
-// stream is one generation. All fields are guarded by the engine's mutex.
+// stream is the generation of one answer. All fields are guarded by the engine's
+// mutex.
 type stream struct {
 	attempt string
 	model   string
 	prompt  string
 	chat    bool
 	created int64
-	// total is the length of the answer, produced what exists of it.
+	// total is the length of the answer in tokens, produced the number of tokens
+	// generated so far.
 	total, produced int
 	canceled        bool
-	// readers are the signals of the connections that follow the stream.
-	readers map[chan struct{}]struct{}
-	// detached is when the last reader left.
-	detached time.Time
+	// subscribers holds a channel for each connection that reads the stream, which
+	// signals changes.
+	subscribers map[chan struct{}]struct{}
+	// detachedAt is when a connection last unsubscribed.
+	detachedAt time.Time
 }
 
 func (s *stream) finished() bool { return s.produced >= s.total }
 
 func (s *stream) notify() {
-	for r := range s.readers {
+	for updates := range s.subscribers {
 		select {
-		case r <- struct{}{}:
+		case updates <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// run advances the batch, one token a stream and step.
+// run advances the batch by one token per stream and step.
 func (e *Engine) run() {
 	defer close(e.done)
 	timer := time.NewTimer(0)
@@ -48,21 +51,21 @@
 }
 
 const (
-	// idleStep is how often an engine without work looks around.
-	idleStep = 500 * time.Millisecond
-	// sweepEvery is how often detached streams are looked for.
-	sweepEvery = 100 * time.Millisecond
+	// idleInterval is the interval between steps while no stream runs.
+	idleInterval = 500 * time.Millisecond
+	// sweepInterval is how often expired detached streams are removed.
+	sweepInterval = 100 * time.Millisecond
 )
 
-// advance does what is due and returns the time to the next step.
+// advance performs a step if it is due and returns the time until the next.
 func (e *Engine) advance(now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if due := e.due(now); due > 0 {
+	if due := e.untilNextStep(now); due > 0 {
 		return due
 	}
-	e.steppedAt = now
-	still := e.running[:0]
+	e.lastStepAt = now
+	unfinished := e.running[:0]
 	for _, s := range e.running {
 		if s.canceled {
 			continue
@@ -72,39 +75,40 @@
 		if s.finished() {
 			e.counts.Finished++
 		} else {
-			still = append(still, s)
+			unfinished = append(unfinished, s)
 		}
 		s.notify()
 	}
-	clear(e.running[len(still):])
-	e.running = still
-	if now.Sub(e.sweptAt) >= sweepEvery {
-		e.sweptAt = now
-		e.forgetDetached(now)
+	clear(e.running[len(unfinished):])
+	e.running = unfinished
+	if now.Sub(e.lastSweepAt) >= sweepInterval {
+		e.lastSweepAt = now
+		e.expireDetached(now)
 	}
-	e.admit()
-	e.lastStep = e.step + time.Duration(len(e.running))*e.cfg.StepPerStream
+	e.fillBatch()
+	e.lastStep = e.stepTime + time.Duration(len(e.running))*e.cfg.StepPerStream
 	if len(e.running) == 0 {
-		return idleStep
+		return idleInterval
 	}
 	return e.lastStep
 }
 
-// due returns the time that is left of the present step.
-func (e *Engine) due(now time.Time) time.Duration {
+// untilNextStep returns the remaining time of the current step. It starts a step
+// if the batch is empty and requests wait.
+func (e *Engine) untilNextStep(now time.Time) time.Duration {
 	if len(e.running) == 0 {
-		e.admit()
+		e.fillBatch()
 		if len(e.running) > 0 {
-			e.steppedAt = now
-			e.lastStep = e.step + time.Duration(len(e.running))*e.cfg.StepPerStream
+			e.lastStepAt = now
+			e.lastStep = e.stepTime + time.Duration(len(e.running))*e.cfg.StepPerStream
 			return e.lastStep
 		}
 		return 0
 	}
-	return e.lastStep - now.Sub(e.steppedAt)
+	return e.lastStep - now.Sub(e.lastStepAt)
 }
 
-func (e *Engine) admit() {
+func (e *Engine) fillBatch() {
 	for len(e.waiting) > 0 && len(e.running) < e.cfg.Slots {
 		s := e.waiting[0]
 		e.waiting = e.waiting[1:]
@@ -115,9 +119,9 @@
 	e.counts.MaxRunning = max(e.counts.MaxRunning, len(e.running))
 }
 
-func (e *Engine) forgetDetached(now time.Time) {
+func (e *Engine) expireDetached(now time.Time) {
 	for id, s := range e.streams {
-		if len(s.readers) > 0 || now.Sub(s.detached) < e.cfg.KeepDetached {
+		if len(s.subscribers) > 0 || now.Sub(s.detachedAt) < e.cfg.DetachedTimeout {
 			continue
 		}
 		if !s.finished() {
@@ -136,15 +140,15 @@
 	s.notify()
 }
 
-func (e *Engine) attach(s *stream) chan struct{} {
-	r := make(chan struct{}, 1)
-	s.readers[r] = struct{}{}
-	return r
+func (e *Engine) subscribe(s *stream) chan struct{} {
+	updates := make(chan struct{}, 1)
+	s.subscribers[updates] = struct{}{}
+	return updates
 }
 
-func (e *Engine) detach(s *stream, r chan struct{}) {
+func (e *Engine) unsubscribe(s *stream, updates chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(s.readers, r)
-	s.detached = time.Now()
+	delete(s.subscribers, updates)
+	s.detachedAt = time.Now()
 }
--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -1,6 +1,6 @@
-// Package plainstandin takes the place of a plain service in tests and in the
-// daemon's development mode. It echoes what it received in a form that a client
-// can verify, records what it ran, and is slow or fails on demand.
+// Package plainstandin simulates a plain service for tests and for the daemon's
+// development mode. It echoes each request in a form that a client can verify,
+// records the requests that it ran, and delays or fails a response on request.
 package plainstandin
 
 import (
@@ -14,91 +14,93 @@
 	"time"
 )
 
-// Headers by which a request asks the stand-in to misbehave.
+// Headers with which a request controls the stand-in, and headers of the target
+// protocol.
 const (
-	// HeaderMark is the mark of a request; the query parameter "mark" is taken
-	// where the header is absent.
+	// HeaderMark is the mark, a string by which a test recognizes the request. If
+	// the header is absent, the query parameter "mark" is used.
 	HeaderMark = "X-Standin-Mark"
-	// HeaderDelay holds the answer back for a Go duration.
+	// HeaderDelay delays the response by a Go duration.
 	HeaderDelay = "X-Standin-Delay"
-	// HeaderFail is one of the Fail words.
+	// HeaderFail selects a failure; its values are the Fail constants.
 	HeaderFail = "X-Standin-Fail"
-	// HeaderPadding adds a number of bytes to the answer.
+	// HeaderPadding adds this number of bytes to the response.
 	HeaderPadding = "X-Standin-Padding"
-	// HeaderNotProcessed is "true" on an answer to a request that was not run.
+	// HeaderNotProcessed is "true" on the response to a request that was not run.
 	HeaderNotProcessed = "X-Savorystall-Not-Processed"
-	// HeaderLeaving is "true" on a refusal of a service that is leaving.
+	// HeaderLeaving is "true" on a rejection by a service that is leaving.
 	HeaderLeaving = "X-Savorystall-Leaving"
 )
 
-// Words of HeaderFail.
+// Values of HeaderFail.
 const (
-	// FailError answers with status 500.
+	// FailError responds with status 500.
 	FailError = "error"
-	// FailReset runs the request and closes the connection without an answer.
+	// FailReset runs the request and closes the connection without a response.
 	FailReset = "reset"
-	// FailCut runs the request and closes the connection within the answer.
-	FailCut = "cut"
-	// FailSilent runs the request, sends a part of the answer and then nothing.
-	FailSilent = "silent"
-	// FailMute runs the request and never answers.
-	FailMute = "mute"
-	// FailRefuse answers that the request was not processed.
-	FailRefuse = "refuse"
-	// FailUnframed answers without a length; the end of the connection is the
-	// end of the answer.
-	FailUnframed = "unframed"
+	// FailDisconnect runs the request and closes the connection in the middle of
+	// the response.
+	FailDisconnect = "cut"
+	// FailStall runs the request, sends part of the response and then nothing more.
+	FailStall = "silent"
+	// FailNoResponse runs the request and never responds.
+	FailNoResponse = "mute"
+	// FailReject responds that the request was not processed.
+	FailReject = "refuse"
+	// FailNoLength sends the response without Content-Length; the end of the
+	// connection marks its end.
+	FailNoLength = "unframed"
 )
 
-// Echo is the body of an answer.
+// Echo is the body of a response.
 type Echo struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	Query  string `json:"query"`
-	// BodySHA256 is the hash of the request's body in hexadecimal.
+	// BodySHA256 is the SHA-256 hash of the request body in hexadecimal.
 	BodySHA256 string `json:"body_sha256"`
 	Mark       string `json:"mark"`
 	Padding    string `json:"padding,omitempty"`
 }
 
-// Config describes one stand-in.
+// Config configures a Service.
 type Config struct {
-	// Delay holds each answer back. Default: none.
+	// Delay is the delay before each response. Default: none.
 	Delay time.Duration
-	// MaxBody bounds a request's body in bytes. Default: 8 MiB.
+	// MaxBody is the maximum size of a request body in bytes. Default: 8 MiB.
 	MaxBody int64
 }
 
 const defaultMaxBody = 8 << 20
 
-// Service is a stand-in. It is an http.Handler.
+// Service is a simulated plain service. It is an http.Handler.
 type Service struct {
 	cfg  Config
 	stop chan struct{}
 
-	mu      sync.Mutex
-	ran     map[string]int
-	headers map[string]http.Header
-	total   int
-	leaving bool
+	mu        sync.Mutex
+	runCounts map[string]int
+	headers   map[string]http.Header
+	totalRuns int
+	leaving   bool
 }
 
-// New returns a stand-in.
+// New returns a Service. Close aborts its open requests.
 func New(cfg Config) *Service {
 	if cfg.MaxBody == 0 {
 		cfg.MaxBody = defaultMaxBody
 	}
-	return &Service{cfg: cfg, stop: make(chan struct{}), ran: map[string]int{}, headers: map[string]http.Header{}}
+	return &Service{cfg: cfg, stop: make(chan struct{}), runCounts: map[string]int{}, headers: map[string]http.Header{}}
 }
 
-// Close ends the requests that hang.
+// Close aborts the requests that are delayed or stalled.
 func (s *Service) Close() { close(s.stop) }
 
-// Ran returns how often a request with this mark was run.
-func (s *Service) Ran(mark string) int {
+// RunCount returns the number of requests with this mark that were run.
+func (s *Service) RunCount(mark string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ran[mark]
+	return s.runCounts[mark]
 }
 
 // Header returns the header of the last request with this mark.
@@ -108,21 +110,21 @@
 	return s.headers[mark].Clone()
 }
 
-// Total returns how many requests were run.
-func (s *Service) Total() int {
+// TotalRuns returns the number of requests that were run.
+func (s *Service) TotalRuns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.total
+	return s.totalRuns
 }
 
-// SetLeaving makes the service refuse new work, or take it again.
+// SetLeaving makes the service reject new requests, or accept them again.
 func (s *Service) SetLeaving(leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = leaving
 }
 
-// status is the answer to GET /status.
+// status is the response to GET /status.
 type status struct {
 	Leaving bool `json:"leaving"`
 }
@@ -140,18 +142,18 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	mark := markOf(r)
-	if !s.begin(mark, r.Header) {
-		refuse(w, s.isLeaving())
+	mark := requestMark(r)
+	if !s.recordRun(mark, r.Header) {
+		writeNotProcessed(w, s.isLeaving())
 		return
 	}
-	if !s.wait(r) {
+	if !s.delayResponse(r) {
 		return
 	}
-	s.answer(w, r, echoOf(r, body, mark))
+	s.respond(w, r, newEcho(r, body, mark))
 }
 
-func refuse(w http.ResponseWriter, leaving bool) {
+func writeNotProcessed(w http.ResponseWriter, leaving bool) {
 	w.Header().Set(HeaderNotProcessed, "true")
 	if leaving {
 		w.Header().Set(HeaderLeaving, "true")
@@ -165,55 +167,57 @@
 	return s.leaving
 }
 
-func markOf(r *http.Request) string {
+func requestMark(r *http.Request) string {
 	if mark := r.Header.Get(HeaderMark); mark != "" {
 		return mark
 	}
 	return r.URL.Query().Get("mark")
 }
 
-// begin records a run. It returns false where the request is refused.
-func (s *Service) begin(mark string, h http.Header) bool {
+// recordRun records that a request is run. It returns false if the request is
+// rejected.
+func (s *Service) recordRun(mark string, h http.Header) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.leaving || h.Get(HeaderFail) == FailRefuse {
+	if s.leaving || h.Get(HeaderFail) == FailReject {
 		return false
 	}
-	s.ran[mark]++
+	s.runCounts[mark]++
 	s.headers[mark] = h.Clone()
-	s.total++
+	s.totalRuns++
 	return true
 }
 
-func echoOf(r *http.Request, body []byte, mark string) Echo {
+func newEcho(r *http.Request, body []byte, mark string) Echo {
 	sum := sha256.Sum256(body)
-	padding, _ := strconv.Atoi(r.Header.Get(HeaderPadding))
+	paddingSize, _ := strconv.Atoi(r.Header.Get(HeaderPadding))
 	return Echo{
 		Method:     r.Method,
 		Path:       r.URL.Path,
 		Query:      r.URL.RawQuery,
 		BodySHA256: hex.EncodeToString(sum[:]),
 		Mark:       mark,
-		Padding:    Padding(mark, padding),
+		Padding:    Padding(mark, paddingSize),
 	}
 }
 
-// Padding returns n bytes that depend on the mark.
+// Padding returns n bytes derived from the mark.
 func Padding(mark string, n int) string {
 	if n <= 0 {
 		return ""
 	}
 	sum := sha256.Sum256([]byte(mark))
-	unit := hex.EncodeToString(sum[:])
-	b := make([]byte, 0, n+len(unit))
+	block := hex.EncodeToString(sum[:])
+	b := make([]byte, 0, n+len(block))
 	for len(b) < n {
-		b = append(b, unit...)
+		b = append(b, block...)
 	}
 	return string(b[:n])
 }
 
-// wait holds the answer back. It returns false where the caller left.
-func (s *Service) wait(r *http.Request) bool {
+// delayResponse waits for the delay of the request. It returns false if the caller
+// has disconnected.
+func (s *Service) delayResponse(r *http.Request) bool {
 	delay := s.cfg.Delay
 	if d, err := time.ParseDuration(r.Header.Get(HeaderDelay)); err == nil {
 		delay = d
@@ -233,28 +237,28 @@
 	}
 }
 
-func (s *Service) answer(w http.ResponseWriter, r *http.Request, echo Echo) {
+func (s *Service) respond(w http.ResponseWriter, r *http.Request, echo Echo) {
 	switch r.Header.Get(HeaderFail) {
 	case FailError:
 		writeJSON(w, http.StatusInternalServerError, echo)
 	case FailReset:
 		panic(http.ErrAbortHandler)
-	case FailMute:
-		s.hang(r)
-	case FailCut:
-		writePart(w, echo)
+	case FailNoResponse:
+		s.blockUntilClosed(r)
+	case FailDisconnect:
+		writeHalf(w, echo)
 		panic(http.ErrAbortHandler)
-	case FailSilent:
-		writePart(w, echo)
-		s.hang(r)
-	case FailUnframed:
-		writeUnframed(w, echo)
+	case FailStall:
+		writeHalf(w, echo)
+		s.blockUntilClosed(r)
+	case FailNoLength:
+		writeWithoutLength(w, echo)
 	default:
 		writeJSON(w, http.StatusOK, echo)
 	}
 }
 
-func (s *Service) hang(r *http.Request) {
+func (s *Service) blockUntilClosed(r *http.Request) {
 	select {
 	case <-r.Context().Done():
 	case <-s.stop:
@@ -262,8 +266,9 @@
 	panic(http.ErrAbortHandler)
 }
 
-// writePart announces the whole answer and sends the first half of it.
-func writePart(w http.ResponseWriter, echo Echo) {
+// writeHalf sends a header with the length of the complete response, but only the
+// first half of the body.
+func writeHalf(w http.ResponseWriter, echo Echo) {
 	data, _ := json.Marshal(echo)
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
@@ -272,7 +277,7 @@
 	_ = http.NewResponseController(w).Flush()
 }
 
-func writeUnframed(w http.ResponseWriter, echo Echo) {
+func writeWithoutLength(w http.ResponseWriter, echo Echo) {
 	conn, buf, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
--- a/internal/standin/platform/faults.go
+++ b/internal/standin/platform/faults.go
@@ -8,7 +8,7 @@
 	"github.com/savorystall/savorystall/internal/platform/wire"
 )
 
-// Store names one store of the platform.
+// Store identifies a store of the platform.
 type Store string
 
 // Stores of the platform.
@@ -19,35 +19,38 @@
 	Weights Store = "weights"
 )
 
-// Faults says how a store misbehaves. The zero value is a healthy store.
+// Faults configures the faults of a store. The zero value is a healthy store.
 type Faults struct {
-	// Down answers every call by 503 without effect.
-	Down bool
-	// Silent reads every call and never answers; it has no effect.
-	Silent bool
-	// Delay is added to every call before it takes effect, which it does also
-	// when its caller has given up meanwhile.
+	// Unavailable responds to every call with status 503, without effect.
+	Unavailable bool
+	// NoResponse reads every call but never responds, without effect.
+	NoResponse bool
+	// Delay delays every call before it takes effect. The call takes effect even
+	// if its caller has given up in the meantime.
 	Delay time.Duration
-	// LoseAnswers makes that many writes take effect without an answer: the
-	// connection breaks instead. A negative number loses all.
-	LoseAnswers int
-	// LateEffect makes lost writes take effect only after this time.
-	LateEffect time.Duration
-	// StaleBy makes reads see the table as it was that many commits ago.
-	StaleBy uint64
-	// ThrottleEvery answers each n-th call by 429; zero answers none so.
-	ThrottleEvery int
+	// LostResponses is the number of writes that take effect without a response:
+	// the connection is aborted instead. A negative number affects all writes.
+	LostResponses int
+	// LostWriteDelay is the time after which a write whose response is lost takes
+	// effect.
+	LostWriteDelay time.Duration
+	// StaleCommits makes reads return the state of the table as of this many
+	// commits ago.
+	StaleCommits uint64
+	// ThrottleInterval responds to every n-th call with status 429; zero means
+	// never.
+	ThrottleInterval int
 }
 
-// SetFaults changes how a store misbehaves from the next call on.
+// SetFaults replaces the faults of a store, starting with the next call.
 func (s *Server) SetFaults(store Store, f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults[store] = &f
 }
 
-// fault returns a copy of a store's faults, and counts the call.
-func (s *Server) fault(store Store) Faults {
+// countCall counts a call of the store and returns a copy of the store's faults.
+func (s *Server) countCall(store Store) Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls[store]++
@@ -58,46 +61,47 @@
 	return *f
 }
 
-// loseAnswer tells whether the answer of this write is to be lost.
-func (s *Server) loseAnswer(store Store) bool {
+// consumeLostResponse reports whether the response of this write is to be lost,
+// and decrements the remaining number.
+func (s *Server) consumeLostResponse(store Store) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f, ok := s.faults[store]
-	if !ok || f.LoseAnswers == 0 {
+	if !ok || f.LostResponses == 0 {
 		return false
 	}
-	if f.LoseAnswers > 0 {
-		f.LoseAnswers--
+	if f.LostResponses > 0 {
+		f.LostResponses--
 	}
 	return true
 }
 
-// Calls returns how many calls a store has had, refused ones included.
+// Calls returns the number of calls of a store, including rejected ones.
 func (s *Server) Calls(store Store) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[store]
 }
 
-// admit applies the faults that come before a call takes effect. It returns
-// false where the call has been answered, and does not return at all where
-// the connection is to break.
-func (s *Server) admit(w http.ResponseWriter, r *http.Request, store Store) bool {
-	f := s.fault(store)
+// applyFaults applies the faults and rate limits that come before a call takes
+// effect. It returns false if it has sent an error response, and panics with
+// http.ErrAbortHandler if the connection is to be aborted.
+func (s *Server) applyFaults(w http.ResponseWriter, r *http.Request, store Store) bool {
+	f := s.countCall(store)
 	switch {
-	case f.Down:
+	case f.Unavailable:
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return false
-	case f.Silent:
-		// The server notices that the caller left only after the body is read.
+	case f.NoResponse:
+		// The server detects a disconnected caller only after the body is read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
-		breakConnection()
-	case f.ThrottleEvery > 0 && s.Calls(store)%f.ThrottleEvery == 0:
+		abortConnection()
+	case f.ThrottleInterval > 0 && s.Calls(store)%f.ThrottleInterval == 0:
 		http.Error(w, "throttled", http.StatusTooManyRequests)
 		return false
 	}
-	if !s.withinRate(store, r) {
+	if !s.allowedByRateLimit(store, r) {
 		http.Error(w, "over the rate", http.StatusTooManyRequests)
 		return false
 	}
@@ -107,8 +111,9 @@
 	return true
 }
 
-// withinRate keeps the rates of Config. Only commits count as writes.
-func (s *Server) withinRate(store Store, r *http.Request) bool {
+// allowedByRateLimit applies the rate limits of Config. Only commits count as
+// writes.
+func (s *Server) allowedByRateLimit(store Store, r *http.Request) bool {
 	switch {
 	case store != Table:
 		return true
@@ -118,5 +123,5 @@
 	return s.reads.Allow()
 }
 
-// breakConnection ends the exchange without an answer.
-func breakConnection() { panic(http.ErrAbortHandler) }
+// abortConnection aborts the connection without a response.
+func abortConnection() { panic(http.ErrAbortHandler) }
--- a/internal/standin/platform/table.go
+++ b/internal/standin/platform/table.go
@@ -11,15 +11,15 @@
 	"github.com/savorystall/savorystall/internal/platform/wire"
 )
 
-// keptVersions bounds the old versions of a row, which stale reads need.
-const keptVersions = 32
+// maxVersions bounds the versions retained per row; stale reads need old ones.
+const maxVersions = 32
 
 // version is one state of a row.
 type version struct {
-	row     wire.Row
-	at      uint64 // the commit that made it
-	deleted bool
-	expires time.Time // zero: never
+	row       wire.Row
+	revision  uint64 // of the commit that wrote it
+	deleted   bool
+	expiresAt time.Time // zero: never
 }
 
 type table struct {
@@ -29,15 +29,15 @@
 
 func newTable() *table { return &table{rows: map[string][]version{}} }
 
-// read returns a row as of a commit.
-func (t *table) read(key string, asOf uint64, now time.Time) (wire.Row, bool) {
+// read returns a row as of a revision of the table.
+func (t *table) read(key string, revision uint64, now time.Time) (wire.Row, bool) {
 	versions := t.rows[key]
 	for i := len(versions) - 1; i >= 0; i-- {
 		v := versions[i]
-		if v.at > asOf {
+		if v.revision > revision {
 			continue
 		}
-		if v.deleted || (!v.expires.IsZero() && !now.Before(v.expires)) {
+		if v.deleted || (!v.expiresAt.IsZero() && !now.Before(v.expiresAt)) {
 			return wire.Row{}, false
 		}
 		return v.row, true
@@ -46,33 +46,34 @@
 }
 
 func (t *table) write(key string, v version) {
-	v.at = t.revision
+	v.revision = t.revision
 	versions := append(t.rows[key], v)
-	if surplus := len(versions) - keptVersions; surplus > 0 {
-		versions = append([]version(nil), versions[surplus:]...)
+	if excess := len(versions) - maxVersions; excess > 0 {
+		versions = append([]version(nil), versions[excess:]...)
 	}
 	t.rows[key] = versions
 }
 
-// commit applies a transaction or returns the rows that are against it.
-func (t *table) commit(tx wire.Commit, now time.Time) (failed []wire.Row, ok bool) {
+// apply applies a transaction, or returns the current rows whose conditions do not
+// hold.
+func (t *table) apply(tx wire.Commit, now time.Time) (conflicts []wire.Row, ok bool) {
 	for _, c := range tx.Conditions {
 		row, exists := t.read(c.Key, t.revision, now)
 		if !exists {
 			row = wire.Row{Key: c.Key}
 		}
 		if row.Revision != c.Revision {
-			failed = append(failed, row)
+			conflicts = append(conflicts, row)
 		}
 	}
-	if len(failed) > 0 {
-		return failed, false
+	if len(conflicts) > 0 {
+		return conflicts, false
 	}
 	t.revision++
 	for _, put := range tx.Puts {
 		v := version{row: wire.Row{Key: put.Key, Value: put.Value, Revision: t.revision, Operation: tx.Operation}}
 		if put.TTLMillis > 0 {
-			v.expires = now.Add(time.Duration(put.TTLMillis) * time.Millisecond)
+			v.expiresAt = now.Add(time.Duration(put.TTLMillis) * time.Millisecond)
 		}
 		t.write(put.Key, v)
 	}
@@ -88,44 +89,45 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if s.loseAnswer(Table) {
-		s.applyUnanswered(tx)
-		breakConnection()
+	if s.consumeLostResponse(Table) {
+		s.applyWithoutResponse(tx)
+		abortConnection()
 	}
-	failed, revision := s.apply(tx)
-	if failed != nil {
-		reply(w, http.StatusConflict, wire.Conflict{Rows: failed})
+	conflicts, revision := s.apply(tx)
+	if conflicts != nil {
+		writeJSON(w, http.StatusConflict, wire.Conflict{Rows: conflicts})
 		return
 	}
-	reply(w, http.StatusOK, wire.Committed{Revision: revision})
+	writeJSON(w, http.StatusOK, wire.Committed{Revision: revision})
 }
 
-func (s *Server) apply(tx wire.Commit) (failed []wire.Row, revision uint64) {
+func (s *Server) apply(tx wire.Commit) (conflicts []wire.Row, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	failed, _ = s.table.commit(tx, s.config.Clock.Now())
-	return failed, s.table.revision
+	conflicts, _ = s.table.apply(tx, s.config.Clock.Now())
+	return conflicts, s.table.revision
 }
 
-func (s *Server) applyUnanswered(tx wire.Commit) {
+func (s *Server) applyWithoutResponse(tx wire.Commit) {
 	s.mu.Lock()
-	late := s.faults[Table].LateEffect
+	delay := s.faults[Table].LostWriteDelay
 	s.mu.Unlock()
-	if late <= 0 {
+	if delay <= 0 {
 		s.apply(tx)
 		return
 	}
-	s.late.Add(1)
-	time.AfterFunc(late, func() {
-		defer s.late.Done()
+	s.delayedWrites.Add(1)
+	time.AfterFunc(delay, func() {
+		defer s.delayedWrites.Done()
 		s.apply(tx)
 	})
 }
 
-// readable returns the commit that reads see.
-func (s *Server) readable() uint64 {
-	if f, ok := s.faults[Table]; ok && f.StaleBy > 0 {
-		return s.table.revision - min(f.StaleBy, s.table.revision)
+// visibleRevision returns the revision that reads return, which is older than the
+// current one under StaleCommits.
+func (s *Server) visibleRevision() uint64 {
+	if f, ok := s.faults[Table]; ok && f.StaleCommits > 0 {
+		return s.table.revision - min(f.StaleCommits, s.table.revision)
 	}
 	return s.table.revision
 }
@@ -136,7 +138,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	reply(w, http.StatusOK, wire.Rows{Rows: s.getRows(body.Keys)})
+	writeJSON(w, http.StatusOK, wire.Rows{Rows: s.getRows(body.Keys)})
 }
 
 func (s *Server) getRows(keys []string) []wire.Row {
@@ -144,7 +146,7 @@
 	defer s.mu.Unlock()
 	rows := []wire.Row{}
 	for _, key := range keys {
-		if row, ok := s.table.read(key, s.readable(), s.config.Clock.Now()); ok {
+		if row, ok := s.table.read(key, s.visibleRevision(), s.config.Clock.Now()); ok {
 			rows = append(rows, row)
 		}
 	}
@@ -159,7 +161,7 @@
 		return
 	}
 	rows := s.scanRows(query.Get("prefix"), query.Get("after"), limit)
-	reply(w, http.StatusOK, wire.Rows{Rows: rows})
+	writeJSON(w, http.StatusOK, wire.Rows{Rows: rows})
 }
 
 func (s *Server) scanRows(prefix, after string, limit int) []wire.Row {
@@ -170,7 +172,7 @@
 		if !strings.HasPrefix(key, prefix) || key <= after {
 			continue
 		}
-		if row, ok := s.table.read(key, s.readable(), s.config.Clock.Now()); ok {
+		if row, ok := s.table.read(key, s.visibleRevision(), s.config.Clock.Now()); ok {
 			rows = append(rows, row)
 		}
 	}
--- a/test/configuration/configuration_test.go
+++ b/test/configuration/configuration_test.go
@@ -33,7 +33,7 @@
 	want := map[ident.Service]uint64{"portal": second}
 	s.await(want, s.daemons...)
 	for _, store := range []platformstandin.Store{platformstandin.Table, platformstandin.Objects, platformstandin.VMs} {
-		s.server.SetFaults(store, platformstandin.Faults{Down: true})
+		s.server.SetFaults(store, platformstandin.Faults{Unavailable: true})
 	}
 	s.daemons[0].kill()
 	s.start(s.daemons[0])
@@ -156,17 +156,17 @@
 }
 
 var faults = []fault{
-	tableFault("table down", platformstandin.Faults{Down: true}),
+	tableFault("table down", platformstandin.Faults{Unavailable: true}),
 	tableFault("table slow", platformstandin.Faults{Delay: 300 * time.Millisecond}),
-	tableFault("answers lost", platformstandin.Faults{LoseAnswers: 3}),
-	tableFault("answers lost, late effect", platformstandin.Faults{LoseAnswers: 2, LateEffect: 200 * time.Millisecond}),
-	tableFault("stale reads", platformstandin.Faults{StaleBy: 3}),
+	tableFault("answers lost", platformstandin.Faults{LostResponses: 3}),
+	tableFault("answers lost, late effect", platformstandin.Faults{LostResponses: 2, LostWriteDelay: 200 * time.Millisecond}),
+	tableFault("stale reads", platformstandin.Faults{StaleCommits: 3}),
 	{"platform cut", func(_ *site, p *process) func() error {
 		p.link.Cut()
 		return p.link.Restore
 	}},
 	{"connections silent", func(_ *site, p *process) func() error {
-		p.link.SilenceOpen()
+		p.link.StallOpenConnections()
 		return func() error { return nil }
 	}},
 	{"paused", func(_ *site, p *process) func() error {
@@ -219,7 +219,7 @@
 	}
 	cancel()
 	group.Wait()
-	s.server.Wait()
+	s.server.WaitForDelayedWrites()
 	o.settle(t)
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/test/configuration/site_test.go
+++ b/test/configuration/site_test.go
@@ -62,7 +62,7 @@
 
 func newSite(t *testing.T) *site {
 	t.Helper()
-	program.OpenSources(t)
+	program.DependOnSources(t)
 	server := platformstandin.New(platformstandin.Config{})
 	listener := httptest.NewServer(server)
 	s := &site{t: t, server: server, address: strings.TrimPrefix(listener.URL, "http://")}
--- a/test/cost/main.go
+++ b/test/cost/main.go
@@ -198,7 +198,7 @@
 // measureMemory takes what a daemon holds for each open stream, by the second
 // half of the streams: the first one makes the heap grow by steps.
 func measureMemory(s *stage) error {
-	s.engineStandin.SetStep(200 * time.Millisecond)
+	s.engineStandin.SetStepTime(200 * time.Millisecond)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var held [2]int
--- a/test/faultlink/faultlink.go
+++ b/test/faultlink/faultlink.go
@@ -1,6 +1,6 @@
-// Package faultlink puts a fault-injecting proxy (toxiproxy, in this process)
-// in front of an address, for tests. Beside what toxiproxy brings, it can make
-// the open connections silent for good while new ones work.
+// Package faultlink provides a fault-injecting TCP proxy for tests (toxiproxy,
+// running in the test process). In addition to the faults of toxiproxy, it can
+// stall all open connections permanently while new connections work.
 package faultlink
 
 import (
@@ -26,9 +26,9 @@
 	toxics.Register(toxicType, new(toxic))
 }
 
-// Link is a proxied way to one address.
+// Link is a proxy in front of one address.
 type Link struct {
-	// Address is host:port on which the link listens.
+	// Address is the host:port on which the link listens.
 	Address string
 
 	proxy *toxiproxy.Proxy
@@ -37,51 +37,50 @@
 	open  bool
 }
 
-// state steers the toxics of one link.
+// state controls the toxics of one link.
 type state struct {
-	// epoch grows each time the open connections go silent.
+	// epoch is incremented to stall the connections that are open at that time.
 	epoch atomic.Int64
 	delay atomic.Int64
 	done  chan struct{}
 }
 
-var states sync.Map
+var linkStates sync.Map
 
-// Ports below those that the system hands out to connections (32768 and up), in
-// blocks.
+// Blocks of ports below the ephemeral port range of the system (32768 and up).
 const (
 	firstPort  = 10000
 	blockSize  = 100
 	blockCount = 200
 )
 
-// ports hands out the ports of blocks that this process alone uses.
+// ports allocates ports from blocks that are reserved for this process.
 //
-// Tests of several packages, and of several people, run side by side. A port that
-// was just found free is closed until the daemon that is to have it has started;
-// another process would find it free as well, and one of the two daemons would
-// not start. The first port of a block is a listener that stays open as long as
-// the process: who holds it has the block.
+// Tests of several packages, and of several users, run concurrently. A port that
+// was found free has no listener until the daemon that gets it has started.
+// Meanwhile another process could find it free as well, and one of the two daemons
+// would fail to start. Therefore a process reserves a block by listening on its
+// first port for as long as the process lives.
 var ports struct {
 	sync.Mutex
-	// locks keeps the listeners from being collected, which closes them.
+	// locks references the listeners, because garbage collection would close them.
 	locks []net.Listener
 	block int
 	next  int
 }
 
-// FreeAddress returns a loopback address that nothing listens on. Its port is
-// not one that the system hands out, so that a listener which is closed for a
-// while, such as that of a cut link, can be opened again at the same address.
+// FreeAddress returns a loopback address without a listener. Its port is outside
+// the ephemeral port range, so that a listener that is closed temporarily, such as
+// that of a cut link, can be opened again on the same address.
 func FreeAddress(t testing.TB) string {
 	t.Helper()
 	ports.Lock()
 	defer ports.Unlock()
 	for range blockSize * blockCount {
 		if len(ports.locks) == 0 || ports.next == blockSize {
-			takeBlock(t)
+			reserveBlock(t)
 		}
-		address := loopback(ports.block, ports.next)
+		address := loopbackAddress(ports.block, ports.next)
 		ports.next++
 		l, err := net.Listen("tcp", address)
 		if err != nil {
@@ -94,13 +93,13 @@
 	return ""
 }
 
-func loopback(block, port int) string {
+func loopbackAddress(block, port int) string {
 	return fmt.Sprintf("127.0.0.1:%d", firstPort+block*blockSize+port)
 }
 
-// takeBlock takes a block that no process has. The one before is kept: its
-// ports are in use.
-func takeBlock(t testing.TB) {
+// reserveBlock reserves a block that no process has reserved. The previous block
+// stays reserved because its ports are in use.
+func reserveBlock(t testing.TB) {
 	t.Helper()
 	start := ports.block + 1
 	if len(ports.locks) == 0 {
@@ -108,7 +107,7 @@
 	}
 	for i := range blockCount {
 		block := (start + i) % blockCount
-		l, err := net.Listen("tcp", loopback(block, 0))
+		l, err := net.Listen("tcp", loopbackAddress(block, 0))
 		if err == nil {
 			ports.locks = append(ports.locks, l)
 			ports.block, ports.next = block, 1
@@ -118,7 +117,7 @@
 	t.Fatal("no free block of ports")
 }
 
-// New starts a link to the upstream address; the test's end closes it.
+// New starts a link to the upstream address and closes it when the test ends.
 func New(t testing.TB, upstream string) *Link {
 	t.Helper()
 	proxy := toxiproxy.NewProxy()
@@ -129,7 +128,7 @@
 		t.Fatal(err)
 	}
 	l := &Link{Address: proxy.Listen, proxy: proxy, state: &state{done: make(chan struct{})}, open: true}
-	states.Store(proxy.Name, l.state)
+	linkStates.Store(proxy.Name, l.state)
 	for _, direction := range []string{"upstream", "downstream"} {
 		spec := fmt.Sprintf(`{"type":%q,"stream":%q,"attributes":{"key":%q}}`, toxicType, direction, proxy.Name)
 		if _, err := proxy.Toxics.AddToxicJson(strings.NewReader(spec)); err != nil {
@@ -143,10 +142,10 @@
 func (l *Link) close() {
 	close(l.state.done)
 	l.Cut()
-	states.Delete(l.proxy.Name)
+	linkStates.Delete(l.proxy.Name)
 }
 
-// Cut closes the open connections and refuses new ones until Restore.
+// Cut closes the open connections and stops listening until Restore is called.
 func (l *Link) Cut() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -156,7 +155,7 @@
 	}
 }
 
-// Restore accepts connections again on the same address.
+// Restore accepts connections on the same address again.
 func (l *Link) Restore() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -170,12 +169,12 @@
 	return nil
 }
 
-// SilenceOpen makes the open connections silent for good. Neither end learns
-// of it; new connections work.
-func (l *Link) SilenceOpen() { l.state.epoch.Add(1) }
+// StallOpenConnections permanently stops forwarding data on the open connections
+// without closing them, so that neither end notices. New connections work.
+func (l *Link) StallOpenConnections() { l.state.epoch.Add(1) }
 
-// Slow holds every piece of data back by d; zero ends it.
-func (l *Link) Slow(d time.Duration) { l.state.delay.Store(int64(d)) }
+// SetDelay delays each chunk of data by d; zero disables the delay.
+func (l *Link) SetDelay(d time.Duration) { l.state.delay.Store(int64(d)) }
 
 // toxic applies the state of a link to one direction of one connection.
 type toxic struct {
@@ -184,41 +183,41 @@
 
 // Pipe implements toxics.Toxic.
 func (t *toxic) Pipe(stub *toxics.ToxicStub) {
-	found, ok := states.Load(t.Key)
+	found, ok := linkStates.Load(t.Key)
 	if !ok {
 		stub.Close()
 		return
 	}
 	s := found.(*state)
-	born := s.epoch.Load()
+	startEpoch := s.epoch.Load()
 	for {
 		select {
 		case <-stub.Interrupt:
 			return
 		case chunk := <-stub.Input:
-			silent := s.epoch.Load() != born
+			stalled := s.epoch.Load() != startEpoch
 			if chunk == nil {
-				s.end(stub, silent)
+				s.closeOutput(stub, stalled)
 				return
 			}
-			if !silent {
-				s.hold()
+			if !stalled {
+				s.applyDelay()
 				stub.Output <- chunk
 			}
 		}
 	}
 }
 
-// end closes the connection's other side. A silent one learns nothing before
-// the link itself ends.
-func (s *state) end(stub *toxics.ToxicStub, silent bool) {
-	if silent {
+// closeOutput closes the other side of the connection. If the connection is
+// stalled, it does so only when the link is closed.
+func (s *state) closeOutput(stub *toxics.ToxicStub, stalled bool) {
+	if stalled {
 		<-s.done
 	}
 	stub.Close()
 }
 
-func (s *state) hold() {
+func (s *state) applyDelay() {
 	d := time.Duration(s.delay.Load())
 	if d <= 0 {
 		return
--- a/test/faultlink/faultlink_test.go
+++ b/test/faultlink/faultlink_test.go
@@ -14,10 +14,10 @@
 	"github.com/savorystall/savorystall/test/faultlink"
 )
 
-// A link was cut and could not be restored: its port was one that the system
-// hands out to outgoing connections, and during the cut a test of another
-// package got it. So no address may come from that range, and none twice.
-func TestFreeAddressesAreNotTheSystemsToHandOut(t *testing.T) {
+// A link could not be restored after a cut: its port was in the ephemeral port
+// range and meanwhile used by an outgoing connection of another package's test. So
+// no address may be in that range, and none may be returned twice.
+func TestFreeAddressesAreOutsideEphemeralPortRange(t *testing.T) {
 	is := is.New(t)
 	var first, last int
 	text, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
@@ -35,9 +35,9 @@
 	}
 }
 
-// A link is cut while new connections are made all the time, and comes back at
-// the same address; twice in a row.
-func TestCutLinkComesBackAtItsAddress(t *testing.T) {
+// A link is cut while other connections are continually opened, and is then
+// restored on the same address, twice in a row.
+func TestRestoredLinkKeepsItsAddress(t *testing.T) {
 	is := is.New(t)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "here") }))
 	t.Cleanup(s.Close)
--- a/test/fixedseed/fixedseed.go
+++ b/test/fixedseed/fixedseed.go
@@ -1,6 +1,6 @@
 // Package fixedseed gives property tests the same seed in every run, so that CI
-// gives the same verdict. Import it for its effect; the flag -rapid.seed chooses
-// another seed, and -rapid.checks more cases.
+// results are reproducible. Import it for its side effect. The flag -rapid.seed
+// selects another seed, and -rapid.checks the number of cases.
 package fixedseed
 
 import (
@@ -18,11 +18,11 @@
 	}
 }
 
-// Explore makes the property tests of a package draw longer sequences and more
-// of them than rapid does by itself: some faults of a rule show in one of a
-// thousand. The flags -rapid.checks and -rapid.steps still choose others. Call
-// it in an init function.
-func Explore(checks, steps int) {
+// SetChecksAndSteps makes the property tests of a package generate more and longer
+// sequences than rapid does by default, because some faults show in only one
+// sequence of a thousand. The flags -rapid.checks and -rapid.steps still take
+// precedence. Call it in an init function.
+func SetChecksAndSteps(checks, steps int) {
 	for name, n := range map[string]int{"rapid.checks": checks, "rapid.steps": steps} {
 		if err := flag.Set(name, strconv.Itoa(n)); err != nil {
 			panic(err)
--- a/test/integration/chaos_test.go
+++ b/test/integration/chaos_test.go
@@ -74,10 +74,10 @@
 		link.Cut()
 		later(func() { c.restore(link.Restore) })
 	case "target silent":
-		link.SilenceOpen()
+		link.StallOpenConnections()
 	case "target slow":
-		link.Slow(time.Duration(5+c.rng.IntN(20)) * time.Millisecond)
-		later(func() { link.Slow(0) })
+		link.SetDelay(time.Duration(5+c.rng.IntN(20)) * time.Millisecond)
+		later(func() { link.SetDelay(0) })
 	case "engine leaving":
 		engine.SetLeaving(true)
 		later(func() { engine.SetLeaving(false) })
@@ -85,9 +85,9 @@
 		peer.Cut()
 		later(func() { c.restore(peer.Restore) })
 	case "peer silent":
-		peer.SilenceOpen()
+		peer.StallOpenConnections()
 	case "engine stream":
-		kinds := []enginestandin.FaultKind{enginestandin.FaultCut, enginestandin.FaultEndEarly, enginestandin.FaultSkip, enginestandin.FaultReset, enginestandin.FaultForget}
+		kinds := []enginestandin.FaultKind{enginestandin.FaultDisconnect, enginestandin.FaultEndEarly, enginestandin.FaultSkipToken, enginestandin.FaultReset, enginestandin.FaultLoseStream}
 		engine.Inject(enginestandin.Fault{Kind: kinds[c.rng.IntN(len(kinds))], AfterTokens: c.rng.IntN(20)})
 	case "service leaving":
 		plain.SetLeaving(true)
--- a/test/integration/failures_test.go
+++ b/test/integration/failures_test.go
@@ -63,14 +63,14 @@
 	return []failure{
 		{"partition", func(r *run) func() { return r.partition(r.rng.IntN(len(zones))) }},
 		{"restart without state", (*run).restart},
-		{"store down", func(r *run) func() { return r.store(platformstandin.Faults{Down: true}) }},
+		{"store down", func(r *run) func() { return r.store(platformstandin.Faults{Unavailable: true}) }},
 		{"store slow", func(r *run) func() { return r.store(platformstandin.Faults{Delay: 700 * time.Millisecond}) }},
 		{"answers lost", func(r *run) func() {
-			return r.store(platformstandin.Faults{LoseAnswers: -1, LateEffect: 100 * time.Millisecond})
+			return r.store(platformstandin.Faults{LostResponses: -1, LostWriteDelay: 100 * time.Millisecond})
 		}},
 		{"stale reads", func(r *run) func() {
 			r.race()
-			return r.store(platformstandin.Faults{StaleBy: 3})
+			return r.store(platformstandin.Faults{StaleCommits: 3})
 		}},
 		{"pause beyond the lease", (*run).pause},
 		{"racing operators", (*run).race},
@@ -163,12 +163,12 @@
 
 func (r *run) silence() func() {
 	for _, l := range r.f.links {
-		l.SilenceOpen()
+		l.StallOpenConnections()
 	}
 	for _, fr := range r.f.fronts {
 		for _, l := range fr.peers {
 			if l != nil {
-				l.SilenceOpen()
+				l.StallOpenConnections()
 			}
 		}
 	}
--- a/test/integration/fleet_test.go
+++ b/test/integration/fleet_test.go
@@ -103,7 +103,7 @@
 // startFleet starts the stand-ins and the daemons, and stops them with the test.
 func startFleet(t *testing.T, options ...func(*fleet)) *fleet {
 	t.Helper()
-	program.OpenSources(t)
+	program.DependOnSources(t)
 	f := &fleet{t: t, platform: platformstandin.New(platformstandin.Config{}), meanCost: 50, adjust: func(*settings.Settings) {}}
 	for _, option := range options {
 		option(f)
@@ -146,7 +146,7 @@
 
 func (f *fleet) startTargets() {
 	for range engineCount {
-		e := enginestandin.New(enginestandin.Config{Step: engineStep, Slots: engineSlots, Heartbeat: 500 * time.Millisecond})
+		e := enginestandin.New(enginestandin.Config{Step: engineStep, Slots: engineSlots, HeartbeatInterval: 500 * time.Millisecond})
 		f.engines = append(f.engines, e)
 		f.links = append(f.links, faultlink.New(f.t, f.serve(e, e.Close)))
 	}
@@ -332,10 +332,10 @@
 func (f *fleet) ran(mark string) int {
 	n := 0
 	for _, e := range f.engines {
-		n += e.Ran(mark)
+		n += e.RunCount(mark)
 	}
 	for _, p := range f.plains {
-		n += p.Ran(mark)
+		n += p.RunCount(mark)
 	}
 	return n
 }
--- a/test/integration/leaving_test.go
+++ b/test/integration/leaving_test.go
@@ -93,9 +93,9 @@
 	for name, sign := range signs {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			await(t, 20*time.Second, "the engine is busy", func() bool { return engine.Running() > 2 })
+			await(t, 20*time.Second, "the engine is busy", func() bool { return engine.ActiveStreams() > 2 })
 			sign.leave()
-			asked := func() int { c := engine.Counts(); return c.Started + c.Refused }
+			asked := func() int { c := engine.Counts(); return c.Started + c.Rejected }
 			last, seen := time.Now(), asked()
 			left := time.Now()
 			for time.Since(left) < leavingBound+time.Second {
@@ -166,9 +166,9 @@
 	owner := f.ownerOf(targetName(0))
 	others := slices.DeleteFunc(slices.Clone(f.daemons), func(p *process) bool { return p == owner })
 	load := startLoad(t, f, "owner", 200, others)
-	await(t, 20*time.Second, "the engine is busy", func() bool { return engine.Running() > 2 })
+	await(t, 20*time.Second, "the engine is busy", func() bool { return engine.ActiveStreams() > 2 })
 	engine.SetLeaving(true)
-	await(t, 20*time.Second, "the engine has ended its work", func() bool { return engine.Running() == 0 })
+	await(t, 20*time.Second, "the engine has ended its work", func() bool { return engine.ActiveStreams() == 0 })
 	is.NoErr(owner.stop())
 	engine.SetLeaving(false)
 	started := engine.Counts().Started
--- a/test/integration/preempt_test.go
+++ b/test/integration/preempt_test.go
@@ -52,7 +52,7 @@
 		return count(func(c enginestandin.Counts) int { return c.Tokens }) >= engineCount*engineSlots*draftTokens/5
 	})
 	for i, e := range f.engines {
-		e.Inject(enginestandin.Fault{Kind: enginestandin.FaultCut, AfterTokens: draftTokens/5 + 10*i, Times: 5})
+		e.Inject(enginestandin.Fault{Kind: enginestandin.FaultDisconnect, AfterTokens: draftTokens/5 + 10*i, Times: 5})
 	}
 	for i := range questionCount {
 		r := &request{kind: kind(i % int(taggedCompletion)), mark: fmt.Sprintf("question-%d", i), tokens: 10, operation: "ask"}
@@ -62,7 +62,7 @@
 	group.Wait()
 	counts := check(t, f, all)
 	continued := count(func(c enginestandin.Counts) int { return c.Continued })
-	reread := count(func(c enginestandin.Counts) int { return c.Reread })
+	reread := count(func(c enginestandin.Counts) int { return c.RecomputedTokens })
 	t.Logf("%d drafts went on after a stop, %d tokens were read again", continued, reread)
 	questions := slices.SortedFunc(slices.Values(all[len(all)-questionCount:]), func(a, b *request) int { return cmp.Compare(a.elapsed, b.elapsed) })
 	t.Logf("questions took %v in the middle and %v at most", questions[questionCount/2].elapsed, questions[questionCount-1].elapsed)
--- a/test/knownred/knownred_test.go
+++ b/test/knownred/knownred_test.go
@@ -1,4 +1,5 @@
-// Package knownred tests the list of tests that CI passes over.
+// Package knownred tests the script that reads the list of known failing tests,
+// which CI skips.
 package knownred
 
 import (
@@ -13,19 +14,22 @@
 
 const script = "../../.ci/known-red"
 
-// check runs the script on a list, for a module that has TestRed and TestWell.
-func check(t *testing.T, list string) (pattern, complaint string, ok bool) {
+// runScript runs the script on a list, for a module with the tests TestRed,
+// TestRedder and TestWell. It returns the skip pattern that the script prints and
+// the output of go test with that pattern. If the script fails, it returns the
+// script's standard error as output, and false.
+func runScript(t *testing.T, list string) (pattern, output string, ok bool) {
 	t.Helper()
 	is := is.New(t)
-	folder := t.TempDir()
+	dir := t.TempDir()
 	tests := "package m\n\nimport \"testing\"\n\n" +
 		"func TestRed(t *testing.T) { t.Run(\"a_1.5\", func(t *testing.T) { t.Fail() }) }\n\n" +
 		"func TestRedder(t *testing.T) {}\n\nfunc TestWell(t *testing.T) {}\n"
-	is.NoErr(os.WriteFile(filepath.Join(folder, "m_test.go"), []byte(tests), 0o600))
-	is.NoErr(os.WriteFile(filepath.Join(folder, "go.mod"), []byte("module m\n\ngo 1.26\n"), 0o600))
-	file := filepath.Join(folder, "KNOWN-RED.txt")
+	is.NoErr(os.WriteFile(filepath.Join(dir, "m_test.go"), []byte(tests), 0o600))
+	is.NoErr(os.WriteFile(filepath.Join(dir, "go.mod"), []byte("module m\n\ngo 1.26\n"), 0o600))
+	file := filepath.Join(dir, "KNOWN-RED.txt")
 	is.NoErr(os.WriteFile(file, []byte(list), 0o600))
-	cmd := exec.Command(script, file, folder)
+	cmd := exec.Command(script, file, dir)
 	var stderr strings.Builder
 	cmd.Stderr = &stderr
 	out, err := cmd.Output()
@@ -36,20 +40,20 @@
 	if len(out) == 0 {
 		run = exec.Command("go", "test", "-count=1", "-v", "./...")
 	}
-	run.Dir = folder
-	lines, _ := run.CombinedOutput() // the verdict stands in the lines
+	run.Dir = dir
+	lines, _ := run.CombinedOutput() // the callers check the lines, not the exit code
 	return string(out), string(lines), true
 }
 
-// A fault that cannot be mended yet has a failing test. CI passes over that one alone:
-// neither over one whose name begins alike, nor over one that fails and is not listed.
-func TestOnlyListedTestsArePassedOver(t *testing.T) {
+// CI skips exactly the listed tests: neither a test whose name has a listed name as
+// prefix, nor a failing test that is not listed.
+func TestOnlyListedTestsAreSkipped(t *testing.T) {
 	is := is.New(t)
-	_, lines, ok := check(t, "# none\n")
+	_, lines, ok := runScript(t, "# none\n")
 	is.True(ok)
 	is.True(strings.Contains(lines, "--- FAIL: TestRed "))
 	for _, name := range []string{"TestRed", "TestRed/a_1.5"} {
-		_, lines, ok = check(t, "# one\n\n"+name+" | go test . | none | it fails | issue 22\n")
+		_, lines, ok = runScript(t, "# one\n\n"+name+" | go test . | none | it fails | issue 22\n")
 		is.True(ok)
 		is.True(!strings.Contains(lines, "--- FAIL"))
 		is.True(strings.Contains(lines, "--- PASS: TestRedder"))
@@ -57,17 +61,18 @@
 	}
 }
 
-// A play on the users' bench is listed and printed, and no test is passed over for it.
-func TestAPlayPassesOverNothing(t *testing.T) {
+// A "play" entry describes a failing run on the users' test bench, not a Go test. It
+// is listed and printed, but no test is skipped for it.
+func TestPlayEntrySkipsNoTest(t *testing.T) {
 	is := is.New(t)
-	pattern, _, ok := check(t, "play | run SITE DAY | 7 | one of two plays | issue 22\n")
+	pattern, _, ok := runScript(t, "play | run SITE DAY | 7 | one of two plays | issue 22\n")
 	is.True(ok)
 	is.Equal(pattern, "")
 }
 
-// An entry that lacks a field, or whose test has another name by now, hides a fault that
-// nobody can find again.
-func TestEntriesAreComplete(t *testing.T) {
+// An entry with a missing field, or with a test name that no longer exists, would
+// hide a fault that cannot be traced any more.
+func TestIncompleteEntriesAreRejected(t *testing.T) {
 	for _, entry := range []string{
 		"TestRed | go test . | none | it fails",
 		"TestRed | go test . | none |  | issue 22",
@@ -78,10 +83,10 @@
 		"anything | go test . | none | it fails | issue 22",
 	} {
 		t.Run(entry, func(t *testing.T) {
-			_, complaint, ok := check(t, entry+"\n")
+			_, output, ok := runScript(t, entry+"\n")
 			is := is.New(t)
 			is.True(!ok)
-			is.True(strings.Contains(complaint, "KNOWN-RED.txt:1: "))
+			is.True(strings.Contains(output, "KNOWN-RED.txt:1: "))
 		})
 	}
 }
--- a/test/process/process.go
+++ b/test/process/process.go
@@ -1,8 +1,9 @@
-// Package process runs a part of a test as a process of its own, so that the
-// test can stop it for a while and let it go on (SIGSTOP, SIGCONT).
+// Package process runs part of a test in a separate process, so that the test can
+// suspend and resume it (SIGSTOP, SIGCONT).
 //
-// The test's program starts itself again with an environment variable that
-// names the part. The two talk by lines on the child's standard input and output.
+// The test binary executes itself with an environment variable that selects the
+// function to run. Parent and child exchange lines through the child's standard
+// input and output.
 package process
 
 import (
@@ -17,47 +18,48 @@
 	"time"
 )
 
-const variable = "SAVORYSTALL_TEST_PART"
+const partVariable = "SAVORYSTALL_TEST_PART"
 
-// Part is the code of a child. Args are those given to Start.
-type Part func(l *Lines, args []string)
+// ChildFunc is a function that runs in a child process. The args are those passed
+// to Start.
+type ChildFunc func(parent *ParentPipe, args []string)
 
-// Lines is the child's end of the conversation. The child exits when the test's
-// end is closed.
-type Lines struct {
-	heard chan string
+// ParentPipe is the child's end of the pipes to the test process. The child exits
+// when the other end is closed.
+type ParentPipe struct {
+	received chan string
 }
 
-func newLines() *Lines {
-	l := &Lines{heard: make(chan string)}
+func newParentPipe() *ParentPipe {
+	p := &ParentPipe{received: make(chan string)}
 	go func() {
 		for s := bufio.NewScanner(os.Stdin); s.Scan(); {
-			l.heard <- s.Text()
+			p.received <- s.Text()
 		}
 		os.Exit(0)
 	}()
-	return l
+	return p
 }
 
-// Say sends a line to the test.
-func (l *Lines) Say(format string, args ...any) { fmt.Printf(format+"\n", args...) }
+// Send sends a line to the test.
+func (p *ParentPipe) Send(format string, args ...any) { fmt.Printf(format+"\n", args...) }
 
-// Hear waits for a line of the test.
-func (l *Lines) Hear() string { return <-l.heard }
+// Receive waits for a line from the test.
+func (p *ParentPipe) Receive() string { return <-p.received }
 
-// Main runs the part that the environment names, and does not return then. Call
-// it first in TestMain.
-func Main(parts map[string]Part) {
-	name, args, _ := strings.Cut(os.Getenv(variable), " ")
+// Main runs the function selected by the environment variable and then exits. It
+// returns only if none is selected. Call it first in TestMain.
+func Main(parts map[string]ChildFunc) {
+	name, args, _ := strings.Cut(os.Getenv(partVariable), " ")
 	part, ok := parts[name]
 	if !ok {
 		return
 	}
-	part(newLines(), strings.Fields(args))
+	part(newParentPipe(), strings.Fields(args))
 	os.Exit(0)
 }
 
-// Child is a running part. It ends with the test.
+// Child is a running child process. It is killed when the test ends.
 type Child struct {
 	t     *testing.T
 	cmd   *exec.Cmd
@@ -65,13 +67,14 @@
 	lines chan string
 }
 
-// Start runs a part as a process.
+// Start starts a child process that runs the given part with args. No argument may
+// contain spaces.
 func Start(t *testing.T, part string, args ...string) *Child {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), variable+"="+part+" "+strings.Join(args, " "))
+	cmd.Env = append(os.Environ(), partVariable+"="+part+" "+strings.Join(args, " "))
 	cmd.Stderr = os.Stderr
-	// A stopped process would outlive a test that is killed.
+	// Without this, a suspended child would outlive a test process that is killed.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	in, err := cmd.StdinPipe()
 	if err != nil {
@@ -92,7 +95,7 @@
 		}
 	}()
 	t.Cleanup(func() {
-		_ = cmd.Process.Kill() // it also ends a process that is stopped
+		_ = cmd.Process.Kill() // SIGKILL also ends a suspended process
 		for range c.lines {
 			continue
 		}
@@ -101,42 +104,42 @@
 	return c
 }
 
-// patience bounds the wait for a line.
-const patience = 30 * time.Second
+// expectTimeout is the maximum time that Expect waits.
+const expectTimeout = 30 * time.Second
 
-// Expect waits for a line that starts with the word and returns the rest. Other
-// lines are skipped.
-func (c *Child) Expect(word string) string {
+// Expect waits for a line that starts with the prefix and returns the rest of it.
+// Other lines are skipped.
+func (c *Child) Expect(prefix string) string {
 	c.t.Helper()
-	timeout := time.After(patience)
+	timeout := time.After(expectTimeout)
 	for {
 		select {
 		case line, ok := <-c.lines:
 			if !ok {
-				c.t.Fatalf("the process ended before it said %q", word)
+				c.t.Fatalf("the child exited before it wrote a line with prefix %q", prefix)
 			}
-			if rest, found := strings.CutPrefix(line, word); found {
+			if rest, found := strings.CutPrefix(line, prefix); found {
 				return strings.TrimSpace(rest)
 			}
 		case <-timeout:
-			c.t.Fatalf("the process did not say %q", word)
+			c.t.Fatalf("the child wrote no line with prefix %q before the timeout", prefix)
 		}
 	}
 }
 
-// Tell sends a line to the child.
-func (c *Child) Tell(line string) {
+// Send sends a line to the child.
+func (c *Child) Send(line string) {
 	c.t.Helper()
 	if _, err := c.in.Write([]byte(line + "\n")); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// Stop stops the process until Continue.
-func (c *Child) Stop() { c.signal(syscall.SIGSTOP) }
+// Suspend suspends the process until Resume.
+func (c *Child) Suspend() { c.signal(syscall.SIGSTOP) }
 
-// Continue lets a stopped process go on.
-func (c *Child) Continue() { c.signal(syscall.SIGCONT) }
+// Resume resumes a suspended process.
+func (c *Child) Resume() { c.signal(syscall.SIGCONT) }
 
 func (c *Child) signal(s syscall.Signal) {
 	c.t.Helper()
--- a/test/program/program.go
+++ b/test/program/program.go
@@ -1,4 +1,4 @@
-// Package program builds the daemon for tests with real processes.
+// Package program builds the daemon for tests that run it as a process.
 package program
 
 import (
@@ -14,8 +14,8 @@
 
 const daemonPackage = "github.com/savorystall/savorystall/cmd/savorystalld"
 
-// Build builds the daemon into dir with further flags of go build, and returns
-// the path of the program.
+// Build builds the daemon into dir with additional flags for go build, and returns
+// the path of the executable.
 func Build(dir string, flags ...string) (string, error) {
 	binary := filepath.Join(dir, "savorystalld")
 	args := append([]string{"build", "-o", binary}, flags...)
@@ -27,13 +27,14 @@
 	return binary, nil
 }
 
-// Main builds the daemon for all tests of a package, runs them and exits; call it
-// from TestMain. The path of the program is in *binary while they run.
+// Main builds the daemon for all tests of a package, runs them and exits. Call it
+// from TestMain. It sets *binary to the path of the executable before the tests
+// run.
 func Main(m *testing.M, binary *string, flags ...string) {
-	os.Exit(runAll(m, binary, flags))
+	os.Exit(buildAndRun(m, binary, flags))
 }
 
-func runAll(m *testing.M, binary *string, flags []string) int {
+func buildAndRun(m *testing.M, binary *string, flags []string) int {
 	dir, err := os.MkdirTemp("", "savorystalld-test")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -47,11 +48,12 @@
 	return m.Run()
 }
 
-// OpenSources opens the sources of the daemon; call it from a test two folders
-// below the root. The go command reuses a test's result while the test's own
-// program and the files that its tests opened stay the same: without this, a
-// change of the daemon would be answered by an old result.
-func OpenSources(t testing.TB) {
+// DependOnSources makes the cached result of a test depend on the daemon's source
+// files by opening them. The go command reuses a cached result as long as the test
+// binary and the files that the test opened are unchanged; without this, it would
+// report an outdated result after a change of the daemon. Call it from a test in a
+// directory two levels below the root.
+func DependOnSources(t testing.TB) {
 	t.Helper()
 	for _, root := range []string{"../../cmd", "../../internal", "../../charts", "../../api"} {
 		err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
