--- a/test/capacity/certificates.go
+++ b/test/capacity/certificates.go
@@ -14,7 +14,8 @@
 	"github.com/savorystall/savorystall/internal/certs"
 )
 
-// writeCertificates writes a certificate that is its own authority.
+// writeCertificates writes a self-signed certificate and its key to dir. The
+// certificate is also the certificate authority.
 func writeCertificates(dir string) (certs.Files, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -35,12 +36,12 @@
 	if err != nil {
 		return certs.Files{}, err
 	}
-	f := certs.Files{
+	files := certs.Files{
 		Cert: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"), CA: filepath.Join(dir, "cert.pem"),
 	}
 	certificate := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})
-	if err := os.WriteFile(f.Cert, certificate, 0o600); err != nil {
-		return f, err
+	if err := os.WriteFile(files.Cert, certificate, 0o600); err != nil {
+		return files, err
 	}
-	return f, os.WriteFile(f.Key, pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: keyDER}), 0o600)
+	return files, os.WriteFile(files.Key, pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: keyDER}), 0o600)
 }
--- a/test/capacity/core.go
+++ b/test/capacity/core.go
@@ -10,219 +10,226 @@
 	"github.com/savorystall/savorystall/internal/scheduler"
 )
 
-// The size to design for, as the scheduler of one daemon meets it.
+// Planned fleet size, as seen by the scheduler of one daemon.
 const (
-	planDaemons    = 360
-	planZones      = 14
-	planServices   = 18
-	planWorkspaces = 6200
-	planBacklogged = 620
-	planTargets    = 3100
-	// planSlots is how many requests run at one target: 25,000 requests/s of
-	// 388 tokens each, 67 ms a token, over 3,100 targets.
-	planSlots = 210
-	// measureFor is the least time over which one operation is repeated.
-	measureFor = 300 * time.Millisecond
+	plannedDaemons    = 360
+	plannedZones      = 14
+	plannedServices   = 18
+	plannedWorkspaces = 6200
+	plannedBacklogged = 620
+	plannedTargets    = 3100
+	// plannedSlotsPerTarget is the number of concurrent requests per target:
+	// 25,000 requests/s with 388 tokens each at 67 ms per token, spread over
+	// 3,100 targets.
+	plannedSlotsPerTarget = 210
+	// minMeasureTime is the minimum total time for which one operation is
+	// repeated.
+	minMeasureTime = 300 * time.Millisecond
 )
 
-// coreSize is the size of a scheduler's world.
+// coreSize holds the dimensions of the configuration and load of a scheduler.
 type coreSize struct {
 	daemons, workspaces, backlogged, targets int
 }
 
-// coreWorld is a scheduler without links, with demand of all peers and all of
-// its slots granted.
-type coreWorld struct {
+// coreFixture is a scheduler without links that has received demand from all
+// peers and has granted all of its slots.
+type coreFixture struct {
 	size   coreSize
 	core   *scheduler.Core
 	now    time.Time
 	grants []sentGrant
-	// running is a request that runs here.
+	// running is a request that was dispatched by this scheduler.
 	running ident.Request
 }
 
 type sentGrant struct {
-	to    ident.Daemon
-	grant scheduler.Grant
+	ingress ident.Daemon
+	grant   scheduler.Grant
 }
 
-func planService(workspace int) ident.Service {
-	return ident.Service(fmt.Sprintf("model-%02d", workspace%planServices))
+func coreServiceName(workspace int) ident.Service {
+	return ident.Service(fmt.Sprintf("model-%02d", workspace%plannedServices))
 }
 
-func newCoreWorld(size coreSize) *coreWorld {
-	w := &coreWorld{size: size, now: time.Unix(1e9, 0)}
-	w.core = scheduler.New(scheduler.Config{Self: "m", Incarnation: 1, Zone: "zone-00"}, rand.New(rand.NewPCG(1, 1)))
-	w.core.Configure(w.now, size.services())
-	w.core.SetPeers(w.now, size.peers())
-	w.submit("first", 0) // it runs here
+func newCoreFixture(size coreSize) *coreFixture {
+	f := &coreFixture{size: size, now: time.Unix(1e9, 0)}
+	f.core = scheduler.New(scheduler.Config{Self: "m", Incarnation: 1, Zone: "zone-00"}, rand.New(rand.NewPCG(1, 1)))
+	f.core.Configure(f.now, size.services())
+	f.core.SetPeers(f.now, size.peers())
+	f.submit("first", 0) // dispatched locally, before the peers report demand
 	for _, p := range size.peers() {
-		w.core.Receive(w.now, p.ID, size.exchange())
-		w.take()
+		f.core.Receive(f.now, p.ID, size.exchangeMessage())
+		f.drainEffects()
 	}
 	for i := range size.backlogged {
-		w.submit("a", i)
-		w.submit("b", i)
+		f.submit("a", i)
+		f.submit("b", i)
 	}
-	w.take()
-	return w
+	f.drainEffects()
+	return f
 }
 
-// submit queues a request of a caller of this daemon.
-func (w *coreWorld) submit(id string, workspace int) {
-	w.core.Submit(w.now, scheduler.Request{
-		ID: ident.Request(fmt.Sprint(id, workspace)), Service: planService(workspace),
+// submit queues a request that arrives at this daemon.
+func (f *coreFixture) submit(id string, workspace int) {
+	f.core.Submit(f.now, scheduler.Request{
+		ID: ident.Request(fmt.Sprint(id, workspace)), Service: coreServiceName(workspace),
 		Workspace: workspaceName(workspace), Cost: meanCost,
 	})
 }
 
 func (s coreSize) services() []scheduler.Service {
-	services := make([]scheduler.Service, planServices)
+	services := make([]scheduler.Service, plannedServices)
 	for i := range services {
-		services[i] = scheduler.Service{Name: planService(i), MeanCost: meanCost}
+		services[i] = scheduler.Service{Name: coreServiceName(i), MeanCost: meanCost}
 	}
 	for i := range s.workspaces {
-		service := &services[i%planServices]
+		service := &services[i%plannedServices]
 		service.Workspaces = append(service.Workspaces, scheduler.Workspace{Name: workspaceName(i), Weight: 1})
 	}
 	for i := range s.targets {
-		service := &services[i%planServices]
+		service := &services[i%plannedServices]
 		service.Targets = append(service.Targets, scheduler.Target{
 			Name: ident.Target(fmt.Sprintf("engine-%04d", i)),
-			Zone: planZone(i), Slots: planSlots,
+			Zone: coreZoneName(i), Slots: plannedSlotsPerTarget,
 		})
 	}
 	return services
 }
 
-func planZone(i int) ident.Zone { return ident.Zone(fmt.Sprintf("zone-%02d", i%planZones)) }
+func coreZoneName(i int) ident.Zone { return ident.Zone(fmt.Sprintf("zone-%02d", i%plannedZones)) }
 
 func (s coreSize) peers() []scheduler.Peer {
 	var peers []scheduler.Peer
 	for i := 1; i < s.daemons; i++ {
-		peers = append(peers, scheduler.Peer{ID: ident.Daemon(fmt.Sprintf("d%03d", i)), Incarnation: 1, Zone: planZone(i)})
+		peers = append(peers, scheduler.Peer{ID: ident.Daemon(fmt.Sprintf("d%03d", i)), Incarnation: 1, Zone: coreZoneName(i)})
 	}
 	return peers
 }
 
-// exchange is what a peer sends four times a second when every backlogged
-// workspace waits and is served there.
-func (s coreSize) exchange() scheduler.Message {
+// exchangeMessage returns the message that a peer sends four times per second
+// while it has waiting and running requests of every backlogged workspace.
+func (s coreSize) exchangeMessage() scheduler.Message {
 	m := scheduler.Message{Incarnation: 1}
 	for i := range s.backlogged {
-		m.Demand = append(m.Demand, scheduler.Demand{Service: planService(i), Workspace: workspaceName(i), Waiting: 2})
-		m.ServedTotals = append(m.ServedTotals, scheduler.ServedTotal{Service: planService(i), Workspace: workspaceName(i), Served: meanCost})
+		m.Demand = append(m.Demand, scheduler.Demand{Service: coreServiceName(i), Workspace: workspaceName(i), Waiting: 2})
+		m.ServedTotals = append(m.ServedTotals, scheduler.ServedTotal{Service: coreServiceName(i), Workspace: workspaceName(i), Served: meanCost})
 	}
 	return m
 }
 
-// take empties the effects and keeps the grants that were sent.
-func (w *coreWorld) take() {
-	for _, e := range w.core.TakeEffects() {
+// drainEffects takes all pending effects and records the grants that were sent.
+func (f *coreFixture) drainEffects() {
+	for _, e := range f.core.TakeEffects() {
 		switch e := e.(type) {
 		case scheduler.Send:
 			for _, g := range e.Message.Grants {
-				w.grants = append(w.grants, sentGrant{e.To, g})
+				f.grants = append(f.grants, sentGrant{e.To, g})
 			}
 		case scheduler.Dispatch:
-			w.running = e.Request
+			f.running = e.Request
 		}
 	}
 }
 
-// tick is the mean time of a tick that is due for no exchange.
-func (w *coreWorld) tick() time.Duration {
-	w.core.Tick(w.now)
-	w.take()
-	return repeat(func() { w.core.Tick(w.now) }, w.take)
+// measureTick returns the mean duration of a tick in which no exchange is due.
+func (f *coreFixture) measureTick() time.Duration {
+	f.core.Tick(f.now)
+	f.drainEffects()
+	return meanTime(func() { f.core.Tick(f.now) }, f.drainEffects)
 }
 
-// receive is the mean time to take in one exchange of one peer.
-func (w *coreWorld) receive() time.Duration {
-	m := w.size.exchange()
-	return repeat(func() { w.core.Receive(w.now, "d001", m) }, w.take)
+// measureReceive returns the mean time to process one exchange message of one
+// peer.
+func (f *coreFixture) measureReceive() time.Duration {
+	m := f.size.exchangeMessage()
+	return meanTime(func() { f.core.Receive(f.now, "d001", m) }, f.drainEffects)
 }
 
-// regrant is the mean time from one release to the next grant of its slot.
-func (w *coreWorld) regrant() time.Duration {
-	if len(w.grants) == 0 {
+// measureRegrant returns the mean time to process a release and grant its slot
+// again.
+func (f *coreFixture) measureRegrant() time.Duration {
+	if len(f.grants) == 0 {
 		return 0
 	}
-	return repeat(func() {
-		g := w.grants[0]
-		w.grants = w.grants[1:]
-		w.core.Receive(w.now, g.to, scheduler.Message{Incarnation: 1, Releases: []scheduler.Release{
+	return meanTime(func() {
+		g := f.grants[0]
+		f.grants = f.grants[1:]
+		f.core.Receive(f.now, g.ingress, scheduler.Message{Incarnation: 1, Releases: []scheduler.Release{
 			{Grant: g.grant.ID, Result: scheduler.Result{Served: meanCost}},
 		}})
 	}, func() {
-		w.take()
-		for len(w.grants) == 0 { // the demand ran out: the peers show it again
-			w.core.Receive(w.now, "d001", w.size.exchange())
-			w.take()
+		f.drainEffects()
+		for len(f.grants) == 0 { // no demand is left; a peer reports it again
+			f.core.Receive(f.now, "d001", f.size.exchangeMessage())
+			f.drainEffects()
 		}
 	})
 }
 
-// progress is the mean time to take in one report of a running request.
-func (w *coreWorld) progress() time.Duration {
-	if w.running == "" {
+// measureProgress returns the mean time to process one progress report of a
+// running request.
+func (f *coreFixture) measureProgress() time.Duration {
+	if f.running == "" {
 		return 0
 	}
 	served := float64(meanCost)
-	return repeat(func() {
+	return meanTime(func() {
 		for range progressBatch {
 			served++
-			w.core.Progress(w.running, served)
+			f.core.Progress(f.running, served)
 		}
-	}, w.take) / progressBatch
+	}, f.drainEffects) / progressBatch
 }
 
-// progressBatch keeps the clock's own cost out of a very short operation.
+// progressBatch is the number of progress reports per measurement. The operation
+// is so short that reading the clock would otherwise dominate the result.
 const progressBatch = 1000
 
-// repeat returns the mean time of op; after is not counted.
-func repeat(op, after func()) time.Duration {
-	var spent time.Duration
+// meanTime returns the mean duration of op. afterEach runs after each call of op
+// and is not included in the measurement.
+func meanTime(op, afterEach func()) time.Duration {
+	var total time.Duration
 	n := 0
-	for spent < measureFor {
-		begun := time.Now()
+	for total < minMeasureTime {
+		start := time.Now()
 		op()
-		spent += time.Since(begun)
+		total += time.Since(start)
 		n++
-		after()
+		afterEach()
 	}
-	return spent / time.Duration(n)
+	return total / time.Duration(n)
 }
 
-// coreAxis varies one dimension of a scheduler at the planned size.
+// coreAxis varies one dimension of coreSize.
 type coreAxis struct {
 	name   string
 	values []int
-	size   func(v int) coreSize
+	sizeAt func(v int) coreSize
 }
 
 func coreAxes() []coreAxis {
-	plan := coreSize{planDaemons, planWorkspaces, planBacklogged, planTargets}
+	planned := coreSize{plannedDaemons, plannedWorkspaces, plannedBacklogged, plannedTargets}
 	return []coreAxis{
 		{"daemons at the size of today", []int{4, 5, 6, 7}, func(v int) coreSize { return coreSize{v, 32, 16, 16} }},
-		{"daemons", []int{45, 90, 180, 270, 360}, func(v int) coreSize { s := plan; s.daemons = v; return s }},
-		{"workspaces", []int{775, 1550, 3100, 4650, 6200}, func(v int) coreSize { s := plan; s.workspaces = v; return s }},
-		{"backlogged workspaces", []int{77, 155, 310, 465, 620}, func(v int) coreSize { s := plan; s.backlogged = v; return s }},
-		{"targets", []int{388, 775, 1550, 2325, 3100}, func(v int) coreSize { s := plan; s.targets = v; return s }},
+		{"daemons", []int{45, 90, 180, 270, 360}, func(v int) coreSize { s := planned; s.daemons = v; return s }},
+		{"workspaces", []int{775, 1550, 3100, 4650, 6200}, func(v int) coreSize { s := planned; s.workspaces = v; return s }},
+		{"backlogged workspaces", []int{77, 155, 310, 465, 620}, func(v int) coreSize { s := planned; s.backlogged = v; return s }},
+		{"targets", []int{388, 775, 1550, 2325, 3100}, func(v int) coreSize { s := planned; s.targets = v; return s }},
 	}
 }
 
-// measureCore times the scheduler's operations; but for the first axis all other
-// dimensions have the planned size.
+// measureCore measures the operations of the scheduler. On every axis but the
+// first, all other dimensions have the planned size.
 func measureCore() error {
 	columns := []struct {
-		name string
-		of   func(*coreWorld) time.Duration
+		name    string
+		measure func(*coreFixture) time.Duration
 	}{
-		{"tick, µs", (*coreWorld).tick},
-		{"receive an exchange, µs", (*coreWorld).receive},
-		{"release to next grant, µs", (*coreWorld).regrant},
-		{"progress report, µs", (*coreWorld).progress},
+		{"tick, µs", (*coreFixture).measureTick},
+		{"receive an exchange, µs", (*coreFixture).measureReceive},
+		{"release to next grant, µs", (*coreFixture).measureRegrant},
+		{"progress report, µs", (*coreFixture).measureProgress},
 	}
 	for _, axis := range coreAxes() {
 		fmt.Printf("\n### Scheduler alone against %s\n\n", axis.name)
@@ -235,14 +242,14 @@
 		ys := make([][]float64, len(columns)+1)
 		for _, v := range axis.values {
 			before := heapMB()
-			w := newCoreWorld(axis.size(v))
+			f := newCoreFixture(axis.sizeAt(v))
 			heap := heapMB() - before
 			xs, ys[0] = append(xs, float64(v)), append(ys[0], heap)
-			fmt.Printf("| %d | %d | %.1f |", v, len(w.grants), heap)
+			fmt.Printf("| %d | %d | %.1f |", v, len(f.grants), heap)
 			for i, c := range columns {
-				us := float64(c.of(w)) / float64(time.Microsecond)
-				ys[i+1] = append(ys[i+1], us)
-				fmt.Printf(" %.3g |", us)
+				micros := float64(c.measure(f)) / float64(time.Microsecond)
+				ys[i+1] = append(ys[i+1], micros)
+				fmt.Printf(" %.3g |", micros)
 			}
 			fmt.Println()
 		}
@@ -253,7 +260,7 @@
 				name = columns[i-1].name
 			}
 			l := fit(xs, ys[i])
-			fmt.Printf("| %s | %.3g | %.4g ± %.2g | %.2g | %.3f |\n", name, l.fixed, l.slope, l.slopeError, l.rms, l.r2)
+			fmt.Printf("| %s | %.3g | %.4g ± %.2g | %.2g | %.3f |\n", name, l.intercept, l.slope, l.slopeStdErr, l.rms, l.r2)
 		}
 	}
 	return nil
--- a/test/capacity/daemon.go
+++ b/test/capacity/daemon.go
@@ -20,23 +20,24 @@
 	zoneCount   = 4
 	serviceName = ident.Service("lm-pool")
 	meanCost    = 400
-	// progressEvery is how often a running request reports its tokens.
-	progressEvery = 250 * time.Millisecond
+	// progressInterval is the interval at which a running request reports its
+	// progress in tokens.
+	progressInterval = 250 * time.Millisecond
 )
 
-// daemon is the control part of a daemon: links, scheduler and control loop.
+// daemon is the control plane of a daemon: links, scheduler and control loop.
 type daemon struct {
-	name     ident.Daemon
-	zone     ident.Zone
-	node     *fleet.Node
-	loop     *control.Loop
-	finished atomic.Uint64
-	links    atomic.Int64
+	name             ident.Daemon
+	zone             ident.Zone
+	node             *fleet.Node
+	loop             *control.Loop
+	finishedRequests atomic.Uint64
+	linkCount        atomic.Int64
 }
 
-// newDaemon starts a daemon with the services of the point.
+// newDaemon starts the daemon with index i and configures the service of p.
 func newDaemon(ctx context.Context, p Point, i int, identity *certs.Identity) (*daemon, error) {
-	d := &daemon{name: p.name(i), zone: zoneName(i)}
+	d := &daemon{name: p.daemonName(i), zone: zoneName(i)}
 	core := scheduler.New(scheduler.Config{Self: d.name, Incarnation: 1, Zone: d.zone, ExchangeInterval: p.Exchange, ReduceAbove: p.ReduceAbove},
 		rand.New(rand.NewPCG(uint64(i), 1)))
 	d.loop = control.New(control.Config{}, core, d)
@@ -66,10 +67,10 @@
 func (d *daemon) Peers(peers []scheduler.Peer) { d.loop.SetPeers(peers) }
 
 // LinkUp implements fleet.Handler.
-func (d *daemon) LinkUp(id ident.Daemon) { d.links.Add(1); d.loop.ResyncPeer(id) }
+func (d *daemon) LinkUp(id ident.Daemon) { d.linkCount.Add(1); d.loop.ResyncPeer(id) }
 
 // LinkLost implements fleet.Handler.
-func (d *daemon) LinkLost(id ident.Daemon) { d.links.Add(-1); d.loop.ResyncPeer(id) }
+func (d *daemon) LinkLost(id ident.Daemon) { d.linkCount.Add(-1); d.loop.ResyncPeer(id) }
 
 // Receive implements fleet.Handler.
 func (d *daemon) Receive(from ident.Daemon, m scheduler.Message) { d.loop.Receive(from, m) }
@@ -80,7 +81,8 @@
 // Entries implements fleet.Handler.
 func (d *daemon) Entries(uint64) []fleet.Entry { return nil }
 
-// Follow implements fleet.Handler. The stand-in knows no table.
+// Follow implements fleet.Handler. This daemon follows no table, so it rejects
+// every query.
 func (d *daemon) Follow(context.Context, platform.FeedQuery) (platform.FeedAnswer, error) {
 	return platform.FeedAnswer{}, platform.ErrReaderNotCurrent
 }
@@ -90,48 +92,51 @@
 	return fleet.ClaimAnswer{State: fleet.ClaimUnknown}
 }
 
-// load keeps every backlogged workspace backlogged at this daemon: four callers
-// each where the fleet has slots for one.
-func (d *daemon) load(ctx context.Context, p Point) {
+// startLoad starts the callers that keep every backlogged workspace backlogged at
+// this daemon: each workspace has four callers per daemon, while the fleet has
+// only one slot per workspace and daemon.
+func (d *daemon) startLoad(ctx context.Context, p Point) {
 	for w := range p.Backlogged {
-		for range callersEach {
-			go d.call(ctx, workspaceName(w), p.serviceTime())
+		for range callersPerWorkspace {
+			go d.runCaller(ctx, workspaceName(w), p.serviceTime())
 		}
 	}
 }
 
-func (d *daemon) call(ctx context.Context, workspace ident.Workspace, full time.Duration) {
-	// The first request is cut short, so that the load is steady from the start.
-	serviceTime := time.Duration(rand.Float64() * float64(full))
+func (d *daemon) runCaller(ctx context.Context, workspace ident.Workspace, fullTime time.Duration) {
+	// The first request runs for a random part of the full time, which spreads the
+	// completions evenly from the start.
+	serviceTime := time.Duration(rand.Float64() * float64(fullTime))
 	for ctx.Err() == nil {
 		r := scheduler.Request{ID: ident.NewRequest(), Service: serviceName, Workspace: workspace, Cost: meanCost}
-		if placed := d.loop.Place(ctx, r, false); placed.Failure != nil {
+		if assignment := d.loop.Place(ctx, r, false); assignment.Failure != nil {
 			continue
 		}
-		d.hold(ctx, r.ID, serviceTime)
-		d.finished.Add(1)
+		d.runRequest(ctx, r.ID, serviceTime)
+		d.finishedRequests.Add(1)
 		d.loop.Finish(r.ID, scheduler.Result{Served: meanCost, Elapsed: serviceTime, FirstByte: time.Millisecond})
-		serviceTime = full
+		serviceTime = fullTime
 	}
 }
 
-// hold lets a request run and reports its progress.
-func (d *daemon) hold(ctx context.Context, id ident.Request, serviceTime time.Duration) {
-	// Up to a tenth more or less, so that the requests do not end in step.
+// runRequest simulates the execution of a request and reports its progress.
+func (d *daemon) runRequest(ctx context.Context, id ident.Request, serviceTime time.Duration) {
+	// Jitter of up to a tenth in either direction keeps the requests from ending
+	// in lockstep.
 	serviceTime += time.Duration((rand.Float64() - 0.5) * 0.2 * float64(serviceTime))
-	begun := time.Now()
-	end := time.NewTimer(serviceTime)
-	defer end.Stop()
-	tick := time.NewTicker(progressEvery)
-	defer tick.Stop()
+	start := time.Now()
+	timer := time.NewTimer(serviceTime)
+	defer timer.Stop()
+	ticker := time.NewTicker(progressInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-end.C:
+		case <-timer.C:
 			return
-		case now := <-tick.C:
-			d.loop.Progress(id, meanCost*float64(now.Sub(begun))/float64(serviceTime))
+		case now := <-ticker.C:
+			d.loop.Progress(id, meanCost*float64(now.Sub(start))/float64(serviceTime))
 		}
 	}
 }
--- a/test/capacity/experiment.go
+++ b/test/capacity/experiment.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// experiment varies one thing and fits a line to each cost.
+// experiment varies one parameter and fits a line to each cost.
 type experiment struct {
 	name, title, axis string
 	values            []float64
 	point             func(value float64) Point
-	// measured, where set, is the x of the fit in place of the setting.
-	measured func(Sample) float64
+	// measuredX, if set, returns the x value for the fit in place of the value of
+	// the parameter.
+	measuredX func(Sample) float64
 }
 
 const coreExperiment = "core"
 
-// afterLinks is how long a new link is in use: the scheduler lists held grants to
-// the peer for 8 s, and the link rests 10 s after the last one. Idle links are
-// measured after that.
-const afterLinks = 25 * time.Second
+// linkSettleTime is the time after which a new link is idle. The scheduler sends
+// lists of held grants to a new peer for 8 s, and a link counts as used for 10 s
+// after the last message. Idle links are measured only after that.
+const linkSettleTime = 25 * time.Second
 
 func experiments() []experiment {
 	return []experiment{
@@ -62,7 +63,7 @@
 			point: func(v float64) Point {
 				return Point{Daemons: 8, TLS: true, Backlogged: 20, Targets: 16, Rate: v}
 			},
-			measured: func(s Sample) float64 { return s.Requests },
+			measuredX: func(s Sample) float64 { return s.Requests },
 		},
 		{
 			name: "targets", axis: "targets",
@@ -83,10 +84,10 @@
 	}
 }
 
-// cost is one column of a table.
+// cost is a measured quantity, which is one column of the result table.
 type cost struct {
 	name, unit string
-	of         func(Sample) float64
+	value      func(Sample) float64
 }
 
 var costs = []cost{
@@ -98,10 +99,10 @@
 	{"live heap and stacks", "MB", func(s Sample) float64 { return s.Heap }},
 }
 
-// x is where a sample stands in the fit.
-func (e experiment) x(setting float64, s Sample) float64 {
-	if e.measured != nil {
-		return e.measured(s)
+// fitX returns the x value of a sample in the fit.
+func (e experiment) fitX(setting float64, s Sample) float64 {
+	if e.measuredX != nil {
+		return e.measuredX(s)
 	}
 	return setting
 }
@@ -120,16 +121,16 @@
 			p := e.point(v)
 			p.Window, p.Warm, p.Exchange, p.ReduceAbove = o.Window, o.Warm, o.Exchange, o.ReduceAbove
 			if p.Star {
-				p.Warm = max(p.Warm, afterLinks)
+				p.Warm = max(p.Warm, linkSettleTime)
 			}
-			s, err := measure(p)
+			s, err := measurePoint(p)
 			if err != nil {
 				return err
 			}
-			xs, samples = append(xs, e.x(v, s)), append(samples, s)
+			xs, samples = append(xs, e.fitX(v, s)), append(samples, s)
 			fmt.Printf("| %g | %.1f | %d |", v, s.Requests, s.Links)
 			for _, c := range costs {
-				fmt.Printf(" %.2f |", c.of(s))
+				fmt.Printf(" %.2f |", c.value(s))
 			}
 			fmt.Println()
 		}
@@ -138,10 +139,10 @@
 	for _, c := range costs {
 		ys := make([]float64, len(samples))
 		for i, s := range samples {
-			ys[i] = c.of(s)
+			ys[i] = c.value(s)
 		}
 		l := fit(xs, ys)
-		fmt.Printf("| %s, %s | %.3g | %.4g ± %.2g | %.2g | %.3f |\n", c.name, c.unit, l.fixed, l.slope, l.slopeError, l.rms, l.r2)
+		fmt.Printf("| %s, %s | %.3g | %.4g ± %.2g | %.2g | %.3f |\n", c.name, c.unit, l.intercept, l.slope, l.slopeStdErr, l.rms, l.r2)
 	}
 	return nil
 }
--- a/test/capacity/fit.go
+++ b/test/capacity/fit.go
@@ -2,40 +2,40 @@
 
 import "math"
 
-// line is a least-squares fit y = fixed + slope*x.
-type line struct {
-	fixed, slope float64
-	// slopeError is the standard error of slope, rms the root of the mean
-	// square of the residuals, r2 the coefficient of determination.
-	slopeError, rms, r2 float64
+// linearFit is a least-squares fit y = intercept + slope*x.
+type linearFit struct {
+	intercept, slope float64
+	// slopeStdErr is the standard error of slope, rms the root mean square of the
+	// residuals, and r2 the coefficient of determination.
+	slopeStdErr, rms, r2 float64
 }
 
-func fit(xs, ys []float64) line {
+func fit(xs, ys []float64) linearFit {
 	n := float64(len(xs))
 	var sx, sy float64
 	for i := range xs {
 		sx += xs[i]
 		sy += ys[i]
 	}
-	mx, my := sx/n, sy/n
+	meanX, meanY := sx/n, sy/n
 	var sxx, sxy, syy float64
 	for i := range xs {
-		sxx += (xs[i] - mx) * (xs[i] - mx)
-		sxy += (xs[i] - mx) * (ys[i] - my)
-		syy += (ys[i] - my) * (ys[i] - my)
+		sxx += (xs[i] - meanX) * (xs[i] - meanX)
+		sxy += (xs[i] - meanX) * (ys[i] - meanY)
+		syy += (ys[i] - meanY) * (ys[i] - meanY)
 	}
-	var l line
+	var l linearFit
 	l.slope = sxy / sxx
-	l.fixed = my - l.slope*mx
-	var residual float64
+	l.intercept = meanY - l.slope*meanX
+	var residualSquares float64
 	for i := range xs {
-		d := ys[i] - l.fixed - l.slope*xs[i]
-		residual += d * d
+		residual := ys[i] - l.intercept - l.slope*xs[i]
+		residualSquares += residual * residual
 	}
-	l.rms = math.Sqrt(residual / n)
-	l.slopeError = math.Sqrt(residual / max(n-2, 1) / sxx)
+	l.rms = math.Sqrt(residualSquares / n)
+	l.slopeStdErr = math.Sqrt(residualSquares / max(n-2, 1) / sxx)
 	if syy > 0 {
-		l.r2 = 1 - residual/syy
+		l.r2 = 1 - residualSquares/syy
 	}
 	return l
 }
--- a/test/capacity/main.go
+++ b/test/capacity/main.go
@@ -1,13 +1,15 @@
-// Command capacity measures what control costs a daemon, as slopes against the
-// number of daemons, targets, backlogged workspaces, requests and changes, and
-// prints the tables of docs/CAPACITY.md.
+// Command capacity measures the cost of the control plane per daemon. It fits
+// that cost as a linear function of the number of daemons, targets, backlogged
+// workspaces, requests and configuration changes, and prints the tables of
+// docs/CAPACITY.md.
 //
-//	go run ./test/capacity           # all, some six minutes
+//	go run ./test/capacity           # all experiments, about six minutes
 //	go run ./test/capacity -only links
 //
-// Each point of the experiments with links runs in a process of its own (the
-// subject) with its peers in one other process, so that processor time and
-// memory are the subject's alone. Everything stays on 127.0.0.1.
+// In the experiments with links, each point is measured on a daemon in a process
+// of its own (the subject). All its peers share a second process, so that the CPU
+// time and memory measured are those of the subject alone. All traffic stays on
+// 127.0.0.1.
 package main
 
 import (
@@ -66,17 +68,17 @@
 	return nil
 }
 
-// measure runs one point in a fresh process.
-func measure(p Point) (Sample, error) {
-	text, err := json.Marshal(p)
+// measurePoint measures one point in a new process.
+func measurePoint(p Point) (Sample, error) {
+	pointJSON, err := json.Marshal(p)
 	if err != nil {
 		return Sample{}, err
 	}
-	cmd := exec.Command(os.Args[0], "--role", roleSubject, "--point", string(text))
+	cmd := exec.Command(os.Args[0], "--role", roleSubject, "--point", string(pointJSON))
 	cmd.Stderr = os.Stderr
 	out, err := cmd.Output()
 	if err != nil {
-		return Sample{}, fmt.Errorf("point %s: %w", text, err)
+		return Sample{}, fmt.Errorf("measuring point %s: %w", pointJSON, err)
 	}
 	var s Sample
 	return s, json.Unmarshal(out, &s)
--- a/test/capacity/peers.go
+++ b/test/capacity/peers.go
@@ -11,10 +11,10 @@
 	"github.com/savorystall/savorystall/internal/platform"
 )
 
-// runPeers hosts all daemons but the subject until its input ends.
-func runPeers(text []byte) error {
+// runPeers runs all daemons except the subject until standard input is closed.
+func runPeers(specJSON []byte) error {
 	var spec peerSpec
-	if err := json.Unmarshal(text, &spec); err != nil {
+	if err := json.Unmarshal(specJSON, &spec); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -34,7 +34,7 @@
 	}
 	for _, d := range daemons {
 		if spec.Point.Star {
-			d.node.SetVMs(withoutAddresses(vms))
+			d.node.SetVMs(withoutPeerAddresses(vms))
 		} else {
 			d.node.SetVMs(vms)
 		}
@@ -42,42 +42,44 @@
 	if err := json.NewEncoder(os.Stdout).Encode(vms); err != nil {
 		return err
 	}
-	// The first byte starts the load, the end of the input ends the process.
+	// The first byte starts the load; end of file stops the process.
 	if _, err := io.ReadFull(os.Stdin, make([]byte, 1)); err != nil {
 		return err
 	}
 	for _, d := range daemons {
-		d.load(ctx, spec.Point)
+		d.startLoad(ctx, spec.Point)
 	}
-	go announce(ctx, daemons, spec.Point.Changes)
+	go announceRevisions(ctx, daemons, spec.Point.Changes)
 	_, err = io.Copy(io.Discard, os.Stdin)
 	return err
 }
 
-// withoutAddresses lets a peer know the whole fleet, so that it chooses whom to
-// watch as it would there, and link to the subject alone.
-func withoutAddresses(vms []platform.VM) []platform.VM {
-	list := slices.Clone(vms)
-	for i := range list[1:] {
-		list[i+1].Address = ""
+// withoutPeerAddresses clears the address of every VM except the subject, which
+// is the first. A peer then knows all members and selects the ones to watch as in
+// a real fleet, but it can link to the subject only.
+func withoutPeerAddresses(vms []platform.VM) []platform.VM {
+	result := slices.Clone(vms)
+	for i := range result[1:] {
+		result[i+1].Address = ""
 	}
-	return list
+	return result
 }
 
-// announce lets all peers take new revisions into force.
-func announce(ctx context.Context, daemons []*daemon, changes float64) {
-	if changes == 0 {
+// announceRevisions makes all peers announce new configuration revisions at the
+// given rate.
+func announceRevisions(ctx context.Context, daemons []*daemon, changesPerSecond float64) {
+	if changesPerSecond == 0 {
 		return
 	}
-	tick := time.NewTicker(time.Duration(float64(time.Second) / changes))
-	defer tick.Stop()
-	for head := uint64(1); ; head++ {
+	ticker := time.NewTicker(time.Duration(float64(time.Second) / changesPerSecond))
+	defer ticker.Stop()
+	for revision := uint64(1); ; revision++ {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 			for _, d := range daemons {
-				d.node.SetHead(head)
+				d.node.SetHead(revision)
 			}
 		}
 	}
--- a/test/capacity/point.go
+++ b/test/capacity/point.go
@@ -11,49 +11,54 @@
 const (
 	roleSubject = "subject"
 	rolePeers   = "peers"
-	// callersEach is how many callers each backlogged workspace has at each
+	// callersPerWorkspace is the number of callers per backlogged workspace and
 	// daemon; the fleet has slots for one of them.
-	callersEach = 4
+	callersPerWorkspace = 4
 )
 
-// Point is one setting of an experiment.
+// Point holds the parameters of one measurement. It is passed to the processes
+// as JSON.
 type Point struct {
 	Daemons int
-	// Star links the peers to the subject only; else all are linked to all.
+	// Star links the peers to the subject only; otherwise the fleet is a full mesh.
 	Star bool
 	TLS  bool
-	// Backlogged workspaces wait at every daemon.
+	// Backlogged is the number of workspaces that have waiting requests at every
+	// daemon.
 	Backlogged int
 	Targets    int
-	// Rate is the requests a second that end at each daemon.
+	// Rate is the number of requests per second that complete at each daemon.
 	Rate float64
-	// Changes of the configuration a second.
-	Changes      float64
+	// Changes is the number of configuration changes per second.
+	Changes float64
+	// Window is the duration of the measurement, and Warm the delay before it.
 	Window, Warm time.Duration
-	// Exchange is the interval of the scheduler's exchange.
+	// Exchange is the exchange interval of the scheduler.
 	Exchange time.Duration
-	// ReduceAbove is the number of daemons above which service parts are added
-	// up within zones.
+	// ReduceAbove is the number of daemons above which served totals are
+	// aggregated within zones.
 	ReduceAbove int
 }
 
-// Sample is what one point cost the subject.
+// Sample holds the costs of the subject measured at one point.
 type Sample struct {
-	// Sent and Received are bytes a second with framing, TLS and estimated IP
-	// and TCP headers; Payload is the part of Sent that is encoded frames.
+	// Sent and Received are in bytes per second, including framing, TLS and
+	// estimated IP and TCP headers. Payload is the part of Sent that consists of
+	// encoded frames.
 	Sent, Received, Payload float64
-	// CPU is the processor time of the process over the window.
+	// CPU is the CPU time of the process divided by the duration of the window.
 	CPU float64
-	// RSS and Heap are in MB; Heap is live heap after a collection and stacks.
+	// RSS and Heap are in MB. Heap is the live heap after a garbage collection
+	// plus the stacks.
 	RSS, Heap float64
-	// Requests that ended at the subject a second.
+	// Requests is the number of requests per second that completed at the subject.
 	Requests float64
 	Links    int
 }
 
-// name puts the subject, number zero, into the middle of the names, so that it
-// dials half of its links.
-func (p Point) name(i int) ident.Daemon {
+// daemonName returns the name of daemon i. The subject, which has index zero,
+// sorts into the middle of the names, so that it dials half of its links.
+func (p Point) daemonName(i int) ident.Daemon {
 	switch {
 	case i == 0:
 		return "m"
@@ -66,8 +71,8 @@
 
 func workspaceName(i int) ident.Workspace { return ident.Workspace(fmt.Sprintf("workspace-%04d", i)) }
 
-// serviceTime makes Rate requests a second end at each daemon when it runs one
-// request of each backlogged workspace.
+// serviceTime returns the duration of a request at which Rate requests per second
+// complete at each daemon while it runs one request of each backlogged workspace.
 func (p Point) serviceTime() time.Duration {
 	return time.Duration(float64(p.Backlogged) / p.Rate * float64(time.Second))
 }
@@ -77,11 +82,11 @@
 	for i := range p.Backlogged {
 		s.Workspaces = append(s.Workspaces, scheduler.Workspace{Name: workspaceName(i), Weight: 1})
 	}
-	slots := p.Daemons * p.Backlogged
+	totalSlots := p.Daemons * p.Backlogged
 	for i := range p.Targets {
-		share := max(slots*(i+1)/p.Targets-slots*i/p.Targets, 1)
+		targetSlots := max(totalSlots*(i+1)/p.Targets-totalSlots*i/p.Targets, 1)
 		s.Targets = append(s.Targets, scheduler.Target{
-			Name: ident.Target(fmt.Sprintf("engine-%04d", i)), Zone: zoneName(i), Slots: share,
+			Name: ident.Target(fmt.Sprintf("engine-%04d", i)), Zone: zoneName(i), Slots: targetSlots,
 		})
 	}
 	return s
--- a/test/capacity/subject.go
+++ b/test/capacity/subject.go
@@ -18,20 +18,20 @@
 	"github.com/savorystall/savorystall/internal/platform"
 )
 
-// linkTimeout bounds the wait for all links.
+// linkTimeout limits the wait for all links to be established.
 const linkTimeout = 60 * time.Second
 
-// peerSpec is what the peers' process is told.
+// peerSpec is the configuration of the peer process, passed as JSON.
 type peerSpec struct {
 	Point   Point
 	Subject platform.VM
 	Certs   certs.Files
 }
 
-// runSubject measures one point and prints the sample.
-func runSubject(text []byte) error {
+// runSubject measures one point and prints the sample as JSON.
+func runSubject(pointJSON []byte) error {
 	var p Point
-	if err := json.Unmarshal(text, &p); err != nil {
+	if err := json.Unmarshal(pointJSON, &p); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -62,13 +62,13 @@
 	}
 	defer peers.stop()
 	d.node.SetVMs(vms)
-	if err := awaitLinks(d, p.Daemons-1); err != nil {
+	if err := waitForLinks(d, p.Daemons-1); err != nil {
 		return err
 	}
-	if err := peers.load(); err != nil {
+	if err := peers.startLoad(); err != nil {
 		return err
 	}
-	d.load(ctx, p)
+	d.startLoad(ctx, p)
 	return json.NewEncoder(os.Stdout).Encode(d.sample(p))
 }
 
@@ -79,31 +79,31 @@
 	return certs.Load(s.Certs)
 }
 
-// peerProcess hosts the other daemons.
+// peerProcess is the process that runs all daemons except the subject.
 type peerProcess struct {
 	cmd   *exec.Cmd
 	stdin io.WriteCloser
 }
 
-// load starts the load of all peers at once.
-func (p *peerProcess) load() error {
+// startLoad starts the load at all peers.
+func (p *peerProcess) startLoad() error {
 	_, err := p.stdin.Write([]byte{1})
 	return err
 }
 
-// stop ends the process by the end of its input.
+// stop closes standard input of the process, which makes it exit, and waits.
 func (p *peerProcess) stop() {
 	_ = p.stdin.Close()
 	_ = p.cmd.Wait()
 }
 
-// startPeers starts the other daemons in one process and returns their list.
+// startPeers starts the peer process and returns it with the VM list of the fleet.
 func startPeers(spec peerSpec) (p *peerProcess, vms []platform.VM, err error) {
-	text, err := json.Marshal(spec)
+	specJSON, err := json.Marshal(spec)
 	if err != nil {
 		return nil, nil, err
 	}
-	cmd := exec.Command(os.Args[0], "--role", rolePeers, "--point", string(text))
+	cmd := exec.Command(os.Args[0], "--role", rolePeers, "--point", string(specJSON))
 	cmd.Stderr = os.Stderr
 	stdin, err := cmd.StdinPipe()
 	if err != nil {
@@ -124,42 +124,42 @@
 	return p, vms, nil
 }
 
-func awaitLinks(d *daemon, want int) error {
+func waitForLinks(d *daemon, want int) error {
 	deadline := time.Now().Add(linkTimeout)
-	for d.links.Load() < int64(want) {
+	for d.linkCount.Load() < int64(want) {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%d of %d links", d.links.Load(), want)
+			return fmt.Errorf("only %d of %d links are established", d.linkCount.Load(), want)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	return nil
 }
 
-// sample measures one window.
+// sample waits for the warm-up and measures one window.
 func (d *daemon) sample(p Point) Sample {
 	time.Sleep(p.Warm)
-	traffic, cpu, finished, begun := d.node.Traffic(), processorTime(), d.finished.Load(), time.Now()
+	trafficBefore, cpuBefore, finishedBefore, start := d.node.Traffic(), cpuTime(), d.finishedRequests.Load(), time.Now()
 	time.Sleep(p.Window)
-	after, cpuAfter, ended := d.node.Traffic(), processorTime(), d.finished.Load()
-	seconds := time.Since(begun).Seconds()
+	trafficAfter, cpuAfter, finishedAfter := d.node.Traffic(), cpuTime(), d.finishedRequests.Load()
+	seconds := time.Since(start).Seconds()
 	rate := func(from, to uint64) float64 { return float64(to-from) / seconds }
 	s := Sample{
-		Sent:     rate(traffic.EstimatedSent(), after.EstimatedSent()),
-		Received: rate(traffic.EstimatedReceived(), after.EstimatedReceived()),
-		Payload:  rate(traffic.PayloadSent, after.PayloadSent),
-		CPU:      (cpuAfter - cpu).Seconds() / seconds,
-		Requests: rate(finished, ended),
-		Links:    int(d.links.Load()),
-		RSS:      residentMB(),
+		Sent:     rate(trafficBefore.EstimatedSent(), trafficAfter.EstimatedSent()),
+		Received: rate(trafficBefore.EstimatedReceived(), trafficAfter.EstimatedReceived()),
+		Payload:  rate(trafficBefore.PayloadSent, trafficAfter.PayloadSent),
+		CPU:      (cpuAfter - cpuBefore).Seconds() / seconds,
+		Requests: rate(finishedBefore, finishedAfter),
+		Links:    int(d.linkCount.Load()),
+		RSS:      rssMB(),
 	}
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	s.Heap = float64(m.HeapAlloc+m.StackInuse) / (1 << 20)
+	var mem runtime.MemStats
+	runtime.ReadMemStats(&mem)
+	s.Heap = float64(mem.HeapAlloc+mem.StackInuse) / (1 << 20)
 	return s
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -167,15 +167,16 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// residentMB is the resident set of the process.
-func residentMB() float64 {
+// rssMB returns the resident set size of the process in MB, or zero if it is
+// unavailable.
+func rssMB() float64 {
 	text, err := os.ReadFile("/proc/self/status")
 	if err != nil {
 		return 0
 	}
-	for _, row := range strings.Split(string(text), "\n") {
-		if rest, ok := strings.CutPrefix(row, "VmRSS:"); ok {
-			kb, _ := strconv.ParseFloat(strings.Fields(rest)[0], 64)
+	for _, line := range strings.Split(string(text), "\n") {
+		if value, ok := strings.CutPrefix(line, "VmRSS:"); ok {
+			kb, _ := strconv.ParseFloat(strings.Fields(value)[0], 64)
 			return kb / 1024
 		}
 	}
--- a/test/configuration/configuration_test.go
+++ b/test/configuration/configuration_test.go
@@ -18,57 +18,57 @@
 	platformstandin "github.com/savorystall/savorystall/internal/standin/platform"
 )
 
-var seed = flag.Uint64("seed", 7, "seed of the schedule of faults")
+var seed = flag.Uint64("seed", 7, "seed of the fault schedule")
 
-// All stores are out. A change was accepted just before, and a daemon is killed
-// and started again without state. It must get the present documents from its
-// peers, and serve them though the platform never answers it.
-func TestRestartDuringAnOutageLearnsFromPeers(t *testing.T) {
+// All stores of the platform go down right after a change was accepted, and a
+// daemon is killed and restarted without state. It must load the current documents
+// from its peers and become ready, although the platform never responds to it.
+func TestRestartDuringPlatformOutageLoadsFromPeers(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
-	first, err := s.editor("ana").Apply(t.Context(), text("portal", 1), 0, "")
+	fleet := newTestFleet(t)
+	first, err := fleet.newEditor("ana").Apply(t.Context(), testDocument("portal", 1), 0, "")
 	is.NoErr(err)
-	second, err := s.editor("ana").Apply(t.Context(), text("portal", 2), first, "")
+	second, err := fleet.newEditor("ana").Apply(t.Context(), testDocument("portal", 2), first, "")
 	is.NoErr(err)
 	want := map[ident.Service]uint64{"portal": second}
-	s.await(want, s.daemons...)
+	fleet.waitForRevisions(want, fleet.daemons...)
 	for _, store := range []platformstandin.Store{platformstandin.Table, platformstandin.Objects, platformstandin.VMs} {
-		s.server.SetFaults(store, platformstandin.Faults{Unavailable: true})
+		fleet.platformServer.SetFaults(store, platformstandin.Faults{Unavailable: true})
 	}
-	s.daemons[0].kill()
-	s.start(s.daemons[0])
-	t.Logf("in force %s after the start", s.await(want, s.daemons[0]))
+	fleet.daemons[0].kill()
+	fleet.start(fleet.daemons[0])
+	t.Logf("documents in effect %s after the restart", fleet.waitForRevisions(want, fleet.daemons[0]))
 }
 
-// One daemon is cut off from the platform, but not from its peers. A change that
-// is accepted meanwhile must get in force on it as well.
-func TestChangeReachesADaemonWithoutPlatform(t *testing.T) {
+// One daemon loses its connection to the platform but keeps the links to its
+// peers. A change that is accepted in the meantime must take effect on it too.
+func TestChangeReachesDaemonCutOffFromPlatform(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
-	first, err := s.editor("ana").Apply(t.Context(), text("portal", 1), 0, "")
+	fleet := newTestFleet(t)
+	first, err := fleet.newEditor("ana").Apply(t.Context(), testDocument("portal", 1), 0, "")
 	is.NoErr(err)
-	s.await(map[ident.Service]uint64{"portal": first}, s.daemons...)
-	s.daemons[2].link.Cut()
-	second, err := s.editor("ana").Delete(t.Context(), "portal", first, "")
+	fleet.waitForRevisions(map[ident.Service]uint64{"portal": first}, fleet.daemons...)
+	fleet.daemons[2].platformLink.Cut()
+	second, err := fleet.newEditor("ana").Delete(t.Context(), "portal", first, "")
 	is.NoErr(err)
-	t.Logf("in force after %s", s.await(map[ident.Service]uint64{"portal": second}, s.daemons...))
-	is.NoErr(s.daemons[2].link.Restore())
+	t.Logf("in effect on all daemons after %s", fleet.waitForRevisions(map[ident.Service]uint64{"portal": second}, fleet.daemons...))
+	is.NoErr(fleet.daemons[2].platformLink.Restore())
 }
 
-// monitor asks every daemon again and again what is in force, and keeps the
-// highest revision that each incarnation has shown.
+// monitor polls the revisions in effect on every daemon and records the highest
+// revision that each incarnation has reported for each service.
 type monitor struct {
-	s       *site
-	mu      sync.Mutex
-	highest map[string]uint64
-	answers int
+	fleet        *testFleet
+	mu           sync.Mutex
+	highest      map[string]uint64
+	observations int
 }
 
-func (m *monitor) run(ctx context.Context, p *process) {
+func (m *monitor) run(ctx context.Context, p *daemonProcess) {
 	for ctx.Err() == nil {
 		if status, err := p.status(ctx); err == nil {
 			for service, revision := range status.ActiveRevisions {
-				m.see(fmt.Sprint(p.name, "/", status.Incarnation, "/", service), revision)
+				m.observe(fmt.Sprint(p.name, "/", status.Incarnation, "/", service), revision)
 			}
 		}
 		select {
@@ -78,30 +78,31 @@
 	}
 }
 
-func (m *monitor) see(key string, revision uint64) {
+func (m *monitor) observe(key string, revision uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.answers++
+	m.observations++
 	if revision < m.highest[key] {
-		m.s.t.Errorf("%s went back from %d to %d", key, m.highest[key], revision)
+		m.fleet.t.Errorf("%s reverted from revision %d to %d", key, m.highest[key], revision)
 	}
 	m.highest[key] = max(m.highest[key], revision)
 }
 
-// operators change documents until ctx ends, each from what it last saw, so
-// that they race.
+// operators simulates operators that change documents concurrently until ctx is
+// done. Each change is based on the revision that its author read last, so
+// concurrent changes conflict.
 type operators struct {
-	s        *site
-	mu       sync.Mutex
-	accepted map[uint64]ident.Service
-	refused  int
-	unknown  int
+	fleet          *testFleet
+	mu             sync.Mutex
+	accepted       map[uint64]ident.Service
+	rejected       int
+	unknownOutcome int
 }
 
 var services = []ident.Service{"portal", "sync-api", "notices"}
 
 func (o *operators) run(ctx context.Context, rng *rand.Rand, author string) {
-	editor := o.s.editor(author)
+	editor := o.fleet.newEditor(author)
 	for weight := 1; ctx.Err() == nil; weight++ {
 		service := services[rng.IntN(len(services))]
 		record, err := editor.Get(ctx, service)
@@ -116,40 +117,41 @@
 		if base > 0 && rng.IntN(5) == 0 {
 			revision, err = editor.Delete(ctx, service, base, "")
 		} else {
-			revision, err = editor.Apply(ctx, text(service, weight), base, "")
+			revision, err = editor.Apply(ctx, testDocument(service, weight), base, "")
 		}
-		o.note(service, revision, err)
+		o.recordResult(service, revision, err)
 	}
 }
 
-func (o *operators) note(service ident.Service, revision uint64, err error) {
+func (o *operators) recordResult(service ident.Service, revision uint64, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	var unknown *platform.UnknownOutcome
+	var unknownErr *platform.UnknownOutcome
 	switch {
-	case errors.As(err, &unknown):
-		o.unknown++
+	case errors.As(err, &unknownErr):
+		o.unknownOutcome++
 	case err != nil:
-		o.refused++
+		o.rejected++
 	default:
-		if other, twice := o.accepted[revision]; twice {
-			o.s.t.Errorf("revision %d was given to %s and %s", revision, other, service)
+		if other, duplicate := o.accepted[revision]; duplicate {
+			o.fleet.t.Errorf("revision %d was assigned to both %s and %s", revision, other, service)
 		}
 		o.accepted[revision] = service
 	}
 }
 
-// fault is one kind of fault; it returns its end.
+// fault is one kind of fault. inject starts it and returns the function that
+// removes it.
 type fault struct {
-	name  string
-	begin func(s *site, p *process) (end func() error)
+	name   string
+	inject func(fleet *testFleet, p *daemonProcess) (remove func() error)
 }
 
 func tableFault(name string, f platformstandin.Faults) fault {
-	return fault{name, func(s *site, _ *process) func() error {
-		s.server.SetFaults(platformstandin.Table, f)
+	return fault{name, func(fleet *testFleet, _ *daemonProcess) func() error {
+		fleet.platformServer.SetFaults(platformstandin.Table, f)
 		return func() error {
-			s.server.SetFaults(platformstandin.Table, platformstandin.Faults{})
+			fleet.platformServer.SetFaults(platformstandin.Table, platformstandin.Faults{})
 			return nil
 		}
 	}}
@@ -158,88 +160,89 @@
 var faults = []fault{
 	tableFault("table down", platformstandin.Faults{Unavailable: true}),
 	tableFault("table slow", platformstandin.Faults{Delay: 300 * time.Millisecond}),
-	tableFault("answers lost", platformstandin.Faults{LostResponses: 3}),
-	tableFault("answers lost, late effect", platformstandin.Faults{LostResponses: 2, LostWriteDelay: 200 * time.Millisecond}),
+	tableFault("responses lost", platformstandin.Faults{LostResponses: 3}),
+	tableFault("responses lost, delayed effect", platformstandin.Faults{LostResponses: 2, LostWriteDelay: 200 * time.Millisecond}),
 	tableFault("stale reads", platformstandin.Faults{StaleCommits: 3}),
-	{"platform cut", func(_ *site, p *process) func() error {
-		p.link.Cut()
-		return p.link.Restore
+	{"platform cut", func(_ *testFleet, p *daemonProcess) func() error {
+		p.platformLink.Cut()
+		return p.platformLink.Restore
 	}},
-	{"connections silent", func(_ *site, p *process) func() error {
-		p.link.StallOpenConnections()
+	{"connections silent", func(_ *testFleet, p *daemonProcess) func() error {
+		p.platformLink.StallOpenConnections()
 		return func() error { return nil }
 	}},
-	{"paused", func(_ *site, p *process) func() error {
+	{"paused", func(_ *testFleet, p *daemonProcess) func() error {
 		p.pause()
 		return func() error { p.resume(); return nil }
 	}},
-	{"killed", func(s *site, p *process) func() error {
+	{"killed", func(fleet *testFleet, p *daemonProcess) func() error {
 		p.kill()
-		return func() error { s.start(p); return nil }
+		return func() error { fleet.start(p); return nil }
 	}},
 }
 
-// Operators race on three services while faults come singly, in pairs and twice
-// in a row: the table is down, slow or stale, answers are lost, daemons are cut
-// off, paused, or killed and started without state. No daemon may show an older
-// revision than before, no revision may be given twice, and when all is over
-// every daemon must have the last one of each service.
+// Operators change three services concurrently while faults are injected one at a
+// time, in pairs, and repeatedly: the table is down, slow or stale, responses are
+// lost, and daemons are cut off, paused, or killed and restarted without state. No
+// daemon may report an older revision than before, and no revision may be assigned
+// twice. After the last fault, every daemon must converge to the latest revision
+// of each service.
 func TestRevisionsUnderFaults(t *testing.T) {
-	const rounds, lasts = 16, 500 * time.Millisecond
+	const rounds, faultDuration = 16, 500 * time.Millisecond
 	is := is.New(t)
 	t.Logf("seed %d", *seed)
 	rng := rand.New(rand.NewPCG(*seed, *seed))
-	s := newSite(t)
+	fleet := newTestFleet(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	var group sync.WaitGroup
-	m := &monitor{s: s, highest: map[string]uint64{}}
-	for _, p := range s.daemons {
-		group.Go(func() { m.run(ctx, p) })
+	var wg sync.WaitGroup
+	m := &monitor{fleet: fleet, highest: map[string]uint64{}}
+	for _, p := range fleet.daemons {
+		wg.Go(func() { m.run(ctx, p) })
 	}
-	o := &operators{s: s, accepted: map[uint64]ident.Service{}}
+	o := &operators{fleet: fleet, accepted: map[uint64]ident.Service{}}
 	for _, author := range []string{"ana", "ben"} {
-		own := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
-		group.Go(func() { o.run(ctx, own, author) })
+		authorRNG := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
+		wg.Go(func() { o.run(ctx, authorRNG, author) })
 	}
 	for round := range rounds {
-		first := faults[round%len(faults)]
-		second := faults[rng.IntN(len(faults))]
-		p, q := rng.IntN(daemonCount), rng.IntN(daemonCount-1)
-		if q >= p {
-			q++ // pairs strike two daemons
+		firstFault := faults[round%len(faults)]
+		secondFault := faults[rng.IntN(len(faults))]
+		firstDaemon, secondDaemon := rng.IntN(daemonCount), rng.IntN(daemonCount-1)
+		if secondDaemon >= firstDaemon {
+			secondDaemon++ // the two faults of a pair affect different daemons
 		}
-		ends := []func() error{first.begin(s, s.daemons[p])}
+		removals := []func() error{firstFault.inject(fleet, fleet.daemons[firstDaemon])}
 		if round%2 == 1 {
-			ends = append(ends, second.begin(s, s.daemons[q]))
+			removals = append(removals, secondFault.inject(fleet, fleet.daemons[secondDaemon]))
 		}
-		time.Sleep(lasts)
-		for _, end := range ends {
-			is.NoErr(end())
+		time.Sleep(faultDuration)
+		for _, remove := range removals {
+			is.NoErr(remove())
 		}
 	}
 	cancel()
-	group.Wait()
-	s.server.WaitForDelayedWrites()
-	o.settle(t)
+	wg.Wait()
+	fleet.platformServer.WaitForDelayedWrites()
+	o.checkFinalState(t)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	t.Logf("%d changes accepted, %d refused, %d unknown; %d answers of daemons", len(o.accepted), o.refused, o.unknown, m.answers)
+	t.Logf("%d changes accepted, %d rejected, %d with unknown outcome; %d revisions observed", len(o.accepted), o.rejected, o.unknownOutcome, m.observations)
 	is.True(len(o.accepted) > rounds)
 }
 
-// settle waits until every daemon has what the table holds, and checks that
-// every accepted change is in its history.
-func (o *operators) settle(t *testing.T) {
+// checkFinalState waits until every daemon has the revisions in the table, and
+// checks that every accepted change is in the history of its service.
+func (o *operators) checkFinalState(t *testing.T) {
 	is := is.New(t)
-	editor := o.s.editor("carla")
+	editor := o.fleet.newEditor("carla")
 	records, err := editor.List(t.Context())
 	is.NoErr(err)
 	want := map[ident.Service]uint64{}
 	for _, r := range records {
 		want[r.Service] = r.Revision
 	}
-	took := o.s.await(want, o.s.daemons...)
-	t.Logf("all daemons have %v, %s after the last fault", want, took)
+	elapsed := o.fleet.waitForRevisions(want, o.fleet.daemons...)
+	t.Logf("all daemons have %v in effect, %s after the last fault", want, elapsed)
 	for revision, service := range o.accepted {
 		record, err := editor.GetRevision(t.Context(), service, revision)
 		is.NoErr(err)
--- a/test/configuration/main_test.go
+++ b/test/configuration/main_test.go
@@ -1,6 +1,6 @@
-// Package configuration_test runs real daemon processes, each behind its own
-// fault-injecting proxy to the platform's stand-in, and checks that an accepted
-// document gets in force everywhere and never reverts.
+// Package configuration_test runs real daemon processes, each of which reaches
+// the emulated platform through its own fault-injecting proxy. The tests check
+// that an accepted document takes effect on every daemon and never reverts.
 package configuration_test
 
 import (
@@ -9,7 +9,8 @@
 	"github.com/savorystall/savorystall/test/program"
 )
 
-// binary is the daemon's program, built once for all tests.
+// binary is the path of the daemon's executable, which is built once for all
+// tests.
 var binary string
 
 func TestMain(m *testing.M) { program.Main(m, &binary) }
--- a/test/configuration/site_test.go
+++ b/test/configuration/site_test.go
@@ -33,125 +33,127 @@
 
 const (
 	daemonCount = 5
-	// bound is how long a test waits for what must happen; it is no measure.
-	bound = 60 * time.Second
-	// statusTimeout bounds one question to a daemon, which may be paused.
+	// waitTimeout is how long a test waits for an expected state before it fails.
+	// It is not a latency requirement.
+	waitTimeout = 60 * time.Second
+	// statusTimeout limits one status request, because the daemon may be paused.
 	statusTimeout = 500 * time.Millisecond
 	stopTimeout   = 20 * time.Second
 )
 
-// site is a platform with daemons and operators.
-type site struct {
-	t       *testing.T
-	server  *platformstandin.Server
-	address string
-	daemons []*process
-	client  *platform.Client
+// testFleet is an emulated platform with daemon processes and a client for
+// configuration changes.
+type testFleet struct {
+	t              *testing.T
+	platformServer *platformstandin.Server
+	platformAddr   string
+	daemons        []*daemonProcess
+	client         *platform.Client
 }
 
-// process is one daemon, which may be killed and started again.
-type process struct {
-	name             ident.Daemon
-	operators, fleet string
-	// link leads to the platform.
-	link *faultlink.Link
-	file string
-	cmd  *exec.Cmd
-	log  bytes.Buffer
+// daemonProcess is a daemon process that can be killed and restarted.
+type daemonProcess struct {
+	name                     ident.Daemon
+	operatorsAddr, fleetAddr string
+	// platformLink is the fault-injecting proxy to the platform.
+	platformLink *faultlink.Link
+	settingsFile string
+	cmd          *exec.Cmd
+	stderr       bytes.Buffer
 }
 
-func newSite(t *testing.T) *site {
+func newTestFleet(t *testing.T) *testFleet {
 	t.Helper()
 	program.DependOnSources(t)
 	server := platformstandin.New(platformstandin.Config{})
 	listener := httptest.NewServer(server)
-	s := &site{t: t, server: server, address: strings.TrimPrefix(listener.URL, "http://")}
-	s.client = platform.NewClient(platform.ClientConfig{URL: listener.URL, Logger: slog.New(slog.DiscardHandler)})
+	fleet := &testFleet{t: t, platformServer: server, platformAddr: strings.TrimPrefix(listener.URL, "http://")}
+	fleet.client = platform.NewClient(platform.ClientConfig{URL: listener.URL, Logger: slog.New(slog.DiscardHandler)})
 	t.Cleanup(func() {
-		s.client.Close()
+		fleet.client.Close()
 		listener.CloseClientConnections()
 		listener.Close()
 	})
 	for i := range daemonCount {
-		s.daemons = append(s.daemons, &process{
-			name:      ident.Daemon(fmt.Sprintf("entry-%d", i+1)),
-			operators: faultlink.FreeAddress(t), fleet: faultlink.FreeAddress(t),
-			link: faultlink.New(t, s.address),
+		fleet.daemons = append(fleet.daemons, &daemonProcess{
+			name:          ident.Daemon(fmt.Sprintf("entry-%d", i+1)),
+			operatorsAddr: faultlink.FreeAddress(t), fleetAddr: faultlink.FreeAddress(t),
+			platformLink: faultlink.New(t, fleet.platformAddr),
 		})
 	}
 	var vms []wire.VM
-	for _, p := range s.daemons {
-		vms = append(vms, wire.VM{Name: string(p.name), Zone: "hall-a", Address: p.fleet, Role: platform.RoleDaemon, State: string(platform.VMLive)})
+	for _, p := range fleet.daemons {
+		vms = append(vms, wire.VM{Name: string(p.name), Zone: "hall-a", Address: p.fleetAddr, Role: platform.RoleDaemon, State: string(platform.VMLive)})
 	}
 	server.SetVMs(vms...)
-	for _, p := range s.daemons {
-		s.configure(p)
-		s.start(p)
+	for _, p := range fleet.daemons {
+		fleet.configure(p)
+		fleet.start(p)
 	}
-	t.Cleanup(s.stop)
-	return s
+	t.Cleanup(fleet.stop)
+	return fleet
 }
 
-// configure writes the settings. The other daemons are seeds, because a daemon
-// that starts while the platform is out has no list of VMs.
-func (s *site) configure(p *process) {
-	is := is.New(s.t)
-	c := settings.Defaults()
-	c.Daemon, c.Zone = p.name, "hall-a"
-	c.Callers.Listen, c.Operators.Listen, c.Fleet.Listen = "127.0.0.1:0", p.operators, p.fleet
-	c.Platform.URL = "http://" + p.link.Address
-	c.Stop.BalancerLag = 0
-	for _, peer := range s.daemons {
+// configure writes the settings file of p. The other daemons are configured as
+// seeds, because a daemon that starts while the platform is down has no VM list.
+func (fleet *testFleet) configure(p *daemonProcess) {
+	is := is.New(fleet.t)
+	cfg := settings.Defaults()
+	cfg.Daemon, cfg.Zone = p.name, "hall-a"
+	cfg.Callers.Listen, cfg.Operators.Listen, cfg.Fleet.Listen = "127.0.0.1:0", p.operatorsAddr, p.fleetAddr
+	cfg.Platform.URL = "http://" + p.platformLink.Address
+	cfg.Stop.BalancerLag = 0
+	for _, peer := range fleet.daemons {
 		if peer != p {
-			c.Fleet.Seeds = append(c.Fleet.Seeds, settings.Seed{Daemon: peer.name, Address: peer.fleet})
+			cfg.Fleet.Seeds = append(cfg.Fleet.Seeds, settings.Seed{Daemon: peer.name, Address: peer.fleetAddr})
 		}
 	}
-	text, err := yaml.Marshal(c)
+	text, err := yaml.Marshal(cfg)
 	is.NoErr(err)
-	p.file = filepath.Join(s.t.TempDir(), string(p.name)+".yaml")
-	is.NoErr(os.WriteFile(p.file, text, 0o600))
+	p.settingsFile = filepath.Join(fleet.t.TempDir(), string(p.name)+".yaml")
+	is.NoErr(os.WriteFile(p.settingsFile, text, 0o600))
 }
 
-func (s *site) start(p *process) {
-	s.t.Helper()
-	p.cmd = exec.Command(binary, "--settings", p.file)
-	p.cmd.Stderr = &p.log
-	is.New(s.t).NoErr(p.cmd.Start())
+func (fleet *testFleet) start(p *daemonProcess) {
+	fleet.t.Helper()
+	p.cmd = exec.Command(binary, "--settings", p.settingsFile)
+	p.cmd.Stderr = &p.stderr
+	is.New(fleet.t).NoErr(p.cmd.Start())
 }
 
-// kill ends a daemon without warning.
-func (p *process) kill() {
+// kill sends SIGKILL, so that the daemon cannot shut down gracefully.
+func (p *daemonProcess) kill() {
 	_ = p.cmd.Process.Kill()
 	_ = p.cmd.Wait()
 }
 
-func (p *process) pause() { _ = p.cmd.Process.Signal(syscall.SIGSTOP) }
+func (p *daemonProcess) pause() { _ = p.cmd.Process.Signal(syscall.SIGSTOP) }
 
-func (p *process) resume() { _ = p.cmd.Process.Signal(syscall.SIGCONT) }
+func (p *daemonProcess) resume() { _ = p.cmd.Process.Signal(syscall.SIGCONT) }
 
-func (s *site) stop() {
-	for _, p := range s.daemons {
+func (fleet *testFleet) stop() {
+	for _, p := range fleet.daemons {
 		_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	}
-	for _, p := range s.daemons {
+	for _, p := range fleet.daemons {
 		timer := time.AfterFunc(stopTimeout, func() { _ = p.cmd.Process.Kill() })
 		err := p.cmd.Wait()
 		timer.Stop()
 		if err != nil {
-			s.t.Errorf("%s ended with %v", p.name, err)
+			fleet.t.Errorf("%s exited with %v", p.name, err)
 		}
-		if s.t.Failed() {
-			s.t.Logf("%s:\n%s", p.name, p.log.String())
+		if fleet.t.Failed() {
+			fleet.t.Logf("%s:\n%s", p.name, p.stderr.String())
 		}
 	}
 }
 
-func (s *site) editor(author string) *config.Editor {
-	return &config.Editor{Table: s.client, Author: author}
+func (fleet *testFleet) newEditor(author string) *config.Editor {
+	return &config.Editor{Table: fleet.client, Author: author}
 }
 
-// text is a document whose weight is given.
-func text(service ident.Service, weight int) []byte {
+// testDocument returns a document of service whose workspace has the given weight.
+func testDocument(service ident.Service, weight int) []byte {
 	return fmt.Appendf(nil, `service: %s
 kind: plain
 workspaces:
@@ -163,9 +165,9 @@
 
 var statusClient = &http.Client{Timeout: statusTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
-func (p *process) status(ctx context.Context) (admin.Status, error) {
+func (p *daemonProcess) status(ctx context.Context) (admin.Status, error) {
 	var status admin.Status
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.operators+admin.StatusPath, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.operatorsAddr+admin.StatusPath, nil)
 	if err != nil {
 		return status, err
 	}
@@ -177,26 +179,27 @@
 	return status, json.NewDecoder(response.Body).Decode(&status)
 }
 
-// await waits until the daemons have at least the revisions in force.
-func (s *site) await(want map[ident.Service]uint64, daemons ...*process) time.Duration {
-	s.t.Helper()
-	began := time.Now()
+// waitForRevisions waits until the daemons are ready and at least the given
+// revisions are in effect on them. It returns the time that this took.
+func (fleet *testFleet) waitForRevisions(want map[ident.Service]uint64, daemons ...*daemonProcess) time.Duration {
+	fleet.t.Helper()
+	start := time.Now()
 	for _, p := range daemons {
 		for {
-			status, err := p.status(s.t.Context())
-			if err == nil && status.State == "ready" && covers(status.ActiveRevisions, want) {
+			status, err := p.status(fleet.t.Context())
+			if err == nil && status.State == "ready" && hasRevisions(status.ActiveRevisions, want) {
 				break
 			}
-			if time.Since(began) > bound {
-				s.t.Fatalf("%s has %v in state %q (%v), want %v", p.name, status.ActiveRevisions, status.State, err, want)
+			if time.Since(start) > waitTimeout {
+				fleet.t.Fatalf("%s has revisions %v in state %q (status error: %v), want %v", p.name, status.ActiveRevisions, status.State, err, want)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	return time.Since(began)
+	return time.Since(start)
 }
 
-func covers(has, want map[ident.Service]uint64) bool {
+func hasRevisions(has, want map[ident.Service]uint64) bool {
 	for service, revision := range want {
 		if has[service] < revision {
 			return false
