--- a/test/cost/main.go
+++ b/test/cost/main.go
@@ -1,11 +1,12 @@
-// Command cost measures what a daemon adds to going straight to a target: time
-// for a caller, processor time for a request, memory for an open stream.
+// Command cost measures the overhead of a daemon compared with direct access to
+// a target: latency for a caller, CPU time per request, and memory per open
+// stream.
 //
-//	go run ./test/cost             # all, some thirty seconds
+//	go run ./test/cost             # all benchmarks, about 30 seconds
 //	go run ./test/cost --only load
 //
-// Straight and through the daemon alternate within one run, so that a busy
-// machine slows both.
+// Calls through the daemon and direct calls run in turn within one run, so that
+// load on the machine affects both.
 package main
 
 import (
@@ -26,16 +27,16 @@
 )
 
 const (
-	bearer    = "key-of-the-measurement"
-	warmUp    = 200
-	samples   = 2000
-	slots     = 20000
-	callers   = 64
-	loadTime  = 4 * time.Second
-	streams   = 2000
-	tokens    = 16
-	stepTime  = time.Millisecond
-	longAfter = 1 << 20
+	apiKey            = "key-of-the-measurement"
+	warmupCalls       = 200
+	samplesPerPath    = 2000
+	targetSlots       = 20000
+	concurrentCallers = 64
+	loadDuration      = 4 * time.Second
+	streamCount       = 2000
+	streamTokens      = 16
+	engineStep        = time.Millisecond
+	longStreamTokens  = 1 << 20
 )
 
 // options are the flags of the command.
@@ -43,13 +44,13 @@
 	Only string `long:"only" choice:"latency" choice:"load" choice:"memory" description:"measure one thing (default: all)"`
 }
 
-// measurement is one thing to measure on a fresh stage.
-type measurement struct {
+// benchmark is one measurement, which runs on a new testbed.
+type benchmark struct {
 	name string
-	run  func(*stage) error
+	run  func(*testbed) error
 }
 
-var measurements = []measurement{
+var benchmarks = []benchmark{
 	{"latency", measureLatency},
 	{"load", measureLoad},
 	{"memory", measureMemory},
@@ -63,69 +64,71 @@
 		}
 		os.Exit(2)
 	}
-	for _, m := range measurements {
-		if o.Only != "" && o.Only != m.name {
+	for _, b := range benchmarks {
+		if o.Only != "" && o.Only != b.name {
 			continue
 		}
-		if err := measure(m); err != nil {
-			fmt.Fprintf(os.Stderr, "%s: %v\n", m.name, err)
+		if err := runBenchmark(b); err != nil {
+			fmt.Fprintf(os.Stderr, "%s: %v\n", b.name, err)
 			os.Exit(1)
 		}
 	}
 }
 
-func measure(m measurement) error {
-	s := &stage{}
-	defer s.close()
-	if err := s.start(); err != nil {
+func runBenchmark(b benchmark) error {
+	tb := &testbed{}
+	defer tb.close()
+	if err := tb.start(); err != nil {
 		return err
 	}
-	if err := m.run(s); err != nil {
+	if err := b.run(tb); err != nil {
 		return err
 	}
-	return s.failure()
+	return tb.firstError()
 }
 
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-// compare alternates between both ways and reports what the daemon adds.
-func (s *stage) compare(name string, once func(straight bool) time.Duration) {
+// compareLatency alternates between direct calls and calls through the daemon,
+// and prints the latency that the daemon adds.
+func (tb *testbed) compareLatency(name string, call func(direct bool) time.Duration) {
 	var times [2][]time.Duration
-	for i := range warmUp + 2*samples {
-		straight := i % 2
-		d := once(straight == 1)
-		if i >= warmUp {
-			times[straight] = append(times[straight], d)
+	for i := range warmupCalls + 2*samplesPerPath {
+		direct := i % 2
+		d := call(direct == 1)
+		if i >= warmupCalls {
+			times[direct] = append(times[direct], d)
 		}
 	}
 	slices.Sort(times[0])
 	slices.Sort(times[1])
 	for _, q := range []float64{0.5, 0.99} {
-		through, straight := quantile(times[0], q), quantile(times[1], q)
-		fmt.Printf("%s p%g: straight %v, through the daemon %v, added %v\n", name, 100*q, straight, through, through-straight)
+		viaDaemon, direct := quantile(times[0], q), quantile(times[1], q)
+		fmt.Printf("%s p%g: straight %v, through the daemon %v, added %v\n", name, 100*q, direct, viaDaemon, viaDaemon-direct)
 	}
 }
 
-// measureLatency compares one small call, and the first token of a streamed
-// answer, one at a time. The engine's step of 1 ms is in both ways.
-func measureLatency(s *stage) error {
-	s.compare("plain call", func(straight bool) time.Duration {
-		_, total := s.call(http.MethodGet, s.plainURL(straight), nil)
+// measureLatency compares the latency of a small call and of the first token of
+// a streamed response, with one request at a time. Both paths include the
+// engine's step of 1 ms.
+func measureLatency(tb *testbed) error {
+	tb.compareLatency("plain call", func(direct bool) time.Duration {
+		_, total := tb.call(http.MethodGet, tb.plainURL(direct), nil)
 		return total
 	})
-	s.compare("first token", func(straight bool) time.Duration {
-		first, _ := s.call(http.MethodPost, s.modelURL(straight), modelBody(1))
+	tb.compareLatency("first token", func(direct bool) time.Duration {
+		first, _ := tb.call(http.MethodPost, tb.modelURL(direct), modelBody(1))
 		return first
 	})
 	return nil
 }
 
-// processorTime returns what the daemon has used so far.
-func (s *stage) processorTime() (time.Duration, error) {
+// daemonCPUTime returns the CPU time that the daemon has used so far.
+func (tb *testbed) daemonCPUTime() (time.Duration, error) {
 	const ticksPerSecond = 100
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", s.process.Pid))
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", tb.process.Pid))
 	if err != nil {
 		return 0, err
 	}
@@ -135,15 +138,16 @@
 	return time.Duration(user+system) * time.Second / ticksPerSecond, nil
 }
 
-// load keeps callers busy and returns how many calls they make a second.
-func (s *stage) load(call func()) (calls int, rate float64) {
+// runLoad keeps all callers busy for loadDuration and returns the number of
+// calls and the calls per second.
+func (tb *testbed) runLoad(call func()) (calls int, rate float64) {
 	var group sync.WaitGroup
 	var mu sync.Mutex
-	began := time.Now()
-	for range callers {
+	start := time.Now()
+	for range concurrentCallers {
 		group.Go(func() {
 			n := 0
-			for time.Since(began) < loadTime {
+			for time.Since(start) < loadDuration {
 				call()
 				n++
 			}
@@ -153,40 +157,40 @@
 		})
 	}
 	group.Wait()
-	return calls, float64(calls) / time.Since(began).Seconds()
+	return calls, float64(calls) / time.Since(start).Seconds()
 }
 
-// measureLoad takes the processor time of small calls and of streamed answers of
-// 16 tokens, many at a time.
-func measureLoad(s *stage) error {
-	err := s.reportLoad("plain calls", func(straight bool) { s.call(http.MethodGet, s.plainURL(straight), nil) })
+// measureLoad measures the CPU time of small calls and of streamed responses of
+// 16 tokens under concurrent load.
+func measureLoad(tb *testbed) error {
+	err := tb.compareLoad("plain calls", func(direct bool) { tb.call(http.MethodGet, tb.plainURL(direct), nil) })
 	if err != nil {
 		return err
 	}
-	return s.reportLoad("streams of 16 tokens", func(straight bool) {
-		s.call(http.MethodPost, s.modelURL(straight), modelBody(tokens))
+	return tb.compareLoad("streams of 16 tokens", func(direct bool) {
+		tb.call(http.MethodPost, tb.modelURL(direct), modelBody(streamTokens))
 	})
 }
 
-func (s *stage) reportLoad(name string, call func(straight bool)) error {
-	before, err := s.processorTime()
+func (tb *testbed) compareLoad(name string, call func(direct bool)) error {
+	before, err := tb.daemonCPUTime()
 	if err != nil {
 		return err
 	}
-	calls, through := s.load(func() { call(false) })
-	after, err := s.processorTime()
+	calls, viaDaemon := tb.runLoad(func() { call(false) })
+	after, err := tb.daemonCPUTime()
 	if err != nil {
 		return err
 	}
-	_, straight := s.load(func() { call(true) })
+	_, direct := tb.runLoad(func() { call(true) })
 	fmt.Printf("%s, %d callers: %.0f/s through the daemon, %.0f/s straight; %.0f requests per second and core\n",
-		name, callers, through, straight, float64(calls)/(after-before).Seconds())
+		name, concurrentCallers, viaDaemon, direct, float64(calls)/(after-before).Seconds())
 	return nil
 }
 
-// resident returns the daemon's resident memory in bytes.
-func (s *stage) resident() (int, error) {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", s.process.Pid))
+// residentMemory returns the daemon's resident memory in bytes.
+func (tb *testbed) residentMemory() (int, error) {
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", tb.process.Pid))
 	if err != nil {
 		return 0, err
 	}
@@ -195,43 +199,45 @@
 	return kilobytes << 10, err
 }
 
-// measureMemory takes what a daemon holds for each open stream, by the second
-// half of the streams: the first one makes the heap grow by steps.
-func measureMemory(s *stage) error {
-	s.engineStandin.SetStepTime(200 * time.Millisecond)
+// measureMemory measures the daemon's memory per open stream. Only the second
+// half of the streams counts, because the heap grows in steps during the first
+// half.
+func measureMemory(tb *testbed) error {
+	tb.engineStandin.SetStepTime(200 * time.Millisecond)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var held [2]int
-	for i := range held {
-		s.open(ctx, streams/2)
+	var residentBytes [2]int
+	for i := range residentBytes {
+		tb.openStreams(ctx, streamCount/2)
 		var err error
-		if held[i], err = s.resident(); err != nil {
+		if residentBytes[i], err = tb.residentMemory(); err != nil {
 			return err
 		}
 	}
 	fmt.Printf("resident: %d KiB with %d streams, %d KiB with %d: %d bytes for each of the second half\n",
-		held[0]>>10, streams/2, held[1]>>10, streams, (held[1]-held[0])/(streams/2))
+		residentBytes[0]>>10, streamCount/2, residentBytes[1]>>10, streamCount, (residentBytes[1]-residentBytes[0])/(streamCount/2))
 	return nil
 }
 
-// open opens streams and waits until each has its second token.
-func (s *stage) open(ctx context.Context, n int) {
+// openStreams opens n streams and waits until each has received its second
+// token.
+func (tb *testbed) openStreams(ctx context.Context, n int) {
 	var opened sync.WaitGroup
 	for range n {
 		opened.Add(1)
 		go func() {
-			resp := s.do(ctx, http.MethodPost, s.modelURL(false), modelBody(longAfter))
+			resp := tb.send(ctx, http.MethodPost, tb.modelURL(false), modelBody(longStreamTokens))
 			if resp == nil {
 				opened.Done()
 				return
 			}
 			defer func() { _ = resp.Body.Close() }()
-			in := bufio.NewReaderSize(resp.Body, 1024)
+			reader := bufio.NewReaderSize(resp.Body, 1024)
 			for range 6 {
-				_, _ = in.ReadString('\n')
+				_, _ = reader.ReadString('\n')
 			}
 			opened.Done()
-			_, _ = io.Copy(io.Discard, in) // until ctx ends
+			_, _ = io.Copy(io.Discard, reader) // until ctx is canceled
 		}()
 	}
 	opened.Wait()
--- a/test/cost/stage.go
+++ b/test/cost/stage.go
@@ -27,45 +27,46 @@
 	"github.com/savorystall/savorystall/test/program"
 )
 
-// stage is one daemon before one engine and one plain service.
-type stage struct {
-	daemon, engine, service string
-	process                 *os.Process
-	client                  *http.Client
-	engineStandin           *enginestandin.Engine
-	cleanups                []func()
-
-	mu     sync.Mutex
-	failed error
+// testbed runs one daemon that routes to one engine and one plain service.
+type testbed struct {
+	daemonAddress, engineAddress, serviceAddress string
+	process                                      *os.Process
+	client                                       *http.Client
+	engineStandin                                *enginestandin.Engine
+	cleanups                                     []func()
+
+	mu  sync.Mutex
+	err error
 }
 
-// close ends what start began, the latest first.
-func (s *stage) close() {
-	for _, end := range slices.Backward(s.cleanups) {
-		end()
+// close runs the registered cleanup functions in reverse order.
+func (tb *testbed) close() {
+	for _, cleanup := range slices.Backward(tb.cleanups) {
+		cleanup()
 	}
 }
 
-func (s *stage) cleanup(end func()) { s.cleanups = append(s.cleanups, end) }
+func (tb *testbed) addCleanup(cleanup func()) { tb.cleanups = append(tb.cleanups, cleanup) }
 
-// fail notes the first call that failed: its time is no measurement.
-func (s *stage) fail(err error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.failed == nil {
-		s.failed = err
+// recordError keeps the first error. Any failed call invalidates the
+// measurement.
+func (tb *testbed) recordError(err error) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	if tb.err == nil {
+		tb.err = err
 	}
 }
 
-func (s *stage) failure() error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.failed
+func (tb *testbed) firstError() error {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	return tb.err
 }
 
-func (s *stage) start() error {
+func (tb *testbed) start() error {
 	listeners := map[string]net.Listener{}
-	for _, address := range []*string{&s.engine, &s.service} {
+	for _, address := range []*string{&tb.engineAddress, &tb.serviceAddress} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return err
@@ -73,35 +74,35 @@
 		*address = l.Addr().String()
 		listeners[*address] = l
 	}
-	documents, err := s.documents()
+	documents, err := tb.documents()
 	if err != nil {
 		return err
 	}
-	e, err := emulator.Start(context.Background(), emulator.Config{
-		PlatformAddress: "127.0.0.1:0", Documents: documents, Listeners: listeners, Step: stepTime,
+	emu, err := emulator.Start(context.Background(), emulator.Config{
+		PlatformAddress: "127.0.0.1:0", Documents: documents, Listeners: listeners, Step: engineStep,
 	})
 	if err != nil {
 		return err
 	}
-	s.cleanup(e.Close)
-	s.engineStandin = e.Engines[emulator.TargetKey{Service: "pool", Target: "engine"}]
-	transport := &http.Transport{MaxIdleConnsPerHost: callers}
-	s.cleanup(transport.CloseIdleConnections)
-	s.client = &http.Client{Transport: transport}
-	return s.startDaemon(e.PlatformURL)
+	tb.addCleanup(emu.Close)
+	tb.engineStandin = emu.Engines[emulator.TargetKey{Service: "pool", Target: "engine"}]
+	transport := &http.Transport{MaxIdleConnsPerHost: concurrentCallers}
+	tb.addCleanup(transport.CloseIdleConnections)
+	tb.client = &http.Client{Transport: transport}
+	return tb.startDaemon(emu.PlatformURL)
 }
 
-func (s *stage) documents() ([]string, error) {
-	ws := []document.Workspace{{Name: "one", Weight: 1, Keys: []string{document.HashKey(bearer)}}}
+func (tb *testbed) documents() ([]string, error) {
+	workspaces := []document.Workspace{{Name: "one", Weight: 1, Keys: []string{document.HashKey(apiKey)}}}
 	var texts []string
 	for _, d := range []document.Document{{
-		Service: "pool", Kind: document.Model, Models: []string{"m"}, Workspaces: ws,
-		Limits:  document.Limits{Queue: 2 * slots, Deadline: time.Hour, ProgressTimeout: time.Hour, FirstByteTimeout: time.Hour},
-		Targets: []document.Target{{Name: "engine", Zone: "z", Address: s.engine, Slots: slots}},
+		Service: "pool", Kind: document.Model, Models: []string{"m"}, Workspaces: workspaces,
+		Limits:  document.Limits{Queue: 2 * targetSlots, Deadline: time.Hour, ProgressTimeout: time.Hour, FirstByteTimeout: time.Hour},
+		Targets: []document.Target{{Name: "engine", Zone: "z", Address: tb.engineAddress, Slots: targetSlots}},
 	}, {
-		Service: "portal", Kind: document.Plain, Workspaces: ws,
+		Service: "portal", Kind: document.Plain, Workspaces: workspaces,
 		Operations: []document.Operation{{Name: "read", Method: "GET", Path: "/**", Class: document.Interactive}},
-		Targets:    []document.Target{{Name: "service", Zone: "z", Address: s.service, Slots: slots}},
+		Targets:    []document.Target{{Name: "service", Zone: "z", Address: tb.serviceAddress, Slots: targetSlots}},
 	}} {
 		text, err := yaml.Marshal(d)
 		if err != nil {
@@ -112,12 +113,12 @@
 	return texts, nil
 }
 
-func (s *stage) startDaemon(platform string) error {
+func (tb *testbed) startDaemon(platform string) error {
 	dir, err := os.MkdirTemp("", "savorystall-cost")
 	if err != nil {
 		return err
 	}
-	s.cleanup(func() { _ = os.RemoveAll(dir) })
+	tb.addCleanup(func() { _ = os.RemoveAll(dir) })
 	binary, err := program.Build(dir)
 	if err != nil {
 		return err
@@ -145,8 +146,8 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	s.process = cmd.Process
-	s.cleanup(func() {
+	tb.process = cmd.Process
+	tb.addCleanup(func() {
 		_ = cmd.Process.Signal(syscall.SIGTERM)
 		_ = cmd.Wait()
 	})
@@ -154,61 +155,65 @@
 	if err != nil {
 		return merry.Prependf(err, "the daemon is not ready: %s", log.String())
 	}
-	s.daemon = strings.TrimPrefix(strings.TrimSpace(line), "ready http://")
+	tb.daemonAddress = strings.TrimPrefix(strings.TrimSpace(line), "ready http://")
 	return nil
 }
 
-// plainURL and modelURL lead through the daemon or straight to the target.
-func (s *stage) plainURL(straight bool) string {
-	if straight {
-		return "http://" + s.service + "/x?mark=m"
+// plainURL returns the URL of a plain call, either directly at the target or
+// through the daemon.
+func (tb *testbed) plainURL(direct bool) string {
+	if direct {
+		return "http://" + tb.serviceAddress + "/x?mark=m"
 	}
-	return "http://" + s.daemon + "/services/portal/x?mark=m"
+	return "http://" + tb.daemonAddress + "/services/portal/x?mark=m"
 }
 
-func (s *stage) modelURL(straight bool) string {
-	if straight {
-		return "http://" + s.engine + "/v1/completions"
+// modelURL returns the URL of a completion, either directly at the target or
+// through the daemon.
+func (tb *testbed) modelURL(direct bool) string {
+	if direct {
+		return "http://" + tb.engineAddress + "/v1/completions"
 	}
-	return "http://" + s.daemon + "/v1/completions"
+	return "http://" + tb.daemonAddress + "/v1/completions"
 }
 
-func (s *stage) do(ctx context.Context, method, url string, body []byte) *http.Response {
+func (tb *testbed) send(ctx context.Context, method, url string, body []byte) *http.Response {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		s.fail(err)
+		tb.recordError(err)
 		return nil
 	}
-	req.Header.Set("Authorization", "Bearer "+bearer)
+	req.Header.Set("Authorization", "Bearer "+apiKey)
 	req.Header.Set("Content-Type", "application/json")
-	resp, err := s.client.Do(req)
+	resp, err := tb.client.Do(req)
 	if err != nil {
-		s.fail(err)
+		tb.recordError(err)
 		return nil
 	}
 	if resp.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(resp.Body)
-		s.fail(merry.Errorf("%s: %d %s", url, resp.StatusCode, text))
+		tb.recordError(merry.Errorf("%s: %d %s", url, resp.StatusCode, text))
 	}
 	return resp
 }
 
-// call returns the time to the first byte of the body and to its end.
-func (s *stage) call(method, url string, body []byte) (first, total time.Duration) {
-	began := time.Now()
-	resp := s.do(context.Background(), method, url, body)
+// call sends a request and returns the time to the first byte of the response
+// body and the time to its end.
+func (tb *testbed) call(method, url string, body []byte) (first, total time.Duration) {
+	start := time.Now()
+	resp := tb.send(context.Background(), method, url, body)
 	if resp == nil {
 		return 0, 0
 	}
 	defer func() { _ = resp.Body.Close() }()
-	in := bufio.NewReader(resp.Body)
-	_, _ = in.ReadByte()
-	first = time.Since(began)
-	_, _ = io.Copy(io.Discard, in)
-	return first, time.Since(began)
+	reader := bufio.NewReader(resp.Body)
+	_, _ = reader.ReadByte()
+	first = time.Since(start)
+	_, _ = io.Copy(io.Discard, reader)
+	return first, time.Since(start)
 }
 
-func modelBody(n int) []byte {
-	text, _ := json.Marshal(map[string]any{"model": "m", "prompt": "p", "max_tokens": n, "stream": true})
+func modelBody(maxTokens int) []byte {
+	text, _ := json.Marshal(map[string]any{"model": "m", "prompt": "p", "max_tokens": maxTokens, "stream": true})
 	return text
 }
--- a/test/integration/caller_test.go
+++ b/test/integration/caller_test.go
@@ -19,80 +19,80 @@
 	plainstandin "github.com/savorystall/savorystall/internal/standin/plain"
 )
 
-// kind is one kind of request in the mix.
-type kind int
+// requestKind is the kind of a request in the test traffic.
+type requestKind int
 
 const (
-	streamedCompletion kind = iota
+	streamedCompletion requestKind = iota
 	streamedChat
-	wholeCompletion
-	wholeChat
-	taggedCompletion
+	nonStreamedCompletion
+	nonStreamedChat
+	unrepeatableCompletion
 	plainRead
 	plainNote
 	plainClaim
-	kinds
+	requestKindCount
 )
 
-func (k kind) plain() bool        { return k >= plainRead }
-func (k kind) streamed() bool     { return k == streamedCompletion || k == streamedChat }
-func (k kind) chat() bool         { return k == streamedChat || k == wholeChat }
-func (k kind) unrepeatable() bool { return k == taggedCompletion || k == plainClaim }
+func (k requestKind) isPlain() bool        { return k >= plainRead }
+func (k requestKind) isStreamed() bool     { return k == streamedCompletion || k == streamedChat }
+func (k requestKind) isChat() bool         { return k == streamedChat || k == nonStreamedChat }
+func (k requestKind) isUnrepeatable() bool { return k == unrepeatableCompletion || k == plainClaim }
 
-// verdict is what a caller can tell of its answer.
-type verdict int
+// resultKind classifies a response as the caller sees it.
+type resultKind int
 
 const (
-	// complete is a whole answer by its own account.
-	complete verdict = iota
-	// cut is an answer that visibly ended early.
-	cut
-	// refused is an error with a result code.
-	refused
-	// unreached means that the daemon gave no answer at all.
-	unreached
+	// complete is a response that ended properly.
+	complete resultKind = iota
+	// truncated is a response that visibly ended early.
+	truncated
+	// rejected is an error response with a result code.
+	rejected
+	// noResponse means that the daemon did not send a response that could be read.
+	noResponse
 )
 
-// request is one request and what came of it.
+// request is one request and its result.
 type request struct {
-	kind    kind
-	mark    string
-	tokens  int
-	verdict verdict
-	// wrong tells why a complete answer is not the right one.
-	wrong string
-	// run and code are those of a refusal.
-	run     resultcode.Outcome
+	kind   requestKind
+	mark   string
+	tokens int
+	result resultKind
+	// mismatch describes how a complete response differs from the expected one.
+	mismatch string
+	// outcome and code are those of an error response.
+	outcome resultcode.Outcome
 	code    int
 	message string
 	elapsed time.Duration
-	// operation is named to a model service where it is set.
+	// operation, if set, is sent to a model service in the operation header.
 	operation string
 }
 
-func (r *request) send(ctx context.Context, client *http.Client, daemon, bearer string) {
-	began := time.Now()
-	defer func() { r.elapsed = time.Since(began) }()
-	req := r.build(ctx, daemon, bearer)
+func (r *request) send(ctx context.Context, client *http.Client, daemon, apiKey string) {
+	start := time.Now()
+	defer func() { r.elapsed = time.Since(start) }()
+	req := r.newHTTPRequest(ctx, daemon, apiKey)
 	resp, err := client.Do(req)
 	if err != nil {
-		r.verdict, r.message = unreached, err.Error()
+		r.result, r.message = noResponse, err.Error()
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
 	switch {
 	case resp.StatusCode != http.StatusOK:
-		r.readRefusal(resp)
-	case r.kind.streamed():
+		r.readError(resp)
+	case r.kind.isStreamed():
 		r.readStream(resp.Body)
-	case r.kind.plain():
+	case r.kind.isPlain():
 		r.readEcho(resp.Body)
 	default:
-		r.readWhole(resp.Body)
+		r.readNonStreamed(resp.Body)
 	}
 }
 
-func (r *request) build(ctx context.Context, daemon, bearer string) *http.Request {
+func (r *request) newHTTPRequest(ctx context.Context, daemon, apiKey string) *http.Request {
 	method, path, body := http.MethodPost, "/v1/completions", []byte(r.mark)
 	switch {
 	case r.kind == plainRead:
@@ -101,21 +101,21 @@
 		path = "/services/sync-api/notes?mark=" + r.mark
 	case r.kind == plainClaim:
 		path = "/services/sync-api/claims?mark=" + r.mark
-	case r.kind.chat():
+	case r.kind.isChat():
 		path, body = "/v1/chat/completions", r.modelBody()
 	default:
 		body = r.modelBody()
 	}
 	req, err := http.NewRequestWithContext(ctx, method, daemon+path, bytes.NewReader(body))
 	if err != nil {
-		panic(err) // the addresses are the test's own
+		panic(err) // the test itself chooses all addresses
 	}
-	req.Header.Set("Authorization", "Bearer "+bearer)
+	req.Header.Set("Authorization", "Bearer "+apiKey)
 	req.Header.Set("Content-Type", "application/json")
-	if r.kind.unrepeatable() {
+	if r.kind.isUnrepeatable() {
 		req.Header.Set("Idempotency-Key", r.mark)
 	}
-	if r.kind == taggedCompletion {
+	if r.kind == unrepeatableCompletion {
 		req.Header.Set(document.OperationHeader, "tag")
 	}
 	if r.operation != "" {
@@ -125,8 +125,8 @@
 }
 
 func (r *request) modelBody() []byte {
-	fields := map[string]any{"model": modelName, "max_tokens": r.tokens, "stream": r.kind.streamed(), "prompt": r.mark}
-	if r.kind.chat() {
+	fields := map[string]any{"model": modelName, "max_tokens": r.tokens, "stream": r.kind.isStreamed(), "prompt": r.mark}
+	if r.kind.isChat() {
 		delete(fields, "prompt")
 		fields["messages"] = []map[string]string{{"role": "user", "content": r.mark}}
 	}
@@ -134,8 +134,8 @@
 	return text
 }
 
-// answerChunk is a chunk of a stream, or a whole answer.
-type answerChunk struct {
+// responseChunk is one chunk of a stream or a complete non-streamed response.
+type responseChunk struct {
 	Choices []struct {
 		Text    string
 		Delta   struct{ Content string }
@@ -143,82 +143,82 @@
 	}
 }
 
-func (c answerChunk) text() string {
+func (c responseChunk) text() string {
 	var b strings.Builder
-	for _, one := range c.Choices {
-		b.WriteString(one.Text + one.Delta.Content + one.Message.Content)
+	for _, choice := range c.Choices {
+		b.WriteString(choice.Text + choice.Delta.Content + choice.Message.Content)
 	}
 	return b.String()
 }
 
-func (r *request) compare(text string) {
-	r.verdict = complete
+func (r *request) checkText(text string) {
+	r.result = complete
 	if want := enginestandin.Text(r.mark, r.tokens); text != want {
-		r.wrong = fmt.Sprintf("%d of %d bytes, equal start: %v", len(text), len(want), strings.HasPrefix(want, text))
+		r.mismatch = fmt.Sprintf("got %d of %d bytes, is a prefix of the expected text: %v", len(text), len(want), strings.HasPrefix(want, text))
 	}
 }
 
 func (r *request) readStream(body io.Reader) {
-	r.verdict = cut
+	r.result = truncated
 	var text strings.Builder
-	lines := bufio.NewScanner(body)
-	for lines.Scan() {
-		data, found := strings.CutPrefix(lines.Text(), "data: ")
+	scanner := bufio.NewScanner(body)
+	for scanner.Scan() {
+		data, found := strings.CutPrefix(scanner.Text(), "data: ")
 		if !found {
 			continue
 		}
 		if data == "[DONE]" {
-			r.compare(text.String())
+			r.checkText(text.String())
 			return
 		}
-		var chunk answerChunk
+		var chunk responseChunk
 		if err := json.Unmarshal([]byte(data), &chunk); err != nil {
 			r.message = err.Error()
 			return
 		}
 		text.WriteString(chunk.text())
 	}
-	r.message = fmt.Sprint(lines.Err())
+	r.message = fmt.Sprint(scanner.Err())
 }
 
-func (r *request) readWhole(body io.Reader) {
+func (r *request) readNonStreamed(body io.Reader) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		r.verdict, r.message = cut, err.Error()
+		r.result, r.message = truncated, err.Error()
 		return
 	}
-	var chunk answerChunk
+	var chunk responseChunk
 	if err := json.Unmarshal(data, &chunk); err != nil {
-		r.verdict, r.wrong = complete, err.Error()
+		r.result, r.mismatch = complete, err.Error()
 		return
 	}
-	r.compare(chunk.text())
+	r.checkText(chunk.text())
 }
 
 func (r *request) readEcho(body io.Reader) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		r.verdict, r.message = cut, err.Error()
+		r.result, r.message = truncated, err.Error()
 		return
 	}
-	r.verdict = complete
+	r.result = complete
 	var echo plainstandin.Echo
 	if err := json.Unmarshal(data, &echo); err != nil {
-		r.wrong = err.Error()
+		r.mismatch = err.Error()
 		return
 	}
-	sent := r.mark
+	requestBody := r.mark
 	if r.kind == plainRead {
-		sent = ""
+		requestBody = ""
 	}
-	sum := sha256.Sum256([]byte(sent))
+	sum := sha256.Sum256([]byte(requestBody))
 	if echo.Mark != r.mark || echo.BodySHA256 != hex.EncodeToString(sum[:]) {
-		r.wrong = fmt.Sprintf("the echo is of %q", echo.Mark)
+		r.mismatch = fmt.Sprintf("the echo belongs to request %q", echo.Mark)
 	}
 }
 
-func (r *request) readRefusal(resp *http.Response) {
-	r.verdict = refused
+func (r *request) readError(resp *http.Response) {
+	r.result = rejected
 	var body struct {
 		Error struct {
 			Code    int
@@ -227,8 +227,8 @@
 		}
 	}
 	if err := json.NewDecoder(resp.Body).Decode(&body); err != nil {
-		r.verdict, r.message = unreached, fmt.Sprintf("status %d: %v", resp.StatusCode, err)
+		r.result, r.message = noResponse, fmt.Sprintf("status %d: %v", resp.StatusCode, err)
 		return
 	}
-	r.run, r.code, r.message = body.Error.Run, body.Error.Code, body.Error.Message
+	r.outcome, r.code, r.message = body.Error.Run, body.Error.Code, body.Error.Message
 }
--- a/test/integration/callers_test.go
+++ b/test/integration/callers_test.go
@@ -12,112 +12,115 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-// steady keeps callers sending for as long as a schedule of faults runs. A
-// caller whose daemon gives no answer, or says that the request was not run,
-// asks another daemon with the same mark and key.
-type steady struct {
-	f      *fleet
+// retryingCallers sends requests for as long as a schedule of failures runs. If
+// a daemon does not respond, or reports that the request did not run, the caller
+// retries at a random daemon with the same mark and idempotency key.
+type retryingCallers struct {
+	fleet  *fleet
 	client *http.Client
-	end    context.CancelFunc
+	cancel context.CancelFunc
 	group  sync.WaitGroup
 
 	mu       sync.Mutex
-	requests []*repeated
+	requests []*retriedRequest
 }
 
-// repeated is one request with all its tries.
-type repeated struct {
-	kind  kind
-	mark  string
-	tries []*request
+// retriedRequest is one request with all its attempts.
+type retriedRequest struct {
+	kind     requestKind
+	mark     string
+	attempts []*request
 }
 
 const (
-	steadyCallers = 64
-	mostTries     = 6
-	callTimeout   = 30 * time.Second
+	retryingCallerCount = 64
+	maxAttempts         = 6
+	attemptTimeout      = 30 * time.Second
 )
 
-func startSteady(t *testing.T, f *fleet, name string, seed uint64) *steady {
+func startRetryingCallers(t *testing.T, f *fleet, name string, seed uint64) *retryingCallers {
 	ctx, cancel := context.WithCancel(t.Context())
-	s := &steady{f: f, client: newClient(), end: cancel}
-	for n := range steadyCallers {
+	c := &retryingCallers{fleet: f, client: newClient(), cancel: cancel}
+	for n := range retryingCallerCount {
 		rng := rand.New(rand.NewPCG(seed, uint64(n)))
-		s.group.Go(func() { s.caller(ctx, rng, fmt.Sprintf("%s-%d", name, n)) })
+		c.group.Go(func() { c.runCaller(ctx, rng, fmt.Sprintf("%s-%d", name, n)) })
 	}
-	return s
+	return c
 }
 
-func (s *steady) caller(ctx context.Context, rng *rand.Rand, name string) {
+func (c *retryingCallers) runCaller(ctx context.Context, rng *rand.Rand, name string) {
 	for i := 0; ctx.Err() == nil; i++ {
-		r := &repeated{kind: drawKind(rng), mark: fmt.Sprintf("%s-%d", name, i)}
-		s.ask(ctx, rng, r)
-		s.mu.Lock()
-		s.requests = append(s.requests, r)
-		s.mu.Unlock()
+		r := &retriedRequest{kind: randomKind(rng), mark: fmt.Sprintf("%s-%d", name, i)}
+		c.sendWithRetries(ctx, rng, r)
+		c.mu.Lock()
+		c.requests = append(c.requests, r)
+		c.mu.Unlock()
 	}
 }
 
-// drawKind draws every second request among those that must not run twice: they
-// are what a schedule of failures can go wrong with.
-func drawKind(rng *rand.Rand) kind {
+// randomKind picks an unrepeatable kind for at least every second request on
+// average, because these are the requests that a schedule of failures puts most
+// at risk.
+func randomKind(rng *rand.Rand) requestKind {
 	if rng.IntN(2) == 0 {
-		return []kind{taggedCompletion, plainClaim}[rng.IntN(2)]
+		return []requestKind{unrepeatableCompletion, plainClaim}[rng.IntN(2)]
 	}
-	return kind(rng.IntN(int(kinds)))
+	return requestKind(rng.IntN(int(requestKindCount)))
 }
 
-// ask tries until there is an answer or a word that forbids another try.
-func (s *steady) ask(ctx context.Context, rng *rand.Rand, r *repeated) {
-	tokens, bearer := 10+rng.IntN(40), key(rng.IntN(workspaces))
-	for len(r.tries) < mostTries {
-		try := &request{kind: r.kind, mark: r.mark, tokens: tokens}
-		call, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
-		try.send(call, s.client, s.f.daemon(rng.IntN(daemonCount)).address, bearer)
+// sendWithRetries sends a request until there is a response that does not allow
+// a retry, or until the number of attempts reaches maxAttempts.
+func (c *retryingCallers) sendWithRetries(ctx context.Context, rng *rand.Rand, r *retriedRequest) {
+	tokens, apiKey := 10+rng.IntN(40), workspaceKey(rng.IntN(workspaceCount))
+	for len(r.attempts) < maxAttempts {
+		attempt := &request{kind: r.kind, mark: r.mark, tokens: tokens}
+		attemptCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), attemptTimeout)
+		attempt.send(attemptCtx, c.client, c.fleet.daemon(rng.IntN(daemonCount)).url, apiKey)
 		cancel()
-		r.tries = append(r.tries, try)
-		again := try.verdict == unreached || try.verdict == refused && try.run == resultcode.NotRun
-		if !again || ctx.Err() != nil {
+		r.attempts = append(r.attempts, attempt)
+		retryable := attempt.result == noResponse || attempt.result == rejected && attempt.outcome == resultcode.NotRun
+		if !retryable || ctx.Err() != nil {
 			return
 		}
 		time.Sleep(time.Duration(rng.IntN(100)) * time.Millisecond)
 	}
 }
 
-// stop lets the callers finish what they ask, and returns all requests.
-func (s *steady) stop() []*repeated {
-	s.end()
-	s.group.Wait()
-	s.client.CloseIdleConnections()
-	return s.requests
+// stop lets the callers finish their current requests and returns all requests.
+func (c *retryingCallers) stop() []*retriedRequest {
+	c.cancel()
+	c.group.Wait()
+	c.client.CloseIdleConnections()
+	return c.requests
 }
 
-// checkRepeated holds every try against what the targets ran.
-func checkRepeated(t *testing.T, f *fleet, requests []*repeated) {
+// checkRetriedRequests compares the results of all attempts with the requests
+// that the targets ran.
+func checkRetriedRequests(t *testing.T, f *fleet, requests []*retriedRequest) {
 	t.Helper()
-	answered, tries := 0, 0
+	completed, attempts := 0, 0
 	for _, r := range requests {
-		runs := f.ran(r.mark)
-		if r.kind.unrepeatable() && runs > 1 {
-			t.Errorf("%s: unrepeatable, and ran %d times", r.mark, runs)
+		runs := f.runCount(r.mark)
+		if r.kind.isUnrepeatable() && runs > 1 {
+			t.Errorf("%s: unrepeatable request ran %d times", r.mark, runs)
 		}
 		allNotRun := true
-		for _, try := range r.tries {
-			tries++
-			if try.verdict == complete {
-				answered++
+		for _, attempt := range r.attempts {
+			attempts++
+			if attempt.result == complete {
+				completed++
 			}
-			if try.wrong != "" {
-				t.Errorf("%s: wrong answer: %s", r.mark, try.wrong)
+			if attempt.mismatch != "" {
+				t.Errorf("%s: wrong response: %s", r.mark, attempt.mismatch)
 			}
-			allNotRun = allNotRun && try.verdict == refused && try.run == resultcode.NotRun
+			allNotRun = allNotRun && attempt.result == rejected && attempt.outcome == resultcode.NotRun
 		}
 		if allNotRun && runs > 0 {
-			t.Errorf("%s: every try was told that it was not run, and it ran %d times; first code %d", r.mark, runs, r.tries[0].code)
+			t.Errorf("%s: every attempt was reported as not run, but the request ran %d times; first code %d", r.mark, runs, r.attempts[0].code)
 		}
 	}
-	t.Logf("%d requests in %d tries, %d answered", len(requests), tries, answered)
-	if answered == 0 {
-		t.Error("nothing was answered")
+	t.Logf("%d requests in %d attempts, %d completed", len(requests), attempts, completed)
+	if completed == 0 {
+		t.Error("no request was completed")
 	}
 }
--- a/test/integration/chaos_test.go
+++ b/test/integration/chaos_test.go
@@ -10,110 +10,113 @@
 	enginestandin "github.com/savorystall/savorystall/internal/standin/engine"
 )
 
-// chaos breaks links and targets in turn until ctx ends, and repairs them all.
-type chaos struct {
-	f       *fleet
-	rng     *rand.Rand
-	repairs []repair
-	// done counts the faults by their name.
-	done map[string]int
+// faultInjector injects faults into links and targets until its context is
+// canceled, and then repairs them all.
+type faultInjector struct {
+	fleet          *fleet
+	rng            *rand.Rand
+	pendingRepairs []scheduledRepair
+	// injected counts the faults by name.
+	injected map[string]int
 }
 
-type repair struct {
-	at time.Time
-	do func()
+type scheduledRepair struct {
+	due  time.Time
+	undo func()
 }
 
-// A fault every 60 ms hits each daemon and each target about once in 2 s. Silent
-// links between daemons are found after some heartbeats of 1 s, so that a part of
-// the links is down at any time.
+// One fault every 60 ms affects each daemon and each target about once in 2 s.
+// Daemons detect a silent link only after several heartbeats of 1 s each, so that
+// some of the links between daemons are down at any time.
 const (
-	faultEvery = 60 * time.Millisecond
-	faultLasts = 300 * time.Millisecond
+	faultInterval = 60 * time.Millisecond
+	faultDuration = 300 * time.Millisecond
 )
 
-func (c *chaos) run(ctx context.Context) {
-	ticker := time.NewTicker(faultEvery)
+func (fi *faultInjector) run(ctx context.Context) {
+	ticker := time.NewTicker(faultInterval)
 	defer ticker.Stop()
 	for n := 0; ; n++ {
 		select {
 		case <-ctx.Done():
-			c.repair(time.Now().Add(time.Hour))
+			fi.repairDue(time.Now().Add(time.Hour))
 			return
 		case now := <-ticker.C:
-			c.repair(now)
-			c.inject(n, now.Add(faultLasts))
+			fi.repairDue(now)
+			fi.inject(n, now.Add(faultDuration))
 		}
 	}
 }
 
-func (c *chaos) repair(now time.Time) {
-	left := c.repairs[:0]
-	for _, r := range c.repairs {
-		if r.at.After(now) {
-			left = append(left, r)
+func (fi *faultInjector) repairDue(now time.Time) {
+	remaining := fi.pendingRepairs[:0]
+	for _, r := range fi.pendingRepairs {
+		if r.due.After(now) {
+			remaining = append(remaining, r)
 			continue
 		}
-		r.do()
+		r.undo()
 	}
-	c.repairs = left
+	fi.pendingRepairs = remaining
 }
 
-// inject causes one fault: the kinds take turns, the place is drawn.
-func (c *chaos) inject(n int, until time.Time) {
-	link := c.f.links[c.rng.IntN(len(c.f.links))]
-	peer := c.f.peers[c.rng.IntN(len(c.f.peers))]
-	engine := c.f.engines[c.rng.IntN(len(c.f.engines))]
-	plain := c.f.plains[c.rng.IntN(len(c.f.plains))]
-	later := func(do func()) { c.repairs = append(c.repairs, repair{until, do}) }
+// inject injects one fault. The kinds of faults follow each other in a fixed
+// order; the affected link or target is random.
+func (fi *faultInjector) inject(n int, until time.Time) {
+	link := fi.fleet.targetLinks[fi.rng.IntN(len(fi.fleet.targetLinks))]
+	peer := fi.fleet.peerLinks[fi.rng.IntN(len(fi.fleet.peerLinks))]
+	engine := fi.fleet.engines[fi.rng.IntN(len(fi.fleet.engines))]
+	plain := fi.fleet.plainServices[fi.rng.IntN(len(fi.fleet.plainServices))]
+	scheduleRepair := func(undo func()) { fi.pendingRepairs = append(fi.pendingRepairs, scheduledRepair{until, undo}) }
 	names := []string{"target cut", "target silent", "target slow", "engine leaving", "peer cut", "peer silent", "engine stream", "service leaving"}
 	name := names[n%len(names)]
-	c.done[name]++
+	fi.injected[name]++
 	switch name {
 	case "target cut":
 		link.Cut()
-		later(func() { c.restore(link.Restore) })
+		scheduleRepair(func() { fi.restore(link.Restore) })
 	case "target silent":
 		link.StallOpenConnections()
 	case "target slow":
-		link.SetDelay(time.Duration(5+c.rng.IntN(20)) * time.Millisecond)
-		later(func() { link.SetDelay(0) })
+		link.SetDelay(time.Duration(5+fi.rng.IntN(20)) * time.Millisecond)
+		scheduleRepair(func() { link.SetDelay(0) })
 	case "engine leaving":
 		engine.SetLeaving(true)
-		later(func() { engine.SetLeaving(false) })
+		scheduleRepair(func() { engine.SetLeaving(false) })
 	case "peer cut":
 		peer.Cut()
-		later(func() { c.restore(peer.Restore) })
+		scheduleRepair(func() { fi.restore(peer.Restore) })
 	case "peer silent":
 		peer.StallOpenConnections()
 	case "engine stream":
 		kinds := []enginestandin.FaultKind{enginestandin.FaultDisconnect, enginestandin.FaultEndEarly, enginestandin.FaultSkipToken, enginestandin.FaultReset, enginestandin.FaultLoseStream}
-		engine.Inject(enginestandin.Fault{Kind: kinds[c.rng.IntN(len(kinds))], AfterTokens: c.rng.IntN(20)})
+		engine.Inject(enginestandin.Fault{Kind: kinds[fi.rng.IntN(len(kinds))], AfterTokens: fi.rng.IntN(20)})
 	case "service leaving":
 		plain.SetLeaving(true)
-		later(func() { plain.SetLeaving(false) })
+		scheduleRepair(func() { plain.SetLeaving(false) })
 	}
 }
 
-func (c *chaos) restore(do func() error) {
-	if err := do(); err != nil {
-		c.f.t.Error(err)
+func (fi *faultInjector) restore(restore func() error) {
+	if err := restore(); err != nil {
+		fi.fleet.t.Error(err)
 	}
 }
 
-// startChaos returns a function that ends it and waits.
-func startChaos(t *testing.T, f *fleet, seed uint64) (end func() map[string]int) {
+// startFaultInjector starts to inject faults. The returned function stops the
+// injection, waits for the repairs and returns the number of faults by name.
+func startFaultInjector(t *testing.T, f *fleet, seed uint64) (stop func() map[string]int) {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &chaos{f: f, rng: rand.New(rand.NewPCG(seed, seed)), done: map[string]int{}}
-	ended := make(chan struct{})
+	fi := &faultInjector{fleet: f, rng: rand.New(rand.NewPCG(seed, seed)), injected: map[string]int{}}
+	finished := make(chan struct{})
 	go func() {
-		defer close(ended)
-		c.run(ctx)
+		defer close(finished)
+		fi.run(ctx)
 	}()
 	return func() map[string]int {
 		cancel()
-		<-ended
-		t.Log("faults: ", fmt.Sprint(c.done))
-		return c.done
+		<-finished
+		t.Log("faults: ", fmt.Sprint(fi.injected))
+		return fi.injected
 	}
 }
--- a/test/integration/failures_test.go
+++ b/test/integration/failures_test.go
@@ -28,119 +28,123 @@
 )
 
 var (
-	failureSeed  = flag.Uint64("failures.seed", 1, "seed of the schedule of failures")
-	failurePairs = flag.Int("failures.pairs", 3, "how many drawn pairs of failures to run")
+	failureSeed  = flag.Uint64("failures.seed", 1, "seed of the failure schedule")
+	failurePairs = flag.Int("failures.pairs", 3, "number of random pairs of failures to run")
 )
 
 const (
-	// failureLasts is how long each failure holds.
-	failureLasts = 2500 * time.Millisecond
-	// resumeWithin is when every daemon must serve again after a failure. The
-	// links redial within 2 s, a probe of the platform within 2 s, and a lease
-	// of 2 s lapses; the rest is for a busy machine.
-	resumeWithin = 30 * time.Second
-	leaseTerm    = 2 * time.Second
-	longestOrder = 500 * time.Millisecond
+	// failureDuration is the duration of each step of the schedule.
+	failureDuration = 2500 * time.Millisecond
+	// recoveryTimeout bounds the time until every daemon serves again after a
+	// failure. Links are redialed within 2 s, the platform is probed within 2 s, and
+	// a lease expires after 2 s; the rest is a margin for a busy machine.
+	recoveryTimeout = 30 * time.Second
+	leaseTerm       = 2 * time.Second
+	maxOrderDelay   = 500 * time.Millisecond
 )
 
-// failure breaks something and returns what mends it.
+// failure is one kind of failure. Its inject function returns the function that
+// repairs it.
 type failure struct {
-	name string
-	do   func(r *run) (mend func())
+	name   string
+	inject func(r *failureRun) (repair func())
 }
 
-// run is one fleet under a schedule of failures.
-type run struct {
-	t   *testing.T
-	f   *fleet
-	rng *rand.Rand
-	// version counts the changes of the engines' wanted version.
-	version int
-	editor  *config.Editor
+// failureRun runs a schedule of failures against one fleet.
+type failureRun struct {
+	t     *testing.T
+	fleet *fleet
+	rng   *rand.Rand
+	// versionChanges counts the changes of the desired version of the engines.
+	versionChanges int
+	editor         *config.Editor
 }
 
-func failures() []failure {
+func allFailures() []failure {
 	return []failure{
-		{"partition", func(r *run) func() { return r.partition(r.rng.IntN(len(zones))) }},
-		{"restart without state", (*run).restart},
-		{"store down", func(r *run) func() { return r.store(platformstandin.Faults{Unavailable: true}) }},
-		{"store slow", func(r *run) func() { return r.store(platformstandin.Faults{Delay: 700 * time.Millisecond}) }},
-		{"answers lost", func(r *run) func() {
-			return r.store(platformstandin.Faults{LostResponses: -1, LostWriteDelay: 100 * time.Millisecond})
+		{"partition", func(r *failureRun) func() { return r.partition(r.rng.IntN(len(zones))) }},
+		{"restart without state", (*failureRun).restartDaemons},
+		{"store down", func(r *failureRun) func() { return r.injectStoreFaults(platformstandin.Faults{Unavailable: true}) }},
+		{"store slow", func(r *failureRun) func() {
+			return r.injectStoreFaults(platformstandin.Faults{Delay: 700 * time.Millisecond})
 		}},
-		{"stale reads", func(r *run) func() {
-			r.race()
-			return r.store(platformstandin.Faults{StaleCommits: 3})
+		{"answers lost", func(r *failureRun) func() {
+			return r.injectStoreFaults(platformstandin.Faults{LostResponses: -1, LostWriteDelay: 100 * time.Millisecond})
 		}},
-		{"pause beyond the lease", (*run).pause},
-		{"racing operators", (*run).race},
-		{"silent connections", (*run).silence},
+		{"stale reads", func(r *failureRun) func() {
+			r.updateConcurrently()
+			return r.injectStoreFaults(platformstandin.Faults{StaleCommits: 3})
+		}},
+		{"pause beyond the lease", (*failureRun).pauseDaemon},
+		{"racing operators", (*failureRun).updateConcurrently},
+		{"silent connections", (*failureRun).silenceConnections},
 	}
 }
 
-// partition cuts a zone off from the other zones and from the platform.
-func (r *run) partition(zone int) func() {
-	r.f.between(inZone(zone), (*faultlink.Link).Cut)
-	for i, fr := range r.f.fronts {
-		fr.cut.Store(inZone(zone)(i))
+// partition disconnects a zone from the other zones and from the platform.
+func (r *failureRun) partition(zone int) func() {
+	r.fleet.forEachLinkBetween(inZone(zone), (*faultlink.Link).Cut)
+	for i, proxy := range r.fleet.platformProxies {
+		proxy.unreachable.Store(inZone(zone)(i))
 	}
 	return func() {
-		r.f.between(inZone(zone), func(l *faultlink.Link) {
+		r.fleet.forEachLinkBetween(inZone(zone), func(l *faultlink.Link) {
 			if err := l.Restore(); err != nil {
 				r.t.Error(err)
 			}
 		})
-		for _, fr := range r.f.fronts {
-			fr.cut.Store(false)
+		for _, proxy := range r.fleet.platformProxies {
+			proxy.unreachable.Store(false)
 		}
 	}
 }
 
-// restart kills two daemons; what they held for callers is gone.
-func (r *run) restart() func() {
+// restartDaemons kills two daemons, which lose their in-memory state. The repair
+// starts both again.
+func (r *failureRun) restartDaemons() func() {
 	i := r.rng.IntN(daemonCount)
 	j := (i + 1 + r.rng.IntN(daemonCount-1)) % daemonCount
-	r.f.daemon(i).kill()
-	r.f.daemon(j).kill()
+	r.fleet.daemon(i).kill()
+	r.fleet.daemon(j).kill()
 	return func() {
-		r.f.replace(i)
-		r.f.replace(j)
+		r.fleet.restartDaemon(i)
+		r.fleet.restartDaemon(j)
 	}
 }
 
-func (r *run) store(faults platformstandin.Faults) func() {
-	r.f.platform.SetFaults(platformstandin.Table, faults)
-	return func() { r.f.platform.SetFaults(platformstandin.Table, platformstandin.Faults{}) }
+func (r *failureRun) injectStoreFaults(faults platformstandin.Faults) func() {
+	r.fleet.platform.SetFaults(platformstandin.Table, faults)
+	return func() { r.fleet.platform.SetFaults(platformstandin.Table, platformstandin.Faults{}) }
 }
 
-// pause stops a daemon for longer than its leases last.
-func (r *run) pause() func() {
-	p := r.f.daemon(r.rng.IntN(daemonCount))
+// pauseDaemon suspends a daemon for longer than the term of its leases.
+func (r *failureRun) pauseDaemon() func() {
+	p := r.fleet.daemon(r.rng.IntN(daemonCount))
 	_ = p.cmd.Process.Signal(syscall.SIGSTOP)
 	return func() { _ = p.cmd.Process.Signal(syscall.SIGCONT) }
 }
 
-// race lets two operators change the wanted version from the same base: one
-// must win and the other must be told.
-func (r *run) race() func() {
+// updateConcurrently lets two operators change the desired version based on the
+// same revision. At most one of them may succeed; the other must get an error.
+func (r *failureRun) updateConcurrently() func() {
 	base, err := r.editor.Get(r.t.Context(), modelService)
 	if err != nil {
-		return func() { r.race()() } // the store is out: race once it is back
+		return func() { r.updateConcurrently()() } // the store is unavailable: update once it is back
 	}
-	r.version++
+	r.versionChanges++
 	errs := make([]error, 2)
 	var group sync.WaitGroup
 	for i := range errs {
 		group.Go(func() {
 			ctx, cancel := context.WithTimeout(r.t.Context(), 10*time.Second)
 			defer cancel()
-			text := withVersion(r.t, []byte(base.Text), fmt.Sprintf("v%d-%d", r.version, i))
+			text := withVersion(r.t, []byte(base.Text), fmt.Sprintf("v%d-%d", r.versionChanges, i))
 			_, errs[i] = r.editor.Apply(ctx, text, base.Revision, "race")
 		})
 	}
 	group.Wait()
 	if errs[0] == nil && errs[1] == nil {
-		r.t.Error("both racing operators were told that their change is in force")
+		r.t.Error("both concurrent updates of the same revision were reported as successful")
 	}
 	return func() {}
 }
@@ -161,12 +165,12 @@
 	return changed
 }
 
-func (r *run) silence() func() {
-	for _, l := range r.f.links {
+func (r *failureRun) silenceConnections() func() {
+	for _, l := range r.fleet.targetLinks {
 		l.StallOpenConnections()
 	}
-	for _, fr := range r.f.fronts {
-		for _, l := range fr.peers {
+	for _, proxy := range r.fleet.platformProxies {
+		for _, l := range proxy.peerLinks {
 			if l != nil {
 				l.StallOpenConnections()
 			}
@@ -175,10 +179,10 @@
 	return func() {}
 }
 
-// schedule returns each failure alone, drawn pairs that overlap, and one that
-// comes twice in a row.
+// schedule returns each failure alone, random pairs of failures that overlap, and
+// one random failure twice in a row.
 func schedule(rng *rand.Rand) [][]failure {
-	all := failures()
+	all := allFailures()
 	var steps [][]failure
 	for _, f := range all {
 		steps = append(steps, []failure{f})
@@ -188,20 +192,21 @@
 		second := (first + 1 + rng.IntN(len(all)-1)) % len(all)
 		steps = append(steps, []failure{all[first], all[second]})
 	}
-	twice := all[rng.IntN(len(all))]
-	return append(steps, []failure{twice}, []failure{twice})
+	repeated := all[rng.IntN(len(all))]
+	return append(steps, []failure{repeated}, []failure{repeated})
 }
 
-// The platform fails, zones are cut, daemons restart without state or are paused
-// beyond their leases, operators race and connections go silent: alone, in
-// pairs, and twice in a row, while callers go on asking and repeating. Nothing
-// unrepeatable may run twice, no "not run" may be false, no revision may revert
-// on any daemon, no old order may win, and afterwards every daemon must serve.
-func TestPromisesUnderFailures(t *testing.T) {
+// Guards against broken guarantees while failures occur alone, in pairs and twice
+// in a row under constant traffic with retries: outages of the platform, network
+// partitions, restarts without state, pauses longer than a lease, concurrent
+// configuration changes and silent connections. No unrepeatable request may run
+// twice, no "not run" report may be false, no revision may go back on any daemon,
+// no outdated order may prevail, and every daemon must serve again afterwards.
+func TestGuaranteesUnderFailures(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(*failureSeed, 0))
-	f := startFleet(t, withFronts, func(f *fleet) {
-		f.adjust = func(s *settings.Settings) {
+	f := startFleet(t, withPlatformProxies, func(f *fleet) {
+		f.adjustSettings = func(s *settings.Settings) {
 			s.Orders.LeaseTerm, s.Orders.ReadBack = leaseTerm, time.Second
 			s.Claims.Wait = 2 * time.Second
 			s.Platform.ConfigPoll = 300 * time.Millisecond
@@ -209,19 +214,19 @@
 		}
 		f.orders = wantedOrders()
 	})
-	r := &run{t: t, f: f, rng: rng, editor: &config.Editor{Table: platform.NewClient(platform.ClientConfig{URL: f.url}), Author: "test"}}
-	revisions := startRevisions(t, f)
+	r := &failureRun{t: t, fleet: f, rng: rng, editor: &config.Editor{Table: platform.NewClient(platform.ClientConfig{URL: f.platformURL}), Author: "test"}}
+	revisions := startRevisionWatcher(t, f)
 	for n, step := range schedule(rng) {
 		names := stepNames(step)
-		callers := startSteady(t, f, fmt.Sprintf("s%d", n), *failureSeed+uint64(n))
+		callers := startRetryingCallers(t, f, fmt.Sprintf("s%d", n), *failureSeed+uint64(n))
 		r.runStep(step)
-		took := r.resumed(names)
+		recovery := r.waitForRecovery(names)
 		requests := callers.stop()
-		t.Logf("%s: served again by every daemon %v after the end", names, took.Round(10*time.Millisecond))
-		checkRepeated(t, f, requests)
+		t.Logf("%s: every daemon served again %v after the failures ended", names, recovery.Round(10*time.Millisecond))
+		checkRetriedRequests(t, f, requests)
 	}
 	r.checkOrders()
-	is.Equal(revisions.stop(), nil) // no revision reverted
+	is.Equal(revisions.stop(), nil) // no daemon went back to an older revision
 }
 
 func stepNames(step []failure) string {
@@ -232,55 +237,56 @@
 	return strings.Join(names, " with ")
 }
 
-// runStep starts the failures of a step half their time apart and mends them.
-func (r *run) runStep(step []failure) {
-	var mends []func()
+// runStep injects the failures of a step at equal intervals over failureDuration,
+// so that those of a pair start half of it apart, and then repairs them all.
+func (r *failureRun) runStep(step []failure) {
+	var repairs []func()
 	for _, f := range step {
-		mends = append(mends, f.do(r))
-		time.Sleep(failureLasts / time.Duration(len(step)))
+		repairs = append(repairs, f.inject(r))
+		time.Sleep(failureDuration / time.Duration(len(step)))
 	}
-	for _, mend := range mends {
-		mend()
+	for _, repair := range repairs {
+		repair()
 	}
 }
 
-// resumed waits until every daemon serves a plain call, a completion and an
-// unrepeatable call.
-func (r *run) resumed(step string) time.Duration {
-	began := time.Now()
+// waitForRecovery waits until every daemon serves a plain call, a completion and
+// an unrepeatable call, and returns the time that this took.
+func (r *failureRun) waitForRecovery(step string) time.Duration {
+	start := time.Now()
 	client := newClient()
 	defer client.CloseIdleConnections()
 	for i := range daemonCount {
-		for _, k := range []kind{plainRead, wholeCompletion, plainClaim} {
-			for try := 0; ; try++ {
-				q := &request{kind: k, mark: fmt.Sprintf("resume-%d-%d-%d-%d", began.UnixNano(), i, k, try), tokens: 3}
-				ctx, cancel := context.WithTimeout(r.t.Context(), resumeWithin)
-				q.send(ctx, client, r.f.daemon(i).address, key(i))
+		for _, k := range []requestKind{plainRead, nonStreamedCompletion, plainClaim} {
+			for attempt := 0; ; attempt++ {
+				req := &request{kind: k, mark: fmt.Sprintf("resume-%d-%d-%d-%d", start.UnixNano(), i, k, attempt), tokens: 3}
+				ctx, cancel := context.WithTimeout(r.t.Context(), recoveryTimeout)
+				req.send(ctx, client, r.fleet.daemon(i).url, workspaceKey(i))
 				cancel()
-				if q.verdict == complete && q.wrong == "" {
+				if req.result == complete && req.mismatch == "" {
 					break
 				}
-				if time.Since(began) > resumeWithin {
-					r.t.Fatalf("%s: %s does not serve kind %d: code %d %s", step, daemonName(i), k, q.code, q.message)
+				if time.Since(start) > recoveryTimeout {
+					r.t.Fatalf("%s: %s does not serve kind %d: code %d %s", step, daemonName(i), k, req.code, req.message)
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
 		}
 	}
-	return time.Since(began)
+	return time.Since(start)
 }
 
 func wantedOrders() *document.Orders {
-	o := &document.Orders{Fencing: document.Ignored, LongestOrder: longestOrder}
+	o := &document.Orders{Fencing: document.Ignored, LongestOrder: maxOrderDelay}
 	for i := range engineCount {
 		o.Targets = append(o.Targets, document.TargetOrder{Name: ident.Target(targetName(i)), Models: []string{modelName}, Version: "v0"})
 	}
 	return o
 }
 
-// checkOrders waits until the last order of each engine is the wanted one, and
-// requires that it stays so.
-func (r *run) checkOrders() {
+// checkOrders waits until the last order that each engine received matches the
+// desired state, and requires that this remains so.
+func (r *failureRun) checkOrders() {
 	r.t.Helper()
 	record, err := r.editor.Get(r.t.Context(), modelService)
 	is := is.New(r.t)
@@ -288,9 +294,9 @@
 	d, err := document.Parse([]byte(record.Text))
 	is.NoErr(err)
 	want := d.Orders.Targets[0].Version
-	wrong := func() []string {
+	outdated := func() []string {
 		var names []string
-		for i, e := range r.f.engines {
+		for i, e := range r.fleet.engines {
 			orders := e.Orders()
 			if len(orders) == 0 || orders[len(orders)-1].Version != want {
 				names = append(names, targetName(i))
@@ -298,45 +304,45 @@
 		}
 		return names
 	}
-	deadline := time.Now().Add(resumeWithin)
-	for len(wrong()) > 0 && time.Now().Before(deadline) {
+	deadline := time.Now().Add(recoveryTimeout)
+	for len(outdated()) > 0 && time.Now().Before(deadline) {
 		time.Sleep(50 * time.Millisecond)
 	}
-	time.Sleep(2 * leaseTerm) // an old order that was still to come has come
-	is.Equal(len(wrong()), 0) // the latest wanted state holds on every engine
+	time.Sleep(2 * leaseTerm)    // covers outdated orders that are still in transit
+	is.Equal(len(outdated()), 0) // every engine is in the latest desired state
 }
 
-// revisions watches the revisions in force on every daemon.
-type revisions struct {
-	end    context.CancelFunc
-	group  sync.WaitGroup
-	mu     sync.Mutex
-	faults []string
+// revisionWatcher watches the active configuration revisions of every daemon.
+type revisionWatcher struct {
+	cancel      context.CancelFunc
+	group       sync.WaitGroup
+	mu          sync.Mutex
+	regressions []string
 }
 
-func startRevisions(t *testing.T, f *fleet) *revisions {
+func startRevisionWatcher(t *testing.T, f *fleet) *revisionWatcher {
 	ctx, cancel := context.WithCancel(t.Context())
-	w := &revisions{end: cancel}
+	w := &revisionWatcher{cancel: cancel}
 	for i := range daemonCount {
-		w.group.Go(func() { w.watch(ctx, f, i) })
+		w.group.Go(func() { w.watchDaemon(ctx, f, i) })
 	}
 	return w
 }
 
-// watch reads one daemon's revisions again and again. A daemon that was started
-// anew counts once it is ready: it must then know at least what its predecessor
-// had in force.
-func (w *revisions) watch(ctx context.Context, f *fleet, i int) {
+// watchDaemon polls the revisions of one daemon. A restarted daemon is checked
+// once it is ready: its revisions must then be at least as new as those that were
+// active before the restart.
+func (w *revisionWatcher) watchDaemon(ctx context.Context, f *fleet, i int) {
 	client := &http.Client{Timeout: time.Second}
 	defer client.CloseIdleConnections()
 	seen := map[ident.Service]uint64{}
 	for ctx.Err() == nil {
-		status, err := readStatus(ctx, client, f.daemon(i).operators)
+		status, err := readStatus(ctx, client, f.daemon(i).operatorsAddress)
 		if err == nil && status.State == "ready" {
 			for service, revision := range seen {
 				if status.ActiveRevisions[service] < revision {
 					w.mu.Lock()
-					w.faults = append(w.faults, fmt.Sprintf("%s: %s went from %d to %d", status.Daemon, service, revision, status.ActiveRevisions[service]))
+					w.regressions = append(w.regressions, fmt.Sprintf("%s: %s went from %d to %d", status.Daemon, service, revision, status.ActiveRevisions[service]))
 					w.mu.Unlock()
 				}
 			}
@@ -351,24 +357,25 @@
 	}
 }
 
-func readStatus(ctx context.Context, client *http.Client, address string) (admin.Status, error) {
+func readStatus(ctx context.Context, client *http.Client, operatorsAddress string) (admin.Status, error) {
 	var status admin.Status
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+admin.StatusPath, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+operatorsAddress+admin.StatusPath, nil)
 	if err != nil {
 		return status, err
 	}
-	response, err := client.Do(request)
+	resp, err := client.Do(req)
 	if err != nil {
 		return status, err
 	}
-	defer func() { _ = response.Body.Close() }()
-	return status, json.NewDecoder(response.Body).Decode(&status)
+	defer func() { _ = resp.Body.Close() }()
+	return status, json.NewDecoder(resp.Body).Decode(&status)
 }
 
-// stop returns the reversals seen, nil where there were none.
-func (w *revisions) stop() []string {
-	w.end()
+// stop ends the watch and returns the observed regressions, nil if there were
+// none.
+func (w *revisionWatcher) stop() []string {
+	w.cancel()
 	w.group.Wait()
-	slices.Sort(w.faults)
-	return w.faults
+	slices.Sort(w.regressions)
+	return w.regressions
 }
--- a/test/integration/fleet_test.go
+++ b/test/integration/fleet_test.go
@@ -32,97 +32,101 @@
 	"github.com/savorystall/savorystall/test/program"
 )
 
-// The fleet of the tests has the size of the larger of the first two users.
+// The test fleet has the size of the larger of the first two deployments.
 const (
-	daemonCount   = 7
-	engineCount   = 12
-	plainCount    = 4
-	engineSlots   = 16
-	plainSlots    = 32
-	workspaces    = 16
-	modelName     = "recap-1"
-	modelService  = ident.Service("lm-pool")
-	plainService  = ident.Service("sync-api")
-	engineStep    = 10 * time.Millisecond
-	startDeadline = 30 * time.Second
-	stopDeadline  = 60 * time.Second
+	daemonCount    = 7
+	engineCount    = 12
+	plainCount     = 4
+	engineSlots    = 16
+	plainSlots     = 32
+	workspaceCount = 16
+	modelName      = "recap-1"
+	modelService   = ident.Service("lm-pool")
+	plainService   = ident.Service("sync-api")
+	engineStep     = 10 * time.Millisecond
+	startTimeout   = 30 * time.Second
+	stopTimeout    = 60 * time.Second
 )
 
 var zones = []ident.Zone{"hall-a", "hall-b", "hall-c", "hall-d"}
 
-// fleet is everything that runs in one test.
+// fleet holds all components that run in one test.
 type fleet struct {
-	t        *testing.T
-	platform *platformstandin.Server
-	url      string
-	engines  []*enginestandin.Engine
-	plains   []*plainstandin.Service
-	// links lead to the engines, then to the plain services.
-	links []*faultlink.Link
-	// peers lead to the daemons' fleet listeners.
-	peers   []*faultlink.Link
-	daemons []*process
-	vms     []wire.VM
-	// fronts, where set, stand between each daemon and the platform.
-	fronts []*front
-	// adjust changes the settings of every daemon.
-	adjust func(*settings.Settings)
-	// limits are those of the first workspace.
-	limits document.WorkspaceLimits
-	// orders is the wanted state of the engines; nil leaves them alone.
+	t             *testing.T
+	platform      *platformstandin.Server
+	platformURL   string
+	engines       []*enginestandin.Engine
+	plainServices []*plainstandin.Service
+	// targetLinks are the links to the engines, followed by those to the plain
+	// services.
+	targetLinks []*faultlink.Link
+	// peerLinks are the links to the fleet listeners of the daemons.
+	peerLinks []*faultlink.Link
+	daemons   []*daemonProcess
+	vms       []wire.VM
+	// platformProxies, if set, holds one proxy to the platform for each daemon.
+	platformProxies []*platformProxy
+	// adjustSettings changes the settings of every daemon before it starts.
+	adjustSettings func(*settings.Settings)
+	// firstWorkspaceLimits are the limits of the first workspace.
+	firstWorkspaceLimits document.WorkspaceLimits
+	// orders is the desired state of the engines; if it is nil, the daemons send
+	// them no orders.
 	orders *document.Orders
-	// preemption allows it on the engines; meanCost is what requests are taken to
-	// cost at first.
+	// preemption enables preemption on the engines; meanCost is the assumed cost of
+	// a request until costs were measured.
 	preemption bool
 	meanCost   float64
 
-	mu sync.Mutex // guards daemons while they are replaced
+	mu sync.Mutex // guards daemons while one is restarted
 }
 
-func (f *fleet) daemon(i int) *process {
+func (f *fleet) daemon(i int) *daemonProcess {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.daemons[i]
 }
 
-// process is one running daemon.
-type process struct {
-	name    ident.Daemon
-	address string
-	// listen is the fleet listener, operators the operators' port.
-	listen, operators string
-	cmd               *exec.Cmd
-	log               bytes.Buffer
-	// ended holds the error of Wait once the process has ended.
-	ended chan error
-	once  sync.Once
-	// killed tells that the test ended the process by force.
+// daemonProcess is one running daemon.
+type daemonProcess struct {
+	name ident.Daemon
+	url  string
+	// fleetAddress is the address of the listener for peers, operatorsAddress that
+	// of the listener for operators.
+	fleetAddress, operatorsAddress string
+	cmd                            *exec.Cmd
+	stderr                         bytes.Buffer
+	// exited holds the error returned by Wait once the process has exited.
+	exited   chan error
+	stopOnce sync.Once
+	// killed is set if the test killed the process.
 	killed bool
 }
 
-// startFleet starts the stand-ins and the daemons, and stops them with the test.
+// startFleet starts the stand-ins and the daemons, and stops them at the end of
+// the test.
 func startFleet(t *testing.T, options ...func(*fleet)) *fleet {
 	t.Helper()
 	program.DependOnSources(t)
-	f := &fleet{t: t, platform: platformstandin.New(platformstandin.Config{}), meanCost: 50, adjust: func(*settings.Settings) {}}
+	f := &fleet{t: t, platform: platformstandin.New(platformstandin.Config{}), meanCost: 50, adjustSettings: func(*settings.Settings) {}}
 	for _, option := range options {
 		option(f)
 	}
-	f.url = "http://" + f.serve(f.platform, func() {})
+	f.platformURL = "http://" + f.serve(f.platform, func() {})
 	f.startTargets()
 	fleetListeners := make([]string, daemonCount)
 	for i := range daemonCount {
 		fleetListeners[i] = faultlink.FreeAddress(t)
 		link := faultlink.New(t, fleetListeners[i])
-		f.peers = append(f.peers, link)
+		f.peerLinks = append(f.peerLinks, link)
 		f.vms = append(f.vms, wire.VM{
 			Name: daemonName(i), Zone: string(zoneOf(i)), Address: link.Address, Role: platform.RoleDaemon, State: string(platform.VMLive),
 		})
 	}
 	f.platform.SetVMs(f.vms...)
 	f.applyDocuments()
-	if f.fronts != nil {
-		f.startFronts(fleetListeners)
+	if f.platformProxies != nil {
+		f.startPlatformProxies(fleetListeners)
 	}
 	for i, listen := range fleetListeners {
 		f.daemons = append(f.daemons, f.startDaemon(i, listen))
@@ -134,35 +138,36 @@
 
 func zoneOf(i int) ident.Zone { return zones[i%len(zones)] }
 
-func (f *fleet) serve(h http.Handler, stop func()) string {
-	s := httptest.NewServer(h)
+func (f *fleet) serve(handler http.Handler, stop func()) string {
+	server := httptest.NewServer(handler)
 	f.t.Cleanup(func() {
 		stop()
-		s.CloseClientConnections()
-		s.Close()
+		server.CloseClientConnections()
+		server.Close()
 	})
-	return strings.TrimPrefix(s.URL, "http://")
+	return strings.TrimPrefix(server.URL, "http://")
 }
 
 func (f *fleet) startTargets() {
 	for range engineCount {
 		e := enginestandin.New(enginestandin.Config{Step: engineStep, Slots: engineSlots, HeartbeatInterval: 500 * time.Millisecond})
 		f.engines = append(f.engines, e)
-		f.links = append(f.links, faultlink.New(f.t, f.serve(e, e.Close)))
+		f.targetLinks = append(f.targetLinks, faultlink.New(f.t, f.serve(e, e.Close)))
 	}
 	for range plainCount {
 		p := plainstandin.New(plainstandin.Config{})
-		f.plains = append(f.plains, p)
-		f.links = append(f.links, faultlink.New(f.t, f.serve(p, p.Close)))
+		f.plainServices = append(f.plainServices, p)
+		f.targetLinks = append(f.targetLinks, faultlink.New(f.t, f.serve(p, p.Close)))
 	}
-	for i, l := range f.links {
+	for i, l := range f.targetLinks {
 		f.vms = append(f.vms, wire.VM{
 			Name: targetName(i), Zone: string(zoneOf(i)), Address: l.Address, Role: platform.RoleTarget, State: string(platform.VMLive),
 		})
 	}
 }
 
-// targetName names engines and, after them, plain services.
+// targetName returns the name of a target: engines come first, followed by the
+// plain services.
 func targetName(i int) string {
 	if i < engineCount {
 		return fmt.Sprintf("engine-%d", i+1)
@@ -170,39 +175,39 @@
 	return fmt.Sprintf("sync-%d", i-engineCount+1)
 }
 
-func (f *fleet) targets(from, to, slots int) []document.Target {
+func (f *fleet) documentTargets(from, to, slots int) []document.Target {
 	var list []document.Target
 	for i := from; i < to; i++ {
-		list = append(list, document.Target{Name: ident.Target(targetName(i)), Zone: zoneOf(i), Address: f.links[i].Address, Slots: slots})
+		list = append(list, document.Target{Name: ident.Target(targetName(i)), Zone: zoneOf(i), Address: f.targetLinks[i].Address, Slots: slots})
 	}
 	return list
 }
 
 func workspaceName(i int) string { return fmt.Sprintf("club-%d", i+1) }
 
-func key(i int) string { return "key-of-" + workspaceName(i) }
+func workspaceKey(i int) string { return "key-of-" + workspaceName(i) }
 
 func (f *fleet) applyDocuments() {
 	is := is.New(f.t)
-	var ws []document.Workspace
-	for i := range workspaces {
-		ws = append(ws, document.Workspace{Name: ident.Workspace(workspaceName(i)), Weight: 1, Keys: []string{document.HashKey(key(i))}})
+	var workspaces []document.Workspace
+	for i := range workspaceCount {
+		workspaces = append(workspaces, document.Workspace{Name: ident.Workspace(workspaceName(i)), Weight: 1, Keys: []string{document.HashKey(workspaceKey(i))}})
 	}
-	ws[0].Limits = f.limits
+	workspaces[0].Limits = f.firstWorkspaceLimits
 	documents := []document.Document{{
-		Service: modelService, Kind: document.Model, Models: []string{modelName}, Workspaces: ws,
+		Service: modelService, Kind: document.Model, Models: []string{modelName}, Workspaces: workspaces,
 		Operations: []document.Operation{
 			{Name: "ask", Class: document.Interactive, Default: true},
 			{Name: "tag", Class: document.Standard, Unrepeatable: true},
 			{Name: "recap", Class: document.Batch},
 		},
 		Limits:  document.Limits{Deadline: time.Minute, MeanCost: f.meanCost},
-		Targets: f.targets(0, engineCount, engineSlots),
+		Targets: f.documentTargets(0, engineCount, engineSlots),
 		Orders:  f.orders,
 
 		Preemption: f.preemption,
 	}, {
-		Service: plainService, Kind: document.Plain, Workspaces: ws,
+		Service: plainService, Kind: document.Plain, Workspaces: workspaces,
 		Operations: []document.Operation{
 			{Name: "read", Method: "GET", Path: "/**", Class: document.Interactive},
 			{Name: "note", Method: "POST", Path: "/notes", Class: document.Standard},
@@ -211,9 +216,9 @@
 		Limits: document.Limits{
 			Deadline: time.Minute, FirstByteTimeout: 4 * time.Second, ProgressTimeout: 2 * time.Second, MeanCost: 10,
 		},
-		Targets: f.targets(engineCount, engineCount+plainCount, plainSlots),
+		Targets: f.documentTargets(engineCount, engineCount+plainCount, plainSlots),
 	}}
-	editor := &config.Editor{Table: platform.NewClient(platform.ClientConfig{URL: f.url}), Author: "test"}
+	editor := &config.Editor{Table: platform.NewClient(platform.ClientConfig{URL: f.platformURL}), Author: "test"}
 	for _, d := range documents {
 		text, err := yaml.Marshal(d)
 		is.NoErr(err)
@@ -222,119 +227,121 @@
 	}
 }
 
-func (f *fleet) startDaemon(i int, fleetListen string) *process {
+func (f *fleet) startDaemon(i int, fleetAddress string) *daemonProcess {
 	f.t.Helper()
 	is := is.New(f.t)
 	s := settings.Defaults()
 	s.Daemon, s.Zone = ident.Daemon(daemonName(i)), zoneOf(i)
 	s.Callers.Listen, s.Operators.Listen = "127.0.0.1:0", faultlink.FreeAddress(f.t)
-	s.Fleet.Listen, s.Fleet.Advertise = fleetListen, f.peers[i].Address
-	s.Platform.URL = f.url
-	if f.fronts != nil {
-		s.Platform.URL = f.fronts[i].url
+	s.Fleet.Listen, s.Fleet.Advertise = fleetAddress, f.peerLinks[i].Address
+	s.Platform.URL = f.platformURL
+	if f.platformProxies != nil {
+		s.Platform.URL = f.platformProxies[i].url
 	}
 	s.Stop.BalancerLag = 200 * time.Millisecond
-	f.adjust(&s)
+	f.adjustSettings(&s)
 	text, err := yaml.Marshal(s)
 	is.NoErr(err)
 	file := filepath.Join(f.t.TempDir(), daemonName(i)+".yaml")
 	is.NoErr(os.WriteFile(file, text, 0o600))
 
-	p := &process{name: s.Daemon, listen: fleetListen, operators: s.Operators.Listen, cmd: exec.Command(binary, "--settings", file), ended: make(chan error, 1)}
-	p.cmd.Stderr = &p.log
+	p := &daemonProcess{name: s.Daemon, fleetAddress: fleetAddress, operatorsAddress: s.Operators.Listen, cmd: exec.Command(daemonBinary, "--settings", file), exited: make(chan error, 1)}
+	p.cmd.Stderr = &p.stderr
 	out, err := p.cmd.StdoutPipe()
 	is.NoErr(err)
 	is.NoErr(p.cmd.Start())
-	f.t.Cleanup(func() { f.checkEnd(p) })
-	p.address = f.awaitReady(p, out)
+	f.t.Cleanup(func() { f.checkExit(p) })
+	p.url = f.awaitReady(p, out)
 	return p
 }
 
-// awaitReady reads the address that a daemon prints once it serves callers.
-func (f *fleet) awaitReady(p *process, out interface{ Read([]byte) (int, error) }) string {
+// awaitReady returns the URL that a daemon prints once it serves callers.
+func (f *fleet) awaitReady(p *daemonProcess, out interface{ Read([]byte) (int, error) }) string {
 	f.t.Helper()
-	first := make(chan string, 1)
+	ready := make(chan string, 1)
 	go func() {
-		lines := bufio.NewScanner(out)
-		for lines.Scan() {
-			if address, found := strings.CutPrefix(lines.Text(), "ready "); found {
-				first <- address
+		scanner := bufio.NewScanner(out)
+		for scanner.Scan() {
+			if address, found := strings.CutPrefix(scanner.Text(), "ready "); found {
+				ready <- address
 			}
 		}
-		p.ended <- p.cmd.Wait()
+		p.exited <- p.cmd.Wait()
 	}()
 	select {
-	case address := <-first:
+	case address := <-ready:
 		return address
-	case err := <-p.ended:
-		p.ended <- err
-		f.t.Fatalf("%s ended early: %v\n%s", p.name, err, p.log.String())
-	case <-time.After(startDeadline):
-		f.t.Fatalf("%s is not ready", p.name)
+	case err := <-p.exited:
+		p.exited <- err
+		f.t.Fatalf("%s exited before it was ready: %v\n%s", p.name, err, p.stderr.String())
+	case <-time.After(startTimeout):
+		f.t.Fatalf("%s did not become ready in time", p.name)
 	}
 	return ""
 }
 
-// stop sends SIGTERM and returns the error of the process.
-func (p *process) stop() error {
-	p.once.Do(func() { _ = p.cmd.Process.Signal(syscall.SIGTERM) })
+// stop sends SIGTERM, waits for the process and returns its exit error. A process
+// that does not exit within stopTimeout is killed.
+func (p *daemonProcess) stop() error {
+	p.stopOnce.Do(func() { _ = p.cmd.Process.Signal(syscall.SIGTERM) })
 	select {
-	case err := <-p.ended:
-		p.ended <- err
+	case err := <-p.exited:
+		p.exited <- err
 		return err
-	case <-time.After(stopDeadline):
+	case <-time.After(stopTimeout):
 		_ = p.cmd.Process.Kill()
 		return context.DeadlineExceeded
 	}
 }
 
-// kill ends a process without notice.
-func (p *process) kill() {
+// kill kills the process and waits until it has exited.
+func (p *daemonProcess) kill() {
 	p.killed = true
 	_ = p.cmd.Process.Kill()
-	p.ended <- <-p.ended
+	p.exited <- <-p.exited
 }
 
-// replace starts a daemon anew, without any state, at the place of a killed one.
-func (f *fleet) replace(i int) {
-	fresh := f.startDaemon(i, f.daemon(i).listen)
+// restartDaemon starts a new daemon without any state in place of a killed one.
+func (f *fleet) restartDaemon(i int) {
+	restarted := f.startDaemon(i, f.daemon(i).fleetAddress)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.daemons[i] = fresh
+	f.daemons[i] = restarted
 }
 
-// checkEnd requires a planned stop with exit code 0 and no data race.
-func (f *fleet) checkEnd(p *process) {
+// checkExit requires a planned shutdown with exit code 0 and no data race.
+func (f *fleet) checkExit(p *daemonProcess) {
 	if p.killed {
 		return
 	}
 	if err := p.stop(); err != nil {
-		f.t.Errorf("%s ended with %v\n%s", p.name, err, tail(p.log.String()))
+		f.t.Errorf("%s exited with %v\n%s", p.name, err, logExcerpt(p.stderr.String()))
 	}
-	if strings.Contains(p.log.String(), "DATA RACE") {
-		f.t.Errorf("%s has a data race\n%s", p.name, tail(p.log.String()))
+	if strings.Contains(p.stderr.String(), "DATA RACE") {
+		f.t.Errorf("%s reported a data race\n%s", p.name, logExcerpt(p.stderr.String()))
 	}
 }
 
-const shownBytes = 6000
+const logExcerptBytes = 6000
 
-// tail returns the part of a log that tells why its process ended.
-func tail(log string) string {
-	for _, sign := range []string{"DATA RACE", "fatal error: ", "panic: "} {
-		if i := strings.Index(log, sign); i >= 0 {
-			return log[i:min(len(log), i+shownBytes)]
+// logExcerpt returns the part of a log that shows why the process exited: from a
+// data race, a fatal error or a panic on if there is one, else the end.
+func logExcerpt(log string) string {
+	for _, marker := range []string{"DATA RACE", "fatal error: ", "panic: "} {
+		if i := strings.Index(log, marker); i >= 0 {
+			return log[i:min(len(log), i+logExcerptBytes)]
 		}
 	}
-	return log[max(0, len(log)-shownBytes):]
+	return log[max(0, len(log)-logExcerptBytes):]
 }
 
-// ran returns how often a request ran on any target.
-func (f *fleet) ran(mark string) int {
+// runCount returns how often a request ran on all targets together.
+func (f *fleet) runCount(mark string) int {
 	n := 0
 	for _, e := range f.engines {
 		n += e.RunCount(mark)
 	}
-	for _, p := range f.plains {
+	for _, p := range f.plainServices {
 		n += p.RunCount(mark)
 	}
 	return n
--- a/test/integration/front_test.go
+++ b/test/integration/front_test.go
@@ -10,70 +10,74 @@
 	"github.com/savorystall/savorystall/test/faultlink"
 )
 
-// front is the platform as one daemon sees it: it can be out of that daemon's
-// reach alone, and its VM list leads to each peer over a link of the pair's own.
-type front struct {
-	f   *fleet
-	url string
-	cut atomic.Bool
-	// peers are the links from this daemon to the others; nil to itself.
-	peers []*faultlink.Link
+// platformProxy serves the platform API to one daemon. It can be made unreachable
+// for that daemon alone, and the VM list that it returns routes the connections
+// to each peer over a separate link for that pair of daemons.
+type platformProxy struct {
+	fleet       *fleet
+	url         string
+	unreachable atomic.Bool
+	// peerLinks are the links from this daemon to each other daemon; the entry of
+	// the daemon itself is nil.
+	peerLinks []*faultlink.Link
 }
 
-// withFronts puts a front before each daemon.
-func withFronts(f *fleet) {
+// withPlatformProxies puts a platformProxy between each daemon and the platform.
+func withPlatformProxies(f *fleet) {
 	for range daemonCount {
-		f.fronts = append(f.fronts, &front{f: f, peers: make([]*faultlink.Link, daemonCount)})
+		f.platformProxies = append(f.platformProxies, &platformProxy{fleet: f, peerLinks: make([]*faultlink.Link, daemonCount)})
 	}
 }
 
-func (f *fleet) startFronts(listeners []string) {
-	for i, fr := range f.fronts {
+func (f *fleet) startPlatformProxies(listeners []string) {
+	for i, proxy := range f.platformProxies {
 		for j, listen := range listeners {
 			if i != j {
-				fr.peers[j] = faultlink.New(f.t, listen)
+				proxy.peerLinks[j] = faultlink.New(f.t, listen)
 			}
 		}
-		fr.url = "http://" + f.serve(fr, func() {})
+		proxy.url = "http://" + f.serve(proxy, func() {})
 	}
 }
 
 // ServeHTTP implements http.Handler.
-func (fr *front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if fr.cut.Load() {
+func (p *platformProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if p.unreachable.Load() {
 		panic(http.ErrAbortHandler)
 	}
 	if r.URL.Path != wire.PathVMs {
-		fr.f.platform.ServeHTTP(w, r)
+		p.fleet.platform.ServeHTTP(w, r)
 		return
 	}
-	list := append([]wire.VM(nil), fr.f.vms...)
-	for i := range list {
-		if list[i].Role != platform.RoleDaemon {
+	vms := append([]wire.VM(nil), p.fleet.vms...)
+	for i := range vms {
+		if vms[i].Role != platform.RoleDaemon {
 			continue
 		}
-		for j, link := range fr.peers {
-			if link != nil && list[i].Name == daemonName(j) {
-				list[i].Address = link.Address
+		for j, link := range p.peerLinks {
+			if link != nil && vms[i].Name == daemonName(j) {
+				vms[i].Address = link.Address
 			}
 		}
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(wire.VMs{VMs: list})
+	_ = json.NewEncoder(w).Encode(wire.VMs{VMs: vms})
 }
 
-// between calls do for each link between the two sides of a split.
-func (f *fleet) between(inside func(daemon int) bool, do func(*faultlink.Link)) {
-	for i, fr := range f.fronts {
-		for j, link := range fr.peers {
+// forEachLinkBetween calls visit for each link between a daemon inside the set and
+// a daemon outside it.
+func (f *fleet) forEachLinkBetween(inside func(daemon int) bool, visit func(*faultlink.Link)) {
+	for i, proxy := range f.platformProxies {
+		for j, link := range proxy.peerLinks {
 			if link != nil && inside(i) != inside(j) {
-				do(link)
+				visit(link)
 			}
 		}
 	}
 }
 
-// inZone tells whether a daemon is in the zone of the given index.
+// inZone returns a function that reports whether a daemon is in the zone with the
+// given index.
 func inZone(zone int) func(int) bool {
 	return func(daemon int) bool { return zoneOf(daemon) == zones[zone] }
 }
--- a/test/integration/integration_test.go
+++ b/test/integration/integration_test.go
@@ -14,100 +14,102 @@
 	"github.com/savorystall/savorystall/internal/resultcode"
 )
 
-const concurrent = 2000
+const concurrentRequests = 2000
 
 func newClient() *http.Client {
-	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: concurrent, IdleConnTimeout: 5 * time.Second}}
+	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: concurrentRequests, IdleConnTimeout: 5 * time.Second}}
 }
 
-// sendAll sends the mix at once, spread over daemons and workspaces.
-func sendAll(t *testing.T, f *fleet, name string, count int) []*request {
+// sendConcurrently sends requests of all kinds at once, spread over the daemons
+// and workspaces.
+func sendConcurrently(t *testing.T, f *fleet, name string, count int) []*request {
 	client := newClient()
 	defer client.CloseIdleConnections()
 	requests := make([]*request, count)
 	var group sync.WaitGroup
 	for i := range requests {
-		r := &request{kind: kind(i % int(kinds)), mark: fmt.Sprintf("%s-%d", name, i), tokens: 10 + i%50}
+		r := &request{kind: requestKind(i % int(requestKindCount)), mark: fmt.Sprintf("%s-%d", name, i), tokens: 10 + i%50}
 		requests[i] = r
 		group.Go(func() {
-			r.send(t.Context(), client, f.daemons[i%daemonCount].address, key((i/daemonCount)%workspaces))
+			r.send(t.Context(), client, f.daemons[i%daemonCount].url, workspaceKey((i/daemonCount)%workspaceCount))
 		})
 	}
 	group.Wait()
 	return requests
 }
 
-// tally checks every answer against what the targets ran and counts them.
-func check(t *testing.T, f *fleet, requests []*request) map[verdict]int {
+// checkRequests compares every response with the requests that the targets ran,
+// and counts the responses by result.
+func checkRequests(t *testing.T, f *fleet, requests []*request) map[resultKind]int {
 	t.Helper()
-	counts := map[verdict]int{}
+	counts := map[resultKind]int{}
 	refusals := map[int]int{}
 	var slowest time.Duration
 	for _, r := range requests {
-		counts[r.verdict]++
+		counts[r.result]++
 		slowest = max(slowest, r.elapsed)
-		runs := f.ran(r.mark)
-		if r.verdict == complete && r.wrong != "" {
-			t.Errorf("%s (kind %d): wrong answer: %s", r.mark, r.kind, r.wrong)
+		runs := f.runCount(r.mark)
+		if r.result == complete && r.mismatch != "" {
+			t.Errorf("%s (kind %d): wrong response: %s", r.mark, r.kind, r.mismatch)
 		}
-		if r.verdict == complete && runs == 0 {
-			t.Errorf("%s (kind %d): an answer without a run", r.mark, r.kind)
+		if r.result == complete && runs == 0 {
+			t.Errorf("%s (kind %d): complete response, but no target ran the request", r.mark, r.kind)
 		}
-		if r.verdict == refused {
+		if r.result == rejected {
 			refusals[r.code]++
-			if r.run == resultcode.NotRun && runs > 0 {
-				t.Errorf("%s (kind %d): told not run by code %d (%s), and ran %d times", r.mark, r.kind, r.code, r.message, runs)
+			if r.outcome == resultcode.NotRun && runs > 0 {
+				t.Errorf("%s (kind %d): code %d (%s) reported it as not run, but it ran %d times", r.mark, r.kind, r.code, r.message, runs)
 			}
 		}
-		if r.kind.unrepeatable() && runs > 1 {
-			t.Errorf("%s (kind %d): unrepeatable, and ran %d times", r.mark, r.kind, runs)
+		if r.kind.isUnrepeatable() && runs > 1 {
+			t.Errorf("%s (kind %d): unrepeatable request ran %d times", r.mark, r.kind, runs)
 		}
-		if r.verdict == unreached {
-			t.Errorf("%s (kind %d): no answer from the daemon: %s", r.mark, r.kind, r.message)
+		if r.result == noResponse {
+			t.Errorf("%s (kind %d): no response from the daemon: %s", r.mark, r.kind, r.message)
 		}
 	}
 	logSlowest(t, requests)
-	t.Logf("%d requests: %d complete, %d visibly cut, %d refused %v; slowest %v",
-		len(requests), counts[complete], counts[cut], counts[refused], refusals, slowest)
+	t.Logf("%d requests: %d complete, %d truncated, %d rejected %v; slowest %v",
+		len(requests), counts[complete], counts[truncated], counts[rejected], refusals, slowest)
 	return counts
 }
 
-// logSlowest shows where callers waited longest.
+// logSlowest logs the requests with the longest response times.
 func logSlowest(t *testing.T, requests []*request) {
 	bySlowness := slices.Clone(requests)
 	slices.SortFunc(bySlowness, func(a, b *request) int { return cmp.Compare(b.elapsed, a.elapsed) })
-	for _, r := range bySlowness[:min(shownSlowest, len(bySlowness))] {
-		t.Logf("%v: %s kind %d verdict %d code %d %s", r.elapsed.Round(time.Millisecond), r.mark, r.kind, r.verdict, r.code, r.message)
+	for _, r := range bySlowness[:min(loggedSlowest, len(bySlowness))] {
+		t.Logf("%v: %s kind %d result %d code %d %s", r.elapsed.Round(time.Millisecond), r.mark, r.kind, r.result, r.code, r.message)
 	}
 }
 
-const shownSlowest = 3
+const loggedSlowest = 3
 
-// A night of the larger fleet in a few seconds: two thousand callers at once, of
-// all kinds, while links to targets and between daemons are cut, slowed and go
-// silent, engines lose streams and targets leave. A caller may get an error. It
-// must never get a wrong answer, a cut one that looks whole, the word "not run"
-// for a request that ran, or two runs of one that must not run twice.
+// Guards against incorrect responses while 2000 concurrent requests of all kinds
+// run and faults occur: links to targets and between daemons are cut, slow or
+// silent, engines lose streams, and targets leave. A caller may get an error, but
+// never a wrong response, a truncated response that looks complete, a "not run"
+// report for a request that ran, or two runs of an unrepeatable request.
 func TestExactAnswersUnderFaults(t *testing.T) {
 	is := is.New(t)
 	f := startFleet(t)
-	endChaos := startChaos(t, f, 1)
-	counts := check(t, f, sendAll(t, f, "fault", concurrent))
+	endChaos := startFaultInjector(t, f, 1)
+	counts := checkRequests(t, f, sendConcurrently(t, f, "fault", concurrentRequests))
 	faults := endChaos()
 	for _, n := range faults {
-		is.True(n >= 3) // each kind of fault took place
+		is.True(n >= 3) // each kind of fault was injected
 	}
-	is.True(counts[complete] >= concurrent*9/10) // most are served all the same
+	is.True(counts[complete] >= concurrentRequests*9/10) // most requests succeed despite the faults
 	resumed := 0
 	for _, e := range f.engines {
 		resumed += e.Counts().Resumed
 	}
 	t.Logf("%d streams were resumed", resumed)
-	is.True(resumed > 0) // the faults hit streams
+	is.True(resumed > 0) // the faults affected streams
 
 	for _, e := range f.engines {
 		e.ClearFaults()
 	}
-	counts = check(t, f, sendAll(t, f, "after", 200))
-	is.Equal(counts[complete], 200) // all is well again
+	counts = checkRequests(t, f, sendConcurrently(t, f, "after", 200))
+	is.Equal(counts[complete], 200) // everything works again after the faults
 }
--- a/test/integration/leaving_test.go
+++ b/test/integration/leaving_test.go
@@ -17,179 +17,184 @@
 	"github.com/savorystall/savorystall/internal/settings"
 )
 
-// load keeps requests in flight until it is ended.
-type load struct {
+// backgroundLoad keeps requests in flight until it is stopped.
+type backgroundLoad struct {
 	cancel  context.CancelFunc
 	callers sync.WaitGroup
 	mu      sync.Mutex
 	sent    []*request
-	// open counts the requests under way.
-	open atomic.Int64
+	// inFlight counts the requests in flight.
+	inFlight atomic.Int64
 }
 
-// startLoad keeps callers of all kinds busy, each at one daemon.
-func startLoad(t *testing.T, f *fleet, name string, callers int, daemons []*process) *load {
+// startBackgroundLoad starts callers that send requests of all kinds, each caller
+// to one daemon.
+func startBackgroundLoad(t *testing.T, f *fleet, name string, callers int, daemons []*daemonProcess) *backgroundLoad {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &load{cancel: cancel}
+	b := &backgroundLoad{cancel: cancel}
 	client := newClient()
 	for i := range callers {
-		l.callers.Go(func() {
+		b.callers.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				r := &request{kind: kind((i + n) % int(kinds)), mark: fmt.Sprintf("%s-%d-%d", name, i, n), tokens: 10 + (i+n)%50}
-				l.open.Add(1)
-				// The request outlives the load's end, so that its answer is seen.
-				r.send(t.Context(), client, daemons[i%len(daemons)].address, key(i%workspaces))
-				l.open.Add(-1)
-				l.mu.Lock()
-				l.sent = append(l.sent, r)
-				l.mu.Unlock()
+				r := &request{kind: requestKind((i + n) % int(requestKindCount)), mark: fmt.Sprintf("%s-%d-%d", name, i, n), tokens: 10 + (i+n)%50}
+				b.inFlight.Add(1)
+				// The request does not use ctx, so that its response is still read after
+				// the load is stopped.
+				r.send(t.Context(), client, daemons[i%len(daemons)].url, workspaceKey(i%workspaceCount))
+				b.inFlight.Add(-1)
+				b.mu.Lock()
+				b.sent = append(b.sent, r)
+				b.mu.Unlock()
 			}
 		})
 	}
 	t.Cleanup(func() {
-		l.end()
+		b.stop()
 		client.CloseIdleConnections()
 	})
-	return l
+	return b
 }
 
-// end stops the callers and returns all that they have sent.
-func (l *load) end() []*request {
-	l.cancel()
-	l.callers.Wait()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.sent
+// stop stops the callers and returns all requests that they sent.
+func (b *backgroundLoad) stop() []*request {
+	b.cancel()
+	b.callers.Wait()
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.sent
 }
 
-// await waits until a condition holds, and returns how long that took.
-func await(t *testing.T, bound time.Duration, what string, condition func() bool) time.Duration {
+// waitUntil waits until a condition is met and returns the time that this took.
+func waitUntil(t *testing.T, timeout time.Duration, description string, condition func() bool) time.Duration {
 	t.Helper()
-	began := time.Now()
+	start := time.Now()
 	for !condition() {
-		if time.Since(began) > bound {
-			t.Fatalf("not within %v: %s", bound, what)
+		if time.Since(start) > timeout {
+			t.Fatalf("condition not met within %v: %s", timeout, description)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	return time.Since(began)
+	return time.Since(start)
 }
 
-// leavingBound is the time from the first sign to the last new work.
-const leavingBound = 3 * time.Second
+// leavingTimeout bounds the time from the first announcement that a target leaves
+// to the last new request that it receives.
+const leavingTimeout = 3 * time.Second
 
-// An engine is taken out for a repair while its streams run. Work that it still
-// gets is work that its end cuts off. Whoever says so first, the engine itself
-// or the list of VMs, within three seconds it must get no new request, its
-// streams must end whole, and once it has returned it must be used again.
+// Guards against new requests being sent to an engine that leaves for maintenance:
+// its shutdown would interrupt them. Whether the engine itself or the VM list
+// announces it first, the engine must get no new request after 3 seconds, its
+// running streams must complete, and it must be used again once it returns.
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
 	f := startFleet(t)
-	load := startLoad(t, f, "leaving", 300, f.daemons)
-	signs := map[string]struct{ leave, back func() }{
-		"its own word": {func() { f.engines[0].SetLeaving(true) }, func() { f.engines[0].SetLeaving(false) }},
-		"the VM list":  {func() { f.setVM(0, platform.VMLeaving) }, func() { f.setVM(0, platform.VMLive) }},
+	load := startBackgroundLoad(t, f, "leaving", 300, f.daemons)
+	announcements := map[string]struct{ leave, cancel func() }{
+		"engine":  {func() { f.engines[0].SetLeaving(true) }, func() { f.engines[0].SetLeaving(false) }},
+		"VM list": {func() { f.setVMState(0, platform.VMLeaving) }, func() { f.setVMState(0, platform.VMLive) }},
 	}
 	engine := f.engines[0]
-	for name, sign := range signs {
+	for name, announcement := range announcements {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			await(t, 20*time.Second, "the engine is busy", func() bool { return engine.ActiveStreams() > 2 })
-			sign.leave()
-			asked := func() int { c := engine.Counts(); return c.Started + c.Rejected }
-			last, seen := time.Now(), asked()
-			left := time.Now()
-			for time.Since(left) < leavingBound+time.Second {
-				if now := asked(); now != seen {
-					last, seen = time.Now(), now
+			waitUntil(t, 20*time.Second, "the engine is busy", func() bool { return engine.ActiveStreams() > 2 })
+			announcement.leave()
+			received := func() int { c := engine.Counts(); return c.Started + c.Rejected }
+			lastReceived, lastCount := time.Now(), received()
+			announced := time.Now()
+			for time.Since(announced) < leavingTimeout+time.Second {
+				if now := received(); now != lastCount {
+					lastReceived, lastCount = time.Now(), now
 				}
 				time.Sleep(2 * time.Millisecond)
 			}
-			t.Logf("last new request %v after the sign", last.Sub(left).Round(time.Millisecond))
-			is.True(last.Sub(left) <= leavingBound)
-			sign.back()
+			t.Logf("last new request %v after the announcement", lastReceived.Sub(announced).Round(time.Millisecond))
+			is.True(lastReceived.Sub(announced) <= leavingTimeout)
+			announcement.cancel()
 			started := engine.Counts().Started
-			back := await(t, 20*time.Second, "the engine is used again", func() bool { return engine.Counts().Started > started })
-			t.Logf("used again after %v", back.Round(time.Millisecond))
+			recovery := waitUntil(t, 20*time.Second, "the engine is used again", func() bool { return engine.Counts().Started > started })
+			t.Logf("used again after %v", recovery.Round(time.Millisecond))
 		})
 	}
-	counts := check(t, f, load.end())
-	is.New(t).Equal(counts[cut], 0)
-	is.New(t).Equal(counts[refused], 0)
+	counts := checkRequests(t, f, load.stop())
+	is.New(t).Equal(counts[truncated], 0)
+	is.New(t).Equal(counts[rejected], 0)
 }
 
-// setVM changes the state of a target in the platform's list of VMs.
-func (f *fleet) setVM(target int, state platform.VMState) {
+// setVMState changes the state of a target in the platform's VM list.
+func (f *fleet) setVMState(target int, state platform.VMState) {
 	f.vms = slices.Clone(f.vms)
 	i := slices.IndexFunc(f.vms, func(vm wire.VM) bool { return vm.Name == targetName(target) })
 	f.vms[i].State = string(state)
 	f.platform.SetVMs(f.vms...)
 }
 
-// An operator replaces one entry VM while it holds requests that wait and run.
-// Its callers must get whole answers, it must end by itself with exit code 0,
-// and its targets must go on being used by the others.
-func TestPlannedStopCutsNothingOff(t *testing.T) {
+// Guards against requests lost in a planned shutdown of a daemon that has waiting
+// and running requests. Its callers must get complete responses, it must exit by
+// itself with code 0, and the other daemons must continue to use its targets.
+func TestPlannedShutdownInterruptsNoRequests(t *testing.T) {
 	is := is.New(t)
-	// The callers need some time to connect on a busy machine.
+	// The default lag gives the callers enough time to connect on a busy machine.
 	f := startFleet(t, func(f *fleet) {
-		f.adjust = func(s *settings.Settings) { s.Stop.BalancerLag = settings.Defaults().Stop.BalancerLag }
+		f.adjustSettings = func(s *settings.Settings) { s.Stop.BalancerLag = settings.Defaults().Stop.BalancerLag }
 	})
-	leaving, others := f.daemons[0], f.daemons[1:]
-	held := startLoad(t, f, "held", 200, []*process{leaving})
-	rest := startLoad(t, f, "rest", 300, others)
-	await(t, 20*time.Second, "requests are in flight", func() bool { return held.open.Load() >= 150 })
+	stopping, others := f.daemons[0], f.daemons[1:]
+	stoppingLoad := startBackgroundLoad(t, f, "held", 200, []*daemonProcess{stopping})
+	otherLoad := startBackgroundLoad(t, f, "rest", 300, others)
+	waitUntil(t, 20*time.Second, "requests are in flight", func() bool { return stoppingLoad.inFlight.Load() >= 150 })
 
-	ended := make(chan error, 1)
-	go func() { ended <- leaving.stop() }()
-	// The balancer stops sending as soon as readiness fails; what was sent
-	// before is in flight.
-	sent := held.end()
-	is.NoErr(<-ended)
-	counts := check(t, f, sent)
+	exited := make(chan error, 1)
+	go func() { exited <- stopping.stop() }()
+	// The load balancer stops sending as soon as the readiness check fails; the
+	// requests sent before are in flight.
+	sent := stoppingLoad.stop()
+	is.NoErr(<-exited)
+	counts := checkRequests(t, f, sent)
 	is.Equal(counts[complete], len(sent))
 
-	owned := f.engines[0]
-	started := owned.Counts().Started
-	await(t, 20*time.Second, "its targets are used by others", func() bool { return owned.Counts().Started > started })
-	counts = check(t, f, rest.end())
-	is.Equal(counts[cut], 0)
-	is.Equal(counts[refused], 0)
+	engine := f.engines[0]
+	started := engine.Counts().Started
+	waitUntil(t, 20*time.Second, "the other daemons use its targets", func() bool { return engine.Counts().Started > started })
+	counts = checkRequests(t, f, otherLoad.stop())
+	is.Equal(counts[truncated], 0)
+	is.Equal(counts[rejected], 0)
 }
 
-// An engine says that it leaves, and its daemon is replaced meanwhile. Then the
-// repair is called off. The new owner never heard the engine's word, only that it
-// is leaving; waiting for a word that was given before, it would idle for good.
-func TestLeavingTargetReturnsUnderANewOwner(t *testing.T) {
+// Guards against an engine that is never used again. The engine announces that it
+// leaves, the daemon that owns it is shut down, and then the engine returns. The
+// new owner only knows that the engine is leaving: it did not receive the
+// announcement itself, and must not wait for an event that occurred before it
+// became the owner.
+func TestReturnedTargetIsUsedByNewOwner(t *testing.T) {
 	is := is.New(t)
 	f := startFleet(t)
 	engine := f.engines[0]
 	owner := f.ownerOf(targetName(0))
-	others := slices.DeleteFunc(slices.Clone(f.daemons), func(p *process) bool { return p == owner })
-	load := startLoad(t, f, "owner", 200, others)
-	await(t, 20*time.Second, "the engine is busy", func() bool { return engine.ActiveStreams() > 2 })
+	others := slices.DeleteFunc(slices.Clone(f.daemons), func(p *daemonProcess) bool { return p == owner })
+	load := startBackgroundLoad(t, f, "owner", 200, others)
+	waitUntil(t, 20*time.Second, "the engine is busy", func() bool { return engine.ActiveStreams() > 2 })
 	engine.SetLeaving(true)
-	await(t, 20*time.Second, "the engine has ended its work", func() bool { return engine.ActiveStreams() == 0 })
+	waitUntil(t, 20*time.Second, "the engine has no running requests", func() bool { return engine.ActiveStreams() == 0 })
 	is.NoErr(owner.stop())
 	engine.SetLeaving(false)
 	started := engine.Counts().Started
-	back := await(t, 20*time.Second, "the engine is used again", func() bool { return engine.Counts().Started > started })
-	t.Logf("used again after %v", back.Round(time.Millisecond))
-	counts := check(t, f, load.end())
-	is.Equal(counts[cut], 0)
-	is.Equal(counts[refused], 0)
+	recovery := waitUntil(t, 20*time.Second, "the engine is used again", func() bool { return engine.Counts().Started > started })
+	t.Logf("used again after %v", recovery.Round(time.Millisecond))
+	counts := checkRequests(t, f, load.stop())
+	is.Equal(counts[truncated], 0)
+	is.Equal(counts[rejected], 0)
 }
 
-// ownerOf asks the daemons which of them owns a target.
-func (f *fleet) ownerOf(target string) *process {
+// ownerOf returns the daemon that owns a target according to the first daemon.
+func (f *fleet) ownerOf(target string) *daemonProcess {
 	is := is.New(f.t)
-	status, err := readStatus(f.t.Context(), http.DefaultClient, f.daemon(0).operators)
+	status, err := readStatus(f.t.Context(), http.DefaultClient, f.daemon(0).operatorsAddress)
 	is.NoErr(err)
-	for _, listed := range status.Targets {
-		i := slices.IndexFunc(f.daemons, func(p *process) bool { return p.name == listed.Owner })
-		if string(listed.Target) == target && i >= 0 {
+	for _, entry := range status.Targets {
+		i := slices.IndexFunc(f.daemons, func(p *daemonProcess) bool { return p.name == entry.Owner })
+		if string(entry.Target) == target && i >= 0 {
 			return f.daemons[i]
 		}
 	}
-	f.t.Fatalf("nobody owns %s", target)
+	f.t.Fatalf("no daemon owns %s", target)
 	return nil
 }
--- a/test/integration/main_test.go
+++ b/test/integration/main_test.go
@@ -1,5 +1,5 @@
-// Package integration_test runs real daemon processes between callers and
-// stand-ins, with a fault-injecting proxy on every link behind the daemons.
+// Package integration_test tests real daemon processes with test callers and
+// stand-ins, with a fault-injecting proxy on every link to targets and peers.
 package integration_test
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/savorystall/savorystall/test/program"
 )
 
-// binary is the daemon's program, built once for all tests.
-var binary string
+// daemonBinary is the path of the daemon's binary, built once for all tests.
+var daemonBinary string
 
-func TestMain(m *testing.M) { program.Main(m, &binary, raceFlag...) }
+func TestMain(m *testing.M) { program.Main(m, &daemonBinary, raceFlag...) }
--- a/test/integration/race_test.go
+++ b/test/integration/race_test.go
@@ -2,5 +2,5 @@
 
 package integration_test
 
-// raceFlag builds the daemons with the race detector where the tests have it.
+// raceFlag builds the daemons with the race detector if the tests use it.
 var raceFlag = []string{"-race"}
