--- a/internal/daemon/cache.go
+++ b/internal/daemon/cache.go
@@ -138,6 +138,6 @@
 func (p *cachePoller) isBackedOff(key targetKey) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_, quiet := p.backoffUntil[key]
-	return quiet
+	_, found := p.backoffUntil[key]
+	return found
 }
--- a/internal/daemon/connections.go
+++ b/internal/daemon/connections.go
@@ -9,11 +9,12 @@
 )
 
 const (
-	// firstRequestTimeout is how long a planned stop waits for the first request of a new
-	// connection. It exceeds the time a caller takes to send a request that it has ready,
-	// and bounds the stop where a balancer opens connections in advance.
+	// firstRequestTimeout is how long a graceful shutdown waits for the first request of
+	// a new connection. It exceeds the time a caller takes to send a request that it has
+	// ready, and bounds the stop where a balancer opens connections in advance.
 	firstRequestTimeout = 5 * time.Second
-	// drainPollInterval is how often a planned stop checks whether connections are in use.
+	// drainPollInterval is how often a graceful shutdown checks whether connections are
+	// in use.
 	drainPollInterval = 10 * time.Millisecond
 	// maxIdleProbes is how many idle connections are examined to find one to close. Each
 	// examination is a system call. If all of them hold a request, the connection limit is
@@ -25,9 +26,9 @@
 // use.
 //
 // http.Server.Shutdown closes a connection without an answer if the header of its request
-// is read after the shutdown began, even if the request was sent before. A planned stop
-// therefore first waits until no connection holds a request or may still bring its first
-// one.
+// is read after the shutdown began, even if the request was sent before. A graceful
+// shutdown therefore first waits until no connection holds a request or may still bring
+// its first one.
 type connTracker struct {
 	mu sync.Mutex
 	// active connections have a request being served. pending ones have brought no request
@@ -81,7 +82,7 @@
 	delete(c.closing, conn)
 	switch state {
 	case http.StateNew:
-		if reader, ok := conn.(*trackedConn); !ok || !reader.forwarded {
+		if tracked, ok := conn.(*trackedConn); !ok || !tracked.forwarded {
 			c.openedConns++
 		}
 		c.addPending(conn, time.Now())
@@ -92,8 +93,8 @@
 		c.active[conn] = true
 	case http.StateIdle:
 		c.idle[conn] = time.Now()
-		if reader, ok := conn.(*trackedConn); ok {
-			reader.onRequestDone()
+		if tracked, ok := conn.(*trackedConn); ok {
+			tracked.onRequestDone()
 		}
 	}
 }
@@ -132,7 +133,7 @@
 //
 // It replaces http.Server.SetKeepAlivesEnabled(false) and Shutdown, which also close a
 // connection whose next request is being read or waits to be read. On a VM with a high
-// scheduling latency, a planned stop would leave such callers without an answer or a
+// scheduling latency, a graceful shutdown would leave such callers without an answer or a
 // refusal.
 func (c *connTracker) closeInactive(now time.Time) (done bool) {
 	c.mu.Lock()
@@ -166,8 +167,8 @@
 // tryClose closes a connection unless a request is in progress on it, and reports whether
 // none is.
 func tryClose(conn net.Conn) bool {
-	if reader, ok := conn.(*trackedConn); ok {
-		return reader.closeIfIdle()
+	if tracked, ok := conn.(*trackedConn); ok {
+		return tracked.closeIfIdle()
 	}
 	return conn.Close() == nil
 }
--- a/internal/daemon/connections_test.go
+++ b/internal/daemon/connections_test.go
@@ -15,8 +15,8 @@
 	"golang.org/x/time/rate"
 )
 
-// Guards against a planned stop that drops a caller that connected before the listener was
-// closed and whose request is still in transit.
+// Guards against a graceful shutdown that drops a caller that connected before the
+// listener was closed and whose request is still in transit.
 func TestDrainWaitsForFirstRequestOfConnection(t *testing.T) {
 	is := is.New(t)
 	l, err := listenDrainable("127.0.0.1:0")
@@ -52,8 +52,8 @@
 	<-drained
 }
 
-// Guards against a planned stop that waits longer than the timeout for a first request
-// because a balancer keeps connections open without sending anything on them.
+// Guards against a graceful shutdown that waits longer than the timeout for a first
+// request because a balancer keeps connections open without sending anything on them.
 func TestDrainWaitsBrieflyForConnectionWithoutRequest(t *testing.T) {
 	is := is.New(t)
 	conns := newConnTracker(0)
@@ -106,9 +106,9 @@
 	is.True(c.inUse(time.Now()))
 }
 
-// Guards against a planned stop that closes a kept-alive connection as idle after the first
-// part of a request has been read; on a busy VM the rest may be read much later. The caller
-// got neither an answer nor a refusal.
+// Guards against a graceful shutdown that closes a kept-alive connection as idle after
+// the first part of a request has been read; on a busy VM the rest may be read much
+// later. The caller got neither an answer nor a refusal.
 func TestShutdownKeepsConnectionWithPartialRequest(t *testing.T) {
 	is := is.New(t)
 	l, err := listenDrainable("127.0.0.1:0")
@@ -177,7 +177,7 @@
 	return n, err
 }
 
-// pausableListener is a listener that returns pausableConns.
+// pausableListener is a listener that returns a pausableConn for each connection.
 type pausableListener struct {
 	net.Listener
 	accepted chan *pausableConn
@@ -193,9 +193,9 @@
 	return newTrackedConn(slow), nil
 }
 
-// Guards against a planned stop that closes a kept-alive connection after its request was
-// read from the kernel but before its goroutine was scheduled again. The caller got no
-// answer.
+// Guards against a graceful shutdown that closes a kept-alive connection after its
+// request was read from the kernel but before its goroutine was scheduled again. The
+// caller got no answer.
 func TestShutdownKeepsConnectionWhoseRequestWasRead(t *testing.T) {
 	is := is.New(t)
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/daemon/copiedstore_test.go
+++ b/internal/daemon/copiedstore_test.go
@@ -183,7 +183,7 @@
 	}
 }
 
-// PutRow implements store.Rows.
+// PutRow implements store.RowWriter.
 func (c *restorableStore) PutRow(_ context.Context, table, key string, value []byte) (store.Revision, error) {
 	c.mu.Lock()
 	c.writeTimes = append(c.writeTimes, time.Now())
@@ -195,5 +195,5 @@
 	return c.put(table, key, string(value), false), nil
 }
 
-// DeleteRow implements store.Rows.
+// DeleteRow implements store.RowWriter.
 func (c *restorableStore) DeleteRow(context.Context, string, string) error { return nil }
--- a/internal/daemon/cutzone_test.go
+++ b/internal/daemon/cutzone_test.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// testSite is the part of a daemon that follows the targets in a store.
-type testSite struct {
+// testStoreSync is the part of a daemon that follows the targets in a store.
+type testStoreSync struct {
 	*storeSync
 	inTouch time.Duration
 
@@ -125,12 +125,12 @@
 	usable []ident.Target
 }
 
-// newTestSite returns a testSite that follows a store until the test ends.
-func newTestSite(t *testing.T, feed store.Feed) *testSite {
+// newTestStoreSync returns a testStoreSync that follows a store until the test ends.
+func newTestStoreSync(t *testing.T, feed store.Feed) *testStoreSync {
 	log := slog.New(slog.DiscardHandler)
 	s, err := settings.Parse(nil, func(s *settings.Settings) { s.Daemon, s.Zone, s.Platform.URL = "d", "a", "http://127.0.0.1:9" })
 	is.New(t).NoErr(err)
-	f := &testSite{storeSync: newStoreSync(routedDependencies{
+	f := &testStoreSync{storeSync: newStoreSync(routedDependencies{
 		Settings: s, Log: log, Routes: &route.Holder{}, Load: newLoadMonitor(s), Relay: relay.New(relay.Config{Self: "d", Zone: "a", Store: feed, HeartbeatTable: heartbeatTable, Logger: log}),
 	}), inTouch: s.Routing.InTouch}
 	f.view.install = f.recordView
@@ -141,7 +141,7 @@
 	}}
 	var tasks sync.WaitGroup
 	for _, run := range []func(context.Context){
-		f.followRoutes(group), f.follow(group, platform.TableTargets, longPollWait, targetGatherPeriod, targets), f.expire,
+		f.followRoutes(group), f.follow(group, platform.TableTargets, longPollWait, targetCoalesceDelay, targets), f.expire,
 	} {
 		tasks.Go(func() { run(ctx) })
 	}
@@ -152,7 +152,7 @@
 	return f
 }
 
-func (f *testSite) recordView(v routingView) {
+func (f *testStoreSync) recordView(v routingView) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.usable = nil
@@ -162,7 +162,7 @@
 }
 
 // isUsable reports whether requests may be sent to a target.
-func (f *testSite) isUsable(target ident.Target) bool {
+func (f *testStoreSync) isUsable(target ident.Target) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Contains(f.usable, target)
@@ -189,7 +189,7 @@
 				feed.hangs = hangs
 				feed.put("leaves", false)
 				feed.put("lives", false)
-				s := newTestSite(t, feed)
+				s := newTestStoreSync(t, feed)
 				time.Sleep(2 * time.Second)
 				feed.setUnreachable(true)
 				time.Sleep(outage)
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -19,8 +19,8 @@
 // close a connection that was accepted but not yet registered as soon as its request is
 // read.
 func (r *routedServers) drain(ctx context.Context, forwarder *connForwarder, loops acceptLoops) {
-	if r.takeoverListener != nil {
-		_ = r.takeoverListener.Close() // pending connections are not accepted, which the neighbours notice
+	if r.forwardedListener != nil {
+		_ = r.forwardedListener.Close() // pending connections are not accepted, which the neighbours notice
 		<-loops.forwarded
 	}
 	r.connections.closeInactive(time.Now())
@@ -34,7 +34,8 @@
 	_ = r.callers.Shutdown(ctx)
 }
 
-// logDrainProgress logs what a planned stop waits for, once per interval, until ctx ends.
+// logDrainProgress logs what a graceful shutdown waits for, once per interval, until ctx
+// ends.
 func (r *routedServers) logDrainProgress(ctx context.Context, interval time.Duration, forwarder *connForwarder, log *slog.Logger) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -38,7 +38,7 @@
 	var err error
 	servers.callersListener, err = listenDrainable("127.0.0.1:0")
 	is.NoErr(err)
-	servers.takeoverListener, err = listenForwarded(settings.Fleet{Handover: "127.0.0.1:0"}, func() bool { return true }, func() uint64 { return 0 })
+	servers.forwardedListener, err = listenForwarded(settings.Fleet{Handover: "127.0.0.1:0"}, func() bool { return true }, func() uint64 { return 0 })
 	is.NoErr(err)
 	servers.callers = &http.Server{
 		Handler:     withConnectionHeaders(time.Minute, func() bool { return false }, http.HandlerFunc(echo)),
@@ -59,7 +59,7 @@
 		}()
 		return done
 	}
-	servers.loops = acceptLoops{callers: serve(servers.callersListener), forwarded: serve(servers.takeoverListener), returned: serve(servers.forwarder.returned)}
+	servers.loops = acceptLoops{callers: serve(servers.callersListener), forwarded: serve(servers.forwardedListener), returned: serve(servers.forwarder.returned)}
 	return servers
 }
 
@@ -80,14 +80,14 @@
 	_ = response.Body.Close()
 }
 
-// Guards against a planned stop, on a VM with a high scheduling latency, that closes a
-// connection forwarded by a neighbour without an answer after reading its request, because
-// the server had not registered the connection yet.
+// Guards against a graceful shutdown, on a VM with a high scheduling latency, that closes
+// a connection forwarded by a neighbour without an answer after reading its request,
+// because the server had not registered the connection yet.
 func TestShutdownAnswersConnectionForwardedJustBefore(t *testing.T) {
 	is := is.New(t)
 	const acceptDelay = 300 * time.Millisecond
 	servers := newTestServers(t, acceptDelay)
-	conn, err := net.Dial("tcp", servers.takeoverListener.Addr().String())
+	conn, err := net.Dial("tcp", servers.forwardedListener.Addr().String())
 	is.NoErr(err)
 	t.Cleanup(func() { _ = conn.Close() })
 	_, err = io.ReadFull(conn, make([]byte, acceptMessageSize)) // the connection is accepted
@@ -98,8 +98,8 @@
 	requireResponse(t, conn)
 }
 
-// Guards against a planned stop, on a VM with a high scheduling latency, that closes a
-// connection that no neighbour accepted without an answer after reading its request.
+// Guards against a graceful shutdown, on a VM with a high scheduling latency, that closes
+// a connection that no neighbour accepted without an answer after reading its request.
 func TestShutdownAnswersConnectionReturnedJustBefore(t *testing.T) {
 	is := is.New(t)
 	const acceptDelay = 300 * time.Millisecond
@@ -122,7 +122,7 @@
 	requireResponse(t, caller)
 }
 
-// Guards against a planned stop that hangs without logging what it waits for.
+// Guards against a graceful shutdown that hangs without logging what it waits for.
 func TestShutdownLogsWhatItWaitsFor(t *testing.T) {
 	is := is.New(t)
 	servers := newTestServers(t, 0)
--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -274,7 +274,7 @@
 	}
 }
 
-// A planned stop must not cut off callers whose requests a neighbour serves.
+// A graceful shutdown must not cut off callers whose requests a neighbour serves.
 func TestShutdownWaitsForForwardedConnections(t *testing.T) {
 	is := is.New(t)
 	started, resume := make(chan struct{}), make(chan struct{})
--- a/internal/daemon/listener.go
+++ b/internal/daemon/listener.go
@@ -21,8 +21,8 @@
 // closed by its caller before it could be accepted.
 const drainAcceptTimeout = 100 * time.Millisecond
 
-// maxDrainAcceptTime bounds how long connections are still accepted during a planned stop:
-// without a balancer, new ones may arrive indefinitely.
+// maxDrainAcceptTime bounds how long connections are still accepted during a graceful
+// shutdown: without a balancer, new ones may arrive indefinitely.
 const maxDrainAcceptTime = 5 * time.Second
 
 // drainableListener is a listener that, once it drains, accepts only the connections that
@@ -235,10 +235,10 @@
 	return err == nil && occurred
 }
 
-// closeWhenStopping is middleware that asks callers, from the beginning of a planned stop,
-// to open a new connection for their next request, which the balancer then directs to
-// another daemon. Closing idle connections at that moment instead would cut off requests
-// that are in transit on them.
+// closeWhenStopping is middleware that asks callers, from the beginning of a graceful
+// shutdown, to open a new connection for their next request, which the balancer then
+// directs to another daemon. Closing idle connections at that moment instead would cut
+// off requests that are in transit on them.
 func closeWhenStopping(life *Lifecycle, next http.Handler) http.Handler {
 	serving := map[chart.State]bool{StateStarting: true, StateReady: true}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/daemon/load.go
+++ b/internal/daemon/load.go
@@ -122,8 +122,8 @@
 	return max(time.Duration(l.lastLatency.Load()), l.pendingLatency()) >= slowLatency
 }
 
-// readDelay returns how long ago the request with the given context arrived that is being
-// read now.
+// readDelay returns how long the request with the given context, which is being read now,
+// has waited since it arrived.
 func (l *loadMonitor) readDelay(ctx context.Context) time.Duration {
 	if !l.slow() {
 		return 0
--- a/internal/daemon/restore_test.go
+++ b/internal/daemon/restore_test.go
@@ -78,8 +78,8 @@
 	}}
 	daemons := newDaemonSubscriber(d.storeSync, func([]store.VM, map[ident.Daemon]string) {})
 	for _, run := range []func(context.Context){
-		d.storeSync.followRoutes(group), d.storeSync.follow(group, platform.TableTargets, longPollWait, targetGatherPeriod, targets),
-		d.storeSync.follow(group, platform.TableDaemons, longPollWait, daemonGatherPeriod, daemons),
+		d.storeSync.followRoutes(group), d.storeSync.follow(group, platform.TableTargets, longPollWait, targetCoalesceDelay, targets),
+		d.storeSync.follow(group, platform.TableDaemons, longPollWait, daemonCoalesceDelay, daemons),
 		func(ctx context.Context) { d.storeSync.maintainOwnRow(ctx, "10.0.0.1:1", "") }, d.storeSync.expire,
 	} {
 		tasks.Go(func() { run(ctx) })
--- a/internal/daemon/routed.go
+++ b/internal/daemon/routed.go
@@ -79,7 +79,7 @@
 	return b.node, err
 }
 
-func newGateway(s settings.Settings, routes *route.Holder, loop *control.BookingLoop, pool *targetconn.Pool, b *routedBridge, load *loadMonitor, hangupWatch *disconnectWatcher,
+func newGateway(s settings.Settings, routes *route.Holder, loop *control.BookingLoop, pool *targetconn.Pool, b *routedBridge, load *loadMonitor, disconnects *disconnectWatcher,
 	metrics *telemetry.Metrics, tracing *telemetry.Tracing, log *slog.Logger) *gateway.Server {
 	b.gateway = gateway.New(gateway.Deps{
 		Config: gateway.Config{
@@ -88,7 +88,7 @@
 			},
 			ConnectionShare: s.Routing.ConnectionShare,
 		},
-		Routes: routes, Dialect: platform.Dialect{}, Placer: loop, Pool: pool, CallerGone: callerDisconnected, OnCallerGone: hangupWatch.watch, ShouldShed: load.shouldShed, Shedding: load.shedding, RoutesMayBeStale: load.routesStale, ReadDelay: load.readDelay, OutOfRotation: load.balancerNoticed,
+		Routes: routes, Dialect: platform.Dialect{}, Placer: loop, Pool: pool, CallerGone: callerDisconnected, OnCallerGone: disconnects.watch, ShouldShed: load.shouldShed, Shedding: load.shedding, RoutesMayBeStale: load.routesStale, ReadDelay: load.readDelay, OutOfRotation: load.balancerNoticed,
 		Metrics: metrics, Tracing: tracing, Log: log,
 	})
 	return b.gateway
@@ -121,7 +121,7 @@
 	Pool      *targetconn.Pool
 	Gateway   *gateway.Server
 	Servers   *routedServers
-	Handovers *connForwarder
+	Forwarder *connForwarder
 	Metrics   *telemetry.Metrics
 	Tracing   *telemetry.Tracing
 	Log       *slog.Logger
@@ -148,10 +148,10 @@
 	for _, run := range storeSync.tasks() {
 		d.tasks.Go(func() { run(taskCtx) })
 	}
-	d.accepting.callers = d.serve(d.deps.Servers.callers, newRateLimitedListener(d.deps.Servers.callersListener, d.deps.Load.acceptRate, d.deps.Handovers.tryForward))
-	d.accepting.returned = d.serve(d.deps.Servers.callers, d.deps.Handovers.returned)
-	if d.deps.Servers.takeoverListener != nil {
-		d.accepting.forwarded = d.serve(d.deps.Servers.callers, d.deps.Servers.takeoverListener)
+	d.accepting.callers = d.serve(d.deps.Servers.callers, newRateLimitedListener(d.deps.Servers.callersListener, d.deps.Load.acceptRate, d.deps.Forwarder.tryForward))
+	d.accepting.returned = d.serve(d.deps.Servers.callers, d.deps.Forwarder.returned)
+	if d.deps.Servers.forwardedListener != nil {
+		d.accepting.forwarded = d.serve(d.deps.Servers.callers, d.deps.Servers.forwardedListener)
 	}
 	d.serve(d.deps.Servers.operators, d.deps.Servers.operatorsListener)
 	if d.deps.Servers.readinessListener != nil {
@@ -188,9 +188,9 @@
 	d.deps.Gateway.Close()
 	drainCtx, stopWarnings := context.WithCancel(ctx)
 	d.tasks.Go(func() {
-		d.deps.Servers.logDrainProgress(drainCtx, max(d.deps.Settings.Stop.WarnAfter, time.Second), d.deps.Handovers, d.deps.Log)
+		d.deps.Servers.logDrainProgress(drainCtx, max(d.deps.Settings.Stop.WarnAfter, time.Second), d.deps.Forwarder, d.deps.Log)
 	})
-	d.deps.Servers.drain(ctx, d.deps.Handovers, d.accepting)
+	d.deps.Servers.drain(ctx, d.deps.Forwarder, d.accepting)
 	stopWarnings()
 	d.deps.Life.applyTrigger(triggerDrained)
 	d.cancel()
--- a/internal/daemon/routedbridge.go
+++ b/internal/daemon/routedbridge.go
@@ -30,14 +30,14 @@
 	relay   *relay.Feed
 	zone    ident.Zone
 	load    *loadMonitor
-	// handovers forwards connections to the neighbours in the availability zone.
-	handovers *connForwarder
+	// forwarder forwards connections to the neighbours in the availability zone.
+	forwarder *connForwarder
 }
 
 var _ fleet.Handler = (*routedBridge)(nil)
 
 func newRoutedBridge(id identity, load *loadMonitor, h *connForwarder) *routedBridge {
-	return &routedBridge{load: load, zone: id.Zone, handovers: h}
+	return &routedBridge{load: load, zone: id.Zone, forwarder: h}
 }
 
 // SendBookingMessage implements control.BookingActions.
@@ -62,7 +62,7 @@
 	b.loop.SetPeers(bookingPeers)
 	b.relay.Elect(members)
 	b.load.zoneDaemons.Store(int64(len(neighbours)) + 1)
-	b.handovers.setNeighbours(neighbours, live)
+	b.forwarder.setNeighbours(neighbours, live)
 	b.gateway.SetDaemons(len(peers) + 1)
 }
 
--- a/internal/daemon/routedservers.go
+++ b/internal/daemon/routedservers.go
@@ -22,14 +22,14 @@
 	callers, operators, readiness *http.Server
 	callersListener               *drainableListener
 	connections                   *connTracker
-	// takeoverListener accepts connections forwarded by neighbours; nil if none are
+	// forwardedListener accepts connections forwarded by neighbours; nil if none are
 	// accepted.
-	takeoverListener  *forwardedListener
+	forwardedListener *forwardedListener
 	operatorsListener net.Listener
 	readinessListener net.Listener
 }
 
-func newRoutedServers(s settings.Settings, g *gateway.Server, life *Lifecycle, loop *control.BookingLoop, load *loadMonitor, h *connForwarder, hangupWatch *disconnectWatcher,
+func newRoutedServers(s settings.Settings, g *gateway.Server, life *Lifecycle, loop *control.BookingLoop, load *loadMonitor, h *connForwarder, disconnects *disconnectWatcher,
 	routes *route.Holder, metrics *telemetry.Metrics) (*routedServers, error) {
 	ops := &routedOperators{life: life, loop: loop, load: load, metrics: metrics}
 	r := &routedServers{connections: newConnTracker(maxCallerConnections(s.Memory))}
@@ -49,14 +49,14 @@
 	}
 	if s.Fleet.Handover != settings.HandoverNone {
 		accepts := func() bool { return h.currentLoad().AcceptsForwarded() && life.State() == StateReady }
-		if r.takeoverListener, err = listenForwarded(s.Fleet, accepts, h.routesVersion); err != nil {
+		if r.forwardedListener, err = listenForwarded(s.Fleet, accepts, h.routesVersion); err != nil {
 			return nil, merry.Prepend(err, "handover listener")
 		}
 	}
 	r.callers = &http.Server{
 		ConnState: func(c net.Conn, state http.ConnState) {
 			r.connections.track(c, state)
-			hangupWatch.pollIfDue(c, state)
+			disconnects.pollIfDue(c, state)
 		},
 		ConnContext:       withConn,
 		Handler:           withConnectionHeaders(s.Callers.IdleTimeout, r.connections.nearLimit, closeWhenStopping(life, countRequests(g))),
@@ -101,14 +101,14 @@
 const keepAliveMargin = time.Second
 
 // withConnectionHeaders tells callers how long an idle connection is kept open. It asks
-// them to close it if file descriptors or processor time run short, since a new connection
-// may reach another daemon. A connection forwarded by a neighbour is closed after its first
-// response: the neighbour does not parse the response and recognizes from the close that
-// none is outstanding.
-func withConnectionHeaders(idle time.Duration, pressed func() bool, next http.Handler) http.Handler {
+// them to close it if the number of connections nears its limit, which file descriptors
+// and memory impose, since a new connection may reach another daemon. A connection
+// forwarded by a neighbour is closed after its first response: the neighbour does not
+// parse the response and recognizes from the close that none is outstanding.
+func withConnectionHeaders(idle time.Duration, nearLimit func() bool, next http.Handler) http.Handler {
 	value := "timeout=" + strconv.Itoa(int(max(time.Second, idle-keepAliveMargin).Seconds()))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if pressed() || isForwarded(r.Context()) {
+		if nearLimit() || isForwarded(r.Context()) {
 			w.Header().Set("Connection", "close")
 		} else {
 			w.Header().Set("Keep-Alive", value)
--- a/internal/daemon/site.go
+++ b/internal/daemon/site.go
@@ -62,12 +62,12 @@
 	// longPollWait is the wait of calls for the other tables. It is the longest that the
 	// store allows, less a margin.
 	longPollWait = 25 * time.Second
-	// targetGatherPeriod and daemonGatherPeriod are how long changes are collected before
+	// targetCoalesceDelay and daemonCoalesceDelay are how long changes are collected before
 	// they are applied. A target that drains continues to serve for at least two seconds,
 	// so it can still handle the requests it gets in the meantime. Daemons also learn of
 	// each other through their links.
-	targetGatherPeriod = 800 * time.Millisecond
-	daemonGatherPeriod = time.Second
+	targetCoalesceDelay = 800 * time.Millisecond
+	daemonCoalesceDelay = time.Second
 )
 
 func (s *storeSync) tasks() []func(context.Context) {
@@ -75,7 +75,7 @@
 	return []func(context.Context){
 		s.followRoutes(group),
 		s.followTargets(group),
-		s.follow(group, platform.TableDaemons, longPollWait, daemonGatherPeriod, newDaemonSubscriber(s, s.setDaemons)),
+		s.follow(group, platform.TableDaemons, longPollWait, daemonCoalesceDelay, newDaemonSubscriber(s, s.setDaemons)),
 		s.announce,
 		s.expire,
 		s.report,
@@ -89,11 +89,11 @@
 }
 
 func (s *storeSync) followTargets(group *store.FeedGroup) func(context.Context) {
-	return s.follow(group, platform.TableTargets, longPollWait, targetGatherPeriod, &targetSubscriber{storeSync: s, decodeEntry: platform.DecodeTarget})
+	return s.follow(group, platform.TableTargets, longPollWait, targetCoalesceDelay, &targetSubscriber{storeSync: s, decodeEntry: platform.DecodeTarget})
 }
 
-func (s *storeSync) follow(group *store.FeedGroup, table string, wait, gather time.Duration, subscriber store.Subscriber) func(context.Context) {
-	cfg := store.FollowerConfig{Feed: s.deps.Relay, Table: table, Wait: wait, CoalesceDelay: gather, Group: group, Logger: s.deps.Log}
+func (s *storeSync) follow(group *store.FeedGroup, table string, wait, coalesceDelay time.Duration, subscriber store.Subscriber) func(context.Context) {
+	cfg := store.FollowerConfig{Feed: s.deps.Relay, Table: table, Wait: wait, CoalesceDelay: coalesceDelay, Group: group, Logger: s.deps.Log}
 	if table == heartbeatTable {
 		cfg.Heartbeat, cfg.OnAnswer = true, s.deps.Load.confirmRoutes
 	}
@@ -211,7 +211,7 @@
 // connections.
 func (s *storeSync) setDaemons(vms []store.VM, handoverAddresses map[ident.Daemon]string) {
 	s.deps.Node.SetVMs(vms)
-	s.deps.Handovers.setAddresses(handoverAddresses)
+	s.deps.Forwarder.setAddresses(handoverAddresses)
 }
 
 // announce registers this daemon in the store, so that other daemons find it, and removes
@@ -293,7 +293,7 @@
 			return
 		case <-ticker.C:
 			s.updateGauges()
-			s.deps.Handovers.logReport()
+			s.deps.Forwarder.logReport()
 			s.deps.Gateway.LogDroppedLines()
 		case <-sharing.C:
 			s.logSharing()
--- a/internal/daemon/siterows.go
+++ b/internal/daemon/siterows.go
@@ -24,10 +24,10 @@
 	skippedAt store.Revision
 }
 
-// Away implements store.Subscriber.
+// StoreUnreachable implements store.Subscriber.
 func (r *routeSubscriber) StoreUnreachable() {}
 
-// Back implements store.Subscriber.
+// StoreReachable implements store.Subscriber.
 func (r *routeSubscriber) StoreReachable(time.Time) {}
 
 // Replace implements store.Subscriber.
@@ -37,8 +37,8 @@
 	}
 }
 
-// Restored implements store.Subscriber. The routes in force stay: those of the backup have
-// a lower version until the operator's are written again.
+// StoreRestored implements store.Subscriber. The routes in force stay: those of the backup
+// have a lower version until the operator's are written again.
 func (r *routeSubscriber) StoreRestored(store.Restore) { r.storeSync.deps.Metrics.StoreRestored() }
 
 // Change implements store.Subscriber.
@@ -93,21 +93,21 @@
 	restore *store.Restore
 }
 
-// Away implements store.Subscriber. The known targets stay in use.
+// StoreUnreachable implements store.Subscriber. The known targets stay in use.
 func (t *targetSubscriber) StoreUnreachable() {
 	t.storeSync.mu.Lock()
 	t.storeSync.registry.StoreUnreachable(time.Now())
 	t.storeSync.mu.Unlock()
 }
 
-// Back implements store.Subscriber.
+// StoreReachable implements store.Subscriber.
 func (t *targetSubscriber) StoreReachable(notBefore time.Time) {
 	t.storeSync.mu.Lock()
 	t.storeSync.registry.StoreRecovered(time.Now(), notBefore)
 	t.storeSync.mu.Unlock()
 }
 
-// Restored implements store.Subscriber.
+// StoreRestored implements store.Subscriber.
 func (t *targetSubscriber) StoreRestored(r store.Restore) {
 	t.storeSync.mu.Lock()
 	t.storeSync.registry.StoreRestored(time.Now(), r.NotBefore)
@@ -181,21 +181,21 @@
 	rows      map[string]daemonRow
 	// onUpdate receives the VMs of the daemons and the addresses at which they accept
 	// forwarded connections.
-	onUpdate func(vms []store.VM, takeovers map[ident.Daemon]string)
+	onUpdate func(vms []store.VM, handoverAddresses map[ident.Daemon]string)
 }
 
-func newDaemonSubscriber(s *storeSync, list func([]store.VM, map[ident.Daemon]string)) *daemonSubscriber {
-	return &daemonSubscriber{storeSync: s, rows: map[string]daemonRow{}, onUpdate: list}
+func newDaemonSubscriber(s *storeSync, onUpdate func([]store.VM, map[ident.Daemon]string)) *daemonSubscriber {
+	return &daemonSubscriber{storeSync: s, rows: map[string]daemonRow{}, onUpdate: onUpdate}
 }
 
-// Away implements store.Subscriber.
+// StoreUnreachable implements store.Subscriber.
 func (d *daemonSubscriber) StoreUnreachable() {}
 
-// Back implements store.Subscriber.
+// StoreReachable implements store.Subscriber.
 func (d *daemonSubscriber) StoreReachable(time.Time) {}
 
-// Restored implements store.Subscriber. Daemons that are missing from the backup write
-// their rows again; until then, the links tell whether they are live.
+// StoreRestored implements store.Subscriber. Daemons that are missing from the backup
+// write their rows again; until then, the links tell whether they are live.
 func (d *daemonSubscriber) StoreRestored(store.Restore) {}
 
 // Replace implements store.Subscriber.
--- a/internal/daemon/takeover.go
+++ b/internal/daemon/takeover.go
@@ -149,11 +149,11 @@
 	if !ok {
 		return nil
 	}
-	reader, ok := conn.Conn.(*trackedConn)
+	tracked, ok := conn.Conn.(*trackedConn)
 	if !ok {
 		return nil
 	}
-	return reader
+	return tracked
 }
 
 // Close implements net.Conn. A connection that a neighbour forwarded and that has unread
@@ -174,11 +174,11 @@
 // string if there is none. Its host is the one at which neighbours reach the daemon, unless
 // the settings specify one.
 func (r *routedServers) handoverAddress(fleetAddress string) string {
-	if r.takeoverListener == nil {
+	if r.forwardedListener == nil {
 		return ""
 	}
-	address := r.takeoverListener.Addr().(*net.TCPAddr)
-	if r.takeoverListener.explicitAddress && !address.IP.IsUnspecified() {
+	address := r.forwardedListener.Addr().(*net.TCPAddr)
+	if r.forwardedListener.explicitAddress && !address.IP.IsUnspecified() {
 		return address.String()
 	}
 	host, _, err := net.SplitHostPort(fleetAddress)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -349,8 +349,8 @@
 	t.updateLeaving(e)
 }
 
-// LeaveAnnounced records that a daemon has announced the start of its planned
-// stop.
+// LeaveAnnounced records that a daemon has announced the start of its graceful
+// shutdown.
 func (t *Table) LeaveAnnounced(id ident.Daemon, incarnation uint64) {
 	e, ok := t.entries[id]
 	if !ok || incarnation != e.incarnation {
--- a/internal/membership/silence.go
+++ b/internal/membership/silence.go
@@ -28,12 +28,12 @@
 	t.compensateLocalPause(now)
 	t.updateWatched(now)
 	for _, e := range t.entries {
-		quiet := e.silence(now)
-		if quiet >= t.cfg.SuspectAfter {
+		silence := e.silence(now)
+		if silence >= t.cfg.SuspectAfter {
 			t.fireIfAccepted(e, triggerSilent)
 			t.reportSilence(now, e)
 		}
-		if quiet >= t.cfg.DeadAfter {
+		if silence >= t.cfg.DeadAfter {
 			t.fireIfAccepted(e, triggerExpired)
 		}
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -203,13 +203,13 @@
 	d.apply(row)
 }
 
-// Away implements platform.Subscriber.
+// StoreUnreachable implements platform.Subscriber.
 func (d *subscriber) StoreUnreachable() {}
 
-// Back implements platform.Subscriber.
+// StoreReachable implements platform.Subscriber.
 func (d *subscriber) StoreReachable(time.Time) {}
 
-// Restored implements platform.Subscriber.
+// StoreRestored implements platform.Subscriber.
 func (d *subscriber) StoreRestored(platform.Restore) {}
 
 func (d *subscriber) apply(row platform.FeedRow) {
