--- a/internal/claim/types.go
+++ b/internal/claim/types.go
@@ -59,7 +59,7 @@
 type Replay struct{ Outcome Outcome }
 
 // Refuse fails the request with InProgress, OutcomeUnknown, AlreadyRan,
-// KeyReused or StoreUnavailable.
+// IdempotencyKeyReused or StoreUnavailable.
 type Refuse struct{ Failure *resultcode.Failure }
 
 func (Proceed) decision() {}
--- a/internal/config/editor.go
+++ b/internal/config/editor.go
@@ -82,8 +82,8 @@
 // revision that the operator has read; zero means that the service is new or
 // deleted. It returns the new revision. The error is a *document.Invalid,
 // *EditConflict, *ModelConflict, *platform.Unavailable (nothing was written) or
-// *platform.Unknown (the change may have been written; History shows whether it
-// was).
+// *platform.UnknownOutcome (the change may have been written; History shows
+// whether it was).
 func (e *Editor) Apply(ctx context.Context, text []byte, base uint64, note string) (uint64, error) {
 	d, err := document.Parse(text)
 	if err != nil {
--- a/internal/control/bookings.go
+++ b/internal/control/bookings.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// First reports that the first byte of a response has arrived.
+// FirstByte reports that the first byte of a response has arrived.
 func (b *BookingLoop) FirstByte(id ident.Request, took time.Duration) {
 	b.post(func(now time.Time) { b.core.FirstByte(now, id, took) })
 }
@@ -114,7 +114,7 @@
 	b.post(func(now time.Time) { b.core.Finish(now, id, result) })
 }
 
-// Wanted records the demand of a workspace for a request that was refused without a search
+// RecordShed records the demand of a workspace for a request that was refused without a search
 // for a target.
 func (b *BookingLoop) RecordShed(service ident.Service, workspace ident.Workspace, cost float64) {
 	b.post(func(now time.Time) { b.core.RecordShed(now, service, workspace, cost) })
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -92,10 +92,10 @@
 	}
 }
 
-func (l *Loop) deliver(id ident.Request, p Assignment) {
+func (l *Loop) deliver(id ident.Request, a Assignment) {
 	if w, ok := l.waiters[id]; ok {
 		delete(l.waiters, id)
-		w <- p // buffered: each waiter gets exactly one value
+		w <- a // buffered: each waiter gets exactly one value
 	}
 }
 
@@ -136,8 +136,8 @@
 		return Assignment{Failure: resultcode.Fail(resultcode.Stopping, "")}
 	}
 	select {
-	case p := <-result:
-		return p
+	case a := <-result:
+		return a
 	case <-l.done:
 		return l.finalAssignment(result)
 	case <-ctx.Done():
@@ -159,8 +159,8 @@
 
 func (l *Loop) finalAssignment(result chan Assignment) Assignment {
 	select {
-	case p := <-result:
-		return p
+	case a := <-result:
+		return a
 	default:
 		return Assignment{Failure: resultcode.Fail(resultcode.Stopping, "")}
 	}
@@ -204,7 +204,7 @@
 	l.post(func(now time.Time) { l.core.ReportTargetHealth(now, service, target, health) })
 }
 
-// ApplyCachePage applies an owned target's answer to a poll for its cache events.
+// ApplyCachePage applies an owned target's response to a poll for its cache events.
 func (l *Loop) ApplyCachePage(service ident.Service, target ident.Target, page placement.CachePage) {
 	l.post(func(now time.Time) { l.core.ApplyCachePage(now, service, target, page) })
 }
--- a/internal/fairshare/ledger.go
+++ b/internal/fairshare/ledger.go
@@ -17,7 +17,7 @@
 // difference within a horizon, and the horizon grows with the lag, which keeps
 // the loop stable. Estimates of a request's cost are not used, so a false
 // estimate gains nothing. Only the daemon that delivered service reports it, so
-// spreading requests over more routers gains nothing either.
+// spreading requests over more daemons gains nothing either.
 //
 // The defaults are explained in docs/design/fair-share.md. A Ledger is not safe
 // for concurrent use.
--- a/internal/fairshare/sum.go
+++ b/internal/fairshare/sum.go
@@ -3,10 +3,10 @@
 import "github.com/savorystall/savorystall/internal/ident"
 
 // Aggregate sums the service that the daemons of a zone have delivered to one
-// workspace. It is kept by the daemon of the zone that aggregates this
-// workspace. It counts increments since its creation, so a total is only
+// workspace. It is kept by the aggregator, the daemon of the zone that aggregates
+// this workspace. It counts increments since its creation, so a total is only
 // meaningful relative to an earlier total of the same Aggregate. It excludes
-// the service delivered by the aggregating daemon itself, which the Ledger
+// the service delivered by the aggregator itself, which the Ledger
 // holds. The zero value is empty.
 type Aggregate struct {
 	zoneTotal, otherZonesTotal float64
@@ -29,7 +29,7 @@
 func (a *Aggregate) AddOtherZone(cost float64) { a.otherZonesTotal += cost }
 
 // TotalForZonePeer returns the service delivered by all daemons except d, a
-// daemon of the zone, where localService is that of the aggregating daemon.
+// daemon of the zone, where localService is that of the aggregator.
 // Service delivered by d is excluded, because d counted it on delivery.
 func (a *Aggregate) TotalForZonePeer(d ident.Daemon, localService float64) float64 {
 	return localService + a.zoneTotal - a.zonePeers[d] + a.otherZonesTotal
@@ -88,7 +88,7 @@
 // MergeZonePeer is Merge for a daemon whose service this daemon aggregates for
 // its zone. It returns the service added. The first report counts in full
 // unless the caller indicates that it may include service already counted
-// through the former aggregating daemon.
+// through the former aggregator.
 func (l *Ledger) MergeZonePeer(daemon ident.Daemon, incarnation uint64, ws ident.Workspace, served float64, baseline bool) (added float64) {
 	return l.merge(daemon, incarnation, ws, served, baseline)
 }
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -63,7 +63,7 @@
 	// queue overflows, the link is reset. Default: 4096.
 	QueueLimit int
 	// WatchAll is the fleet size up to which the node watches all other
-	// daemons. Default: membership.DefaultWatchAll.
+	// daemons. Default: membership.DefaultWatchAllLimit.
 	WatchAll int
 	// Logger receives log events. Default: slog.Default.
 	Logger *slog.Logger
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -8,7 +8,7 @@
 // once per daemon used. If the limit were divided equally, the shares of unused
 // daemons would be wasted.
 //
-// With each exchange of service totals, every daemon reports to the others the
+// With each exchange of served totals, every daemon reports to the others the
 // demand of its callers and what it has admitted. This is used in two ways.
 //
 // The first is the daemon's share of the limit. While total demand is below the
--- a/internal/scheduler/cache_events_test.go
+++ b/internal/scheduler/cache_events_test.go
@@ -228,7 +228,7 @@
 			var hitRates []float64
 			for _, w := range scenarios {
 				hitRate, events, fingerprints := newPrefixFleet(t, prefixes, w.scenario).run()
-				t.Logf("%s: hits %.3f; for each request %.2f events and %.2f marks", w.name, hitRate, events, fingerprints)
+				t.Logf("%s: hits %.3f; for each request %.2f events and %.2f fingerprints", w.name, hitRate, events, fingerprints)
 				hitRates = append(hitRates, hitRate)
 			}
 			is.New(t).True(hitRates[2] > 1.1*hitRates[1])
@@ -273,7 +273,7 @@
 			ingress.Finish(now, id, scheduler.Result{Served: 1, Elapsed: 3 * time.Second, FirstByte: time.Millisecond})
 		}
 	}
-	t.Logf("%d grants with %d marks in %v", grants, fingerprints, duration)
+	t.Logf("%d grants with %d fingerprints in %v", grants, fingerprints, duration)
 	is.True(fingerprints > 0)
 	is.True(fingerprints <= 30*11) // one summary a second
 }
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -43,9 +43,10 @@
 	// grants in use. The default is 2 s, so a slot whose release message was lost
 	// idles for no longer than that.
 	HeldGrantsInterval time.Duration
-	// ReduceAbove is the number of daemons above which served totals are aggregated
-	// within zones before they are forwarded (see reduce.go). The default is 24.
-	ReduceAbove int
+	// AggregationThreshold is the number of daemons above which served totals are
+	// aggregated within zones before they are forwarded (see reduce.go). The default
+	// is 24.
+	AggregationThreshold int
 }
 
 const (
@@ -62,7 +63,7 @@
 	c.GrantReuseWindow = cmp.Or(c.GrantReuseWindow, defaultGrantReuseWindow)
 	c.IdleGrantTimeout = cmp.Or(c.IdleGrantTimeout, defaultIdleGrantTimeout)
 	c.HeldGrantsInterval = cmp.Or(c.HeldGrantsInterval, defaultHeldGrantsInterval)
-	c.ReduceAbove = cmp.Or(c.ReduceAbove, defaultReduceAbove)
+	c.AggregationThreshold = cmp.Or(c.AggregationThreshold, defaultAggregationThreshold)
 	return c
 }
 
@@ -94,10 +95,10 @@
 	withholdUntil time.Time
 	// recentGrants are the grants of the last exchange interval, oldest first.
 	recentGrants []recentGrant
-	// reduction is set while the fleet is large enough for the reduced exchange,
-	// whose next round is due at nextRound.
-	reduction *aggregationPlan
-	nextRound time.Time
+	// aggregation is set while the fleet is large enough for hierarchical
+	// aggregation, whose next round is due at nextRound.
+	aggregation *aggregationPlan
+	nextRound   time.Time
 	// baselineUntil applies after a switch back to the full exchange: until then, a
 	// total received for the first time is only a baseline and is not counted.
 	baselineUntil time.Time
@@ -123,7 +124,7 @@
 	owners map[ident.Daemon]bool
 	ledger *fairshare.Ledger
 	// aggregates holds the totals that this daemon aggregates for its zone.
-	aggregates map[ident.Workspace]*workspaceSum
+	aggregates map[ident.Workspace]*workspaceAggregate
 	admission  *admission.Controller
 	placement  *targetTable
 	// requestCost is the mean cost of a request, and slotRate its mean cost per
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -41,27 +41,27 @@
 )
 
 // demand counts the requests of a workspace that wait at one ingress.
-type demand struct{ waiting, urgent int }
+type demand struct{ waiting, interactive int }
 
-// minus returns the demand after n grants, which are used by urgent requests
+// minus returns the demand after n grants, which are used by interactive requests
 // first.
 func (d demand) minus(n int) demand {
-	return demand{waiting: max(0, d.waiting-n), urgent: max(0, d.urgent-n)}
+	return demand{waiting: max(0, d.waiting-n), interactive: max(0, d.interactive-n)}
 }
 
-// plus returns the demand with n more requests that are not urgent.
-func (d demand) plus(n int) demand { return demand{waiting: d.waiting + n, urgent: d.urgent} }
+// plus returns the demand with n more requests that are not interactive.
+func (d demand) plus(n int) demand { return demand{waiting: d.waiting + n, interactive: d.interactive} }
 
 // needsUpdate reports whether the demand differs enough from the known one to be
 // sent.
 func (d demand) needsUpdate(known demand, trigger updateTrigger) bool {
 	switch {
-	case known.waiting == 0 && d.waiting > 0, known.urgent == 0 && d.urgent > 0:
+	case known.waiting == 0 && d.waiting > 0, known.interactive == 0 && d.interactive > 0:
 		return true
-	case known.waiting > 0 && d.waiting == 0, known.urgent > 0 && d.urgent == 0:
+	case known.waiting > 0 && d.waiting == 0, known.interactive > 0 && d.interactive == 0:
 		return trigger >= onWithdraw
 	}
-	return trigger == onExchange && (differsSubstantially(d.waiting, known.waiting) || differsSubstantially(d.urgent, known.urgent))
+	return trigger == onExchange && (differsSubstantially(d.waiting, known.waiting) || differsSubstantially(d.interactive, known.interactive))
 }
 
 // differsSubstantially reports whether two counts differ by more than a quarter.
@@ -86,15 +86,15 @@
 	}
 	own := w.ownDemand()
 	limit := ownersToNotify(own.waiting, now.Sub(w.nonEmptySince))
-	urgentLimit := ownersToNotify(own.urgent, now.Sub(w.urgentSince))
+	interactiveLimit := ownersToNotify(own.interactive, now.Sub(w.interactiveSince))
 	for i, p := range c.rankedOwners(s, w) {
 		known := w.sentDemand[p.ID]
 		value := own
 		if i >= limit || p.Zone != c.cfg.Zone && now.Sub(w.nonEmptySince) < c.cfg.SpillDelay {
 			value.waiting = min(own.waiting, known.waiting)
 		}
-		if i >= urgentLimit || value.waiting == 0 {
-			value.urgent = min(own.urgent, known.urgent)
+		if i >= interactiveLimit || value.waiting == 0 {
+			value.interactive = min(own.interactive, known.interactive)
 		}
 		if forced := p.needsFullUpdate && trigger == onExchange; !forced && !value.needsUpdate(known, trigger) {
 			continue
@@ -108,13 +108,13 @@
 			Service:   s.name,
 			Workspace: w.Name,
 			Waiting:   uint32(value.waiting),
-			Urgent:    uint32(value.urgent),
+			Urgent:    uint32(value.interactive),
 			SeenGrant: p.lastSeenGrant,
 		})
 	}
 	total := len(c.rankedOwners(s, w))
 	w.demandUpToDate = own.waiting == 0 ||
-		limit >= total && (own.urgent == 0 || urgentLimit >= total) && now.Sub(w.nonEmptySince) >= c.cfg.SpillDelay
+		limit >= total && (own.interactive == 0 || interactiveLimit >= total) && now.Sub(w.nonEmptySince) >= c.cfg.SpillDelay
 }
 
 // noteArrival records since when the queue has not been empty. It is called before
@@ -125,8 +125,8 @@
 	if own.waiting == 0 {
 		w.nonEmptySince = now
 	}
-	if own.urgent == 0 {
-		w.urgentSince = now
+	if own.interactive == 0 {
+		w.interactiveSince = now
 	}
 }
 
@@ -185,12 +185,12 @@
 	earlySendsPerTick = 0.2
 )
 
-func (a *tokenBucket) refill() { a.tokens = min(earlySendBurst, a.tokens+earlySendsPerTick) }
+func (b *tokenBucket) refill() { b.tokens = min(earlySendBurst, b.tokens+earlySendsPerTick) }
 
-func (a *tokenBucket) take() bool {
-	if a.tokens < 1 {
+func (b *tokenBucket) take() bool {
+	if b.tokens < 1 {
 		return false
 	}
-	a.tokens--
+	b.tokens--
 	return true
 }
--- a/internal/scheduler/exchange.go
+++ b/internal/scheduler/exchange.go
@@ -18,10 +18,10 @@
 	}
 	p.recordMessage(now, m)
 	for _, total := range m.ServedTotals {
-		c.mergePart(now, p, total)
+		c.mergeServedTotal(now, p, total)
 	}
 	for _, total := range m.Aggregates {
-		c.mergeSum(now, p, total)
+		c.mergeAggregate(now, p, total)
 	}
 	for _, l := range m.Limits {
 		if s := c.services[l.Service]; s != nil {
@@ -59,7 +59,7 @@
 		return
 	}
 	w := s.workspaces[d.Workspace]
-	known := demand{waiting: int(d.Waiting), urgent: int(d.Urgent)}
+	known := demand{waiting: int(d.Waiting), interactive: int(d.Urgent)}
 	w.setIngressDemand(from, known.minus(w.unseenGrants(from, d.SeenGrant)))
 	if w.remoteWaiting() > 0 {
 		s.activate(w)
@@ -109,8 +109,8 @@
 		delete(c.departed, id)
 		for _, s := range c.services {
 			s.ledger.Forget(id)
-			for _, u := range s.aggregates {
-				u.ForgetZonePeer(id)
+			for _, sum := range s.aggregates {
+				sum.ForgetZonePeer(id)
 			}
 		}
 	}
@@ -133,7 +133,7 @@
 		}
 		s.prune()
 	}
-	c.exchangeParts(now, trigger)
+	c.exchangeTotals(now, trigger)
 	if trigger == onExchange {
 		c.forgetDeparted(now)
 		for _, p := range c.peers {
@@ -249,8 +249,8 @@
 			held[r.owner] = append(held[r.owner], r.grant.ID)
 		}
 	}
-	for _, k := range c.idleGrants {
-		held[k.owner] = append(held[k.owner], k.ID)
+	for _, g := range c.idleGrants {
+		held[g.owner] = append(held[g.owner], g.ID)
 	}
 	for id, p := range c.peers {
 		if len(held[id]) > 0 {
--- a/internal/scheduler/kept.go
+++ b/internal/scheduler/kept.go
@@ -46,31 +46,31 @@
 // recently kept first, so that grants that are not needed expire.
 func (c *Core) useIdleGrants(now time.Time, s *service, w *workspace) {
 	for i := len(c.idleGrants) - 1; i >= 0 && w.waiting() > 0; i-- {
-		k := c.idleGrants[i]
-		if k.Service != s.name || k.Workspace != w.Name || c.peers[k.owner] == nil {
+		g := c.idleGrants[i]
+		if g.Service != s.name || g.Workspace != w.Name || c.peers[g.owner] == nil {
 			continue
 		}
-		if t := s.targets[k.Target]; t == nil || !t.usable() {
+		if t := s.targets[g.Target]; t == nil || !t.usable() {
 			continue
 		}
-		r := c.bindRequest(now, k.Grant)
+		r := c.bindRequest(now, g.Grant)
 		if r == nil {
 			return
 		}
 		c.idleGrants = append(c.idleGrants[:i], c.idleGrants[i+1:]...)
-		c.dispatch(r, k.owner, k.Grant, k.grantedAt)
+		c.dispatch(r, g.owner, g.Grant, g.grantedAt)
 	}
 }
 
 // releaseExpiredIdleGrants releases the idle grants that have expired.
 func (c *Core) releaseExpiredIdleGrants(now time.Time) {
 	remaining := c.idleGrants[:0]
-	for _, k := range c.idleGrants {
-		if now.Before(k.expires) && c.peers[k.owner] != nil {
-			remaining = append(remaining, k)
+	for _, g := range c.idleGrants {
+		if now.Before(g.expires) && c.peers[g.owner] != nil {
+			remaining = append(remaining, g)
 			continue
 		}
-		c.releaseGrant(now, k.owner, Release{Grant: k.ID, Result: k.result})
+		c.releaseGrant(now, g.owner, Release{Grant: g.ID, Result: g.result})
 	}
 	c.idleGrants = remaining
 }
--- a/internal/scheduler/owner.go
+++ b/internal/scheduler/owner.go
@@ -111,7 +111,7 @@
 	w.pickCount = (w.pickCount + 1) % (maxInteractiveGrants + 1)
 	count := func(d demand) int { return d.waiting }
 	if w.pickCount != 0 && w.hasInteractiveDemand() {
-		count = func(d demand) int { return d.urgent }
+		count = func(d demand) int { return d.interactive }
 	}
 	ids := make([]ident.Daemon, 0, len(w.ingressDemand))
 	total := count(w.ownDemand())
@@ -132,7 +132,7 @@
 }
 
 func (w *workspace) hasInteractiveDemand() bool {
-	return w.ownDemand().urgent > 0 || w.remoteTotal.urgent > 0
+	return w.ownDemand().interactive > 0 || w.remoteTotal.interactive > 0
 }
 
 func (c *Core) grant(now time.Time, t *target, w *workspace, ingress ident.Daemon) {
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -54,9 +54,9 @@
 	}
 	fraction := c.unreportedFraction(now, p)
 	for _, s := range c.services {
-		if c.reduction == nil {
+		if c.aggregation == nil {
 			// With hierarchical aggregation, the correction of this estimate
-			// when the peer returns would be missing from the sums sent to
+			// when the peer returns would be missing from the aggregates sent to
 			// other daemons.
 			s.ledger.EstimateLost(p.ID, fraction)
 		}
@@ -100,7 +100,7 @@
 }
 
 // unreportedFraction estimates the service that an unreachable peer delivered
-// after its last service report, as a fraction of an exchange interval. The
+// after its last served totals, as a fraction of an exchange interval. The
 // peer was alive until its last message of any kind. The time from then until
 // it was declared dead, limited to the rest of the exchange interval, counts
 // half. Always assuming half an interval gave the callers of a daemon that died
@@ -114,8 +114,8 @@
 	return min(1, (knownAlive+uncertain/2).Seconds()/p.totalsInterval.Seconds())
 }
 
-// recordMessage records when a message, and when a service report, was last
-// received.
+// recordMessage records when a message, and when one with served totals, was
+// last received.
 func (p *peer) recordMessage(now time.Time, m Message) {
 	p.lastMessage = now
 	if len(m.ServedTotals) == 0 {
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -36,11 +36,11 @@
 	if !s.preemptionEnabled || !slices.ContainsFunc(s.active, (*workspace).hasInteractiveDemand) {
 		return
 	}
-	s.pendingPreemptions = slices.DeleteFunc(s.pendingPreemptions, func(f pendingPreemption) bool { return now.Sub(f.requestedAt) >= preemptTimeout })
+	s.pendingPreemptions = slices.DeleteFunc(s.pendingPreemptions, func(p pendingPreemption) bool { return now.Sub(p.requestedAt) >= preemptTimeout })
 	running, slots := s.slotsInUse()
 	for slots > 0 && s.preemptionBudget.Available(now, slots) {
-		involved, standings := s.standings(running)
-		beneficiary, victim, ok := preemption.Choose(slots, standings)
+		involved, usages := s.workspaceUsage(running)
+		beneficiary, victim, ok := preemption.Choose(slots, usages)
 		if !ok {
 			return
 		}
@@ -74,33 +74,33 @@
 	return running, slots
 }
 
-// standings returns the workspaces that hold slots here or have waiting
-// requests.
-func (s *service) standings(running map[ident.Workspace]int) (involved []*workspace, standings []preemption.WorkspaceUsage) {
+// workspaceUsage returns the workspaces that hold slots here or have waiting
+// requests, with the usage of each.
+func (s *service) workspaceUsage(running map[ident.Workspace]int) (involved []*workspace, usages []preemption.WorkspaceUsage) {
 	leadOf := s.ledger.SlotLeadFunc()
 	for _, w := range s.sortedWorkspaces {
 		if running[w.Name] == 0 && w.waiting() == 0 && w.remoteWaiting() == 0 {
 			continue
 		}
-		standing := preemption.WorkspaceUsage{
+		usage := preemption.WorkspaceUsage{
 			Weight: w.Weight, Running: running[w.Name],
-			WaitingInteractive: w.ownDemand().urgent + w.remoteTotal.urgent, Lead: leadOf(w.Name),
+			WaitingInteractive: w.ownDemand().interactive + w.remoteTotal.interactive, Lead: leadOf(w.Name),
 		}
 		if !w.ownsAllowedTarget {
-			standing.WaitingInteractive = 0 // this owner has no target that it may use
+			usage.WaitingInteractive = 0 // this owner has no target that it may use
 		}
-		for _, f := range s.pendingPreemptions {
-			if f.beneficiary == w {
-				standing.Running++
-				standing.WaitingInteractive--
+		for _, p := range s.pendingPreemptions {
+			if p.beneficiary == w {
+				usage.Running++
+				usage.WaitingInteractive--
 			}
-			if f.victim == w {
-				standing.Releasing++
+			if p.victim == w {
+				usage.Releasing++
 			}
 		}
-		involved, standings = append(involved, w), append(standings, standing)
+		involved, usages = append(involved, w), append(usages, usage)
 	}
-	return involved, standings
+	return involved, usages
 }
 
 // latestGrant returns the workspace's latest grant that has not been requested
@@ -126,7 +126,7 @@
 // requested for, if an interactive request of that workspace is still waiting.
 func (c *Core) reassignPreemptedSlot(now time.Time, g *issuedGrant) {
 	s := g.target.service
-	i := slices.IndexFunc(s.pendingPreemptions, func(f pendingPreemption) bool { return f.ingress == g.ingress && f.victim.Name == g.Workspace })
+	i := slices.IndexFunc(s.pendingPreemptions, func(p pendingPreemption) bool { return p.ingress == g.ingress && p.victim.Name == g.Workspace })
 	if i < 0 {
 		return
 	}
--- a/internal/scheduler/reduce.go
+++ b/internal/scheduler/reduce.go
@@ -9,7 +9,7 @@
 	"github.com/savorystall/savorystall/internal/ident"
 )
 
-// Hierarchical aggregation of service totals, for fleets in which hundreds of
+// Hierarchical aggregation of served totals, for fleets in which hundreds of
 // daemons serve the same hundreds of backlogged workspaces. If each daemon
 // sends its totals to all others, the traffic that it sends and receives grows
 // with daemons times workspaces: 2.2 B/s for each pair, or 590 KB/s at 360
@@ -27,16 +27,16 @@
 // Small fleets use the full exchange, which keeps the fairness gap a third
 // smaller (docs/design/exchange.md).
 const (
-	// defaultReduceAbove is the number of daemons above which service totals
-	// are aggregated. At that size the full exchange, 2.2 B/s per workspace and
-	// peer (docs/CAPACITY.md), takes a quarter of the control budget of 4 KB/s
-	// with 20 backlogged workspaces.
-	defaultReduceAbove = 24
-	// reduceHysteresis keeps the exchange mode stable while one daemon in five
-	// joins and leaves: the full exchange resumes only below four fifths of the
-	// bound. Each change of mode costs one round of service that is not
+	// defaultAggregationThreshold is the number of daemons above which served
+	// totals are aggregated. At that size the full exchange, 2.2 B/s per
+	// workspace and peer (docs/CAPACITY.md), takes a quarter of the control
+	// budget of 4 KB/s with 20 backlogged workspaces.
+	defaultAggregationThreshold = 24
+	// aggregationHysteresis keeps the exchange mode stable while one daemon in
+	// five joins and leaves: the full exchange resumes only below four fifths
+	// of the bound. Each change of mode costs one round of service that is not
 	// counted.
-	reduceHysteresis = 5
+	aggregationHysteresis = 5
 
 	// roundBytesPerSecond is the share of the control budget that rounds may
 	// use, in bytes per second: half of 4 KB/s. The rest is for demand, grants,
@@ -56,9 +56,9 @@
 // shouldAggregate reports whether the fleet is large enough for hierarchical
 // aggregation.
 func (c *Core) shouldAggregate() bool {
-	daemons, bound := len(c.peers)+1, c.cfg.ReduceAbove
-	if c.reduction != nil {
-		bound -= bound / reduceHysteresis
+	daemons, bound := len(c.peers)+1, c.cfg.AggregationThreshold
+	if c.aggregation != nil {
+		bound -= bound / aggregationHysteresis
 	}
 	return daemons > bound
 }
@@ -67,9 +67,9 @@
 // aggregation according to the number of daemons, and recomputes the
 // aggregators.
 func (c *Core) selectExchangeMode(now time.Time) {
-	previous := c.reduction
+	previous := c.aggregation
 	if !c.shouldAggregate() {
-		c.reduction = nil
+		c.aggregation = nil
 		if previous != nil {
 			c.rebaseAllShards(now)
 		}
@@ -78,11 +78,11 @@
 	// Peers switch according to their own view of the membership and then send
 	// their totals within one round plus the network latency.
 	settled := now.Add((maxPropagationRounds + 1) * c.roundInterval())
-	c.reduction = newAggregationPlan(c.cfg.Zone, c.knownMembers(), previous, settled)
+	c.aggregation = newAggregationPlan(c.cfg.Zone, c.knownMembers(), previous, settled)
 	if previous == nil {
 		c.rebaseShards(func(int) bool { return true })
 	} else {
-		c.rebaseShards(func(shard int) bool { return previous.localAggregator(shard) != c.reduction.localAggregator(shard) })
+		c.rebaseShards(func(shard int) bool { return previous.localAggregator(shard) != c.aggregation.localAggregator(shard) })
 	}
 	c.markForResend(previous)
 }
@@ -91,9 +91,9 @@
 // new aggregators of its zone and, for shards that this daemon has started to
 // aggregate, the aggregators in other zones.
 func (c *Core) markForResend(previous *aggregationPlan) {
-	for zone, z := range c.reduction.zones {
+	for zone, z := range c.aggregation.zones {
 		for shard, id := range z.aggregators {
-			aggregatedHere := c.reduction.localAggregator(shard) == c.cfg.Self
+			aggregatedHere := c.aggregation.localAggregator(shard) == c.cfg.Self
 			if zone != c.cfg.Zone && !aggregatedHere {
 				continue
 			}
@@ -107,9 +107,9 @@
 
 // rebaseShards discards what was received about the workspaces of the changed
 // shards. Otherwise a retained total would be compared with a new one, and
-// everything that other daemons reported in between would count twice. The sums
-// are kept: if this daemon becomes the aggregator again, other zones compare
-// with the last sum they received from it.
+// everything that other daemons reported in between would count twice. The
+// aggregates are kept: if this daemon becomes the aggregator again, other zones
+// compare with the last zone total they received from it.
 func (c *Core) rebaseShards(changed func(shard int) bool) {
 	for _, s := range c.services {
 		for _, w := range s.sortedWorkspaces {
@@ -122,7 +122,7 @@
 
 // rebaseAllShards is rebaseShards for the switch to the full exchange, in which
 // totals go to all daemons. Earlier totals of the peers become a baseline,
-// because they were already counted as part of sums.
+// because they were already counted as part of aggregates.
 func (c *Core) rebaseAllShards(now time.Time) {
 	c.rebaseShards(func(int) bool { return true })
 	c.baselineUntil = now.Add((maxPropagationRounds + 1) * c.cfg.ExchangeInterval)
@@ -134,75 +134,75 @@
 // aggregates reports whether this daemon is the aggregator of the workspace in
 // its zone.
 func (c *Core) aggregates(w *workspace) bool {
-	return c.reduction.localAggregator(w.shard) == c.cfg.Self
+	return c.aggregation.localAggregator(w.shard) == c.cfg.Self
 }
 
 // totalsSettled reports whether the first total received for the workspace
 // counts in full.
 func (c *Core) totalsSettled(now time.Time, w *workspace) bool {
-	return !now.Before(c.reduction.settledAt[w.shard])
+	return !now.Before(c.aggregation.settledAt[w.shard])
 }
 
-// workspaceSum is the aggregated service of one workspace.
-type workspaceSum struct {
+// workspaceAggregate is the aggregated service of one workspace.
+type workspaceAggregate struct {
 	fairshare.Aggregate
-	// zonePeersDirty and otherZonesDirty are set while the sum has to be sent
+	// zonePeersDirty and otherZonesDirty are set while the total has to be sent
 	// to the peers in this zone and to other zones.
 	zonePeersDirty, otherZonesDirty bool
 }
 
-func (s *service) sumFor(name ident.Workspace) *workspaceSum {
+func (s *service) aggregateFor(name ident.Workspace) *workspaceAggregate {
 	if s.aggregates == nil {
-		s.aggregates = map[ident.Workspace]*workspaceSum{}
+		s.aggregates = map[ident.Workspace]*workspaceAggregate{}
 	}
 	if s.aggregates[name] == nil {
-		s.aggregates[name] = &workspaceSum{}
+		s.aggregates[name] = &workspaceAggregate{}
 	}
 	return s.aggregates[name]
 }
 
-// mergePart merges a total of the service that the peer itself delivered.
-func (c *Core) mergePart(now time.Time, p *peer, part ServedTotal) {
-	s := c.services[part.Service]
+// mergeServedTotal merges a total of the service that the peer itself delivered.
+func (c *Core) mergeServedTotal(now time.Time, p *peer, total ServedTotal) {
+	s := c.services[total.Service]
 	if s == nil {
 		return
 	}
-	if c.reduction == nil {
+	if c.aggregation == nil {
 		if now.Before(c.baselineUntil) {
-			s.ledger.MergeZonePeer(p.ID, p.Incarnation, part.Workspace, part.Served, true)
+			s.ledger.MergeZonePeer(p.ID, p.Incarnation, total.Workspace, total.Served, true)
 			return
 		}
-		s.ledger.Merge(p.ID, p.Incarnation, part.Workspace, part.Served)
+		s.ledger.Merge(p.ID, p.Incarnation, total.Workspace, total.Served)
 		return
 	}
-	w := s.workspaces[part.Workspace]
+	w := s.workspaces[total.Workspace]
 	if w == nil || p.Zone != c.cfg.Zone || !c.aggregates(w) {
 		return
 	}
-	added := s.ledger.MergeZonePeer(p.ID, p.Incarnation, w.Name, part.Served, !c.totalsSettled(now, w))
-	sum := s.sumFor(w.Name)
+	added := s.ledger.MergeZonePeer(p.ID, p.Incarnation, w.Name, total.Served, !c.totalsSettled(now, w))
+	sum := s.aggregateFor(w.Name)
 	sum.AddZonePeer(p.ID, added)
 	sum.zonePeersDirty, sum.otherZonesDirty = true, true
 }
 
-// mergeSum merges a sum that an aggregator computed: the one of this zone, or,
-// if this daemon aggregates the workspace too, the one of another zone.
-func (c *Core) mergeSum(now time.Time, p *peer, part ServedTotal) {
-	s := c.services[part.Service]
-	if s == nil || c.reduction == nil {
+// mergeAggregate merges a total that an aggregator computed: the one of this
+// zone, or, if this daemon aggregates the workspace too, the one of another zone.
+func (c *Core) mergeAggregate(now time.Time, p *peer, total ServedTotal) {
+	s := c.services[total.Service]
+	if s == nil || c.aggregation == nil {
 		return
 	}
-	w := s.workspaces[part.Workspace]
-	if w == nil || c.reduction.aggregator(p.Zone, w.shard) != p.ID {
+	w := s.workspaces[total.Workspace]
+	if w == nil || c.aggregation.aggregator(p.Zone, w.shard) != p.ID {
 		return
 	}
 	origin := fairshare.Origin{Zone: p.Zone, Daemon: p.ID, Incarnation: p.Incarnation}
 	switch {
 	case p.Zone == c.cfg.Zone:
-		s.ledger.MergeAggregate(origin, w.Name, part.Served, !c.totalsSettled(now, w))
+		s.ledger.MergeAggregate(origin, w.Name, total.Served, !c.totalsSettled(now, w))
 	case c.aggregates(w):
-		sum := s.sumFor(w.Name)
-		sum.AddOtherZone(s.ledger.MergeAggregate(origin, w.Name, part.Served, !c.totalsSettled(now, w)))
+		sum := s.aggregateFor(w.Name)
+		sum.AddOtherZone(s.ledger.MergeAggregate(origin, w.Name, total.Served, !c.totalsSettled(now, w)))
 		sum.zonePeersDirty = true
 	}
 }
@@ -216,11 +216,11 @@
 			continue
 		}
 		if c.aggregates(w) {
-			sum := s.sumFor(name)
+			sum := s.aggregateFor(name)
 			sum.zonePeersDirty, sum.otherZonesDirty = true, true
 			continue
 		}
-		c.sendPart(c.reduction.localAggregator(w.shard), s, w)
+		c.sendServedTotal(c.aggregation.localAggregator(w.shard), s, w)
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.aggregates)) {
 		w, sum := s.workspaces[name], s.aggregates[name]
@@ -228,7 +228,7 @@
 			continue
 		}
 		for _, p := range c.peers {
-			c.sendSum(p, s, w, sum, sum.otherZonesDirty)
+			c.sendAggregate(p, s, w, sum, sum.otherZonesDirty)
 		}
 		sum.zonePeersDirty, sum.otherZonesDirty = false, false
 	}
@@ -238,16 +238,16 @@
 // have lost messages.
 func (c *Core) resendAggregated(p *peer, s *service) {
 	for _, w := range s.sortedWorkspaces {
-		if !c.aggregates(w) && c.reduction.localAggregator(w.shard) == p.ID && s.ledger.LocalService(w.Name) != 0 {
-			c.sendPart(p.ID, s, w)
+		if !c.aggregates(w) && c.aggregation.localAggregator(w.shard) == p.ID && s.ledger.LocalService(w.Name) != 0 {
+			c.sendServedTotal(p.ID, s, w)
 		}
 		if sum := s.aggregates[w.Name]; sum != nil && c.aggregates(w) {
-			c.sendSum(p, s, w, sum, true)
+			c.sendAggregate(p, s, w, sum, true)
 		}
 	}
 }
 
-func (c *Core) sendPart(to ident.Daemon, s *service, w *workspace) {
+func (c *Core) sendServedTotal(to ident.Daemon, s *service, w *workspace) {
 	if c.peers[to] == nil {
 		return
 	}
@@ -255,35 +255,35 @@
 	m.ServedTotals = append(m.ServedTotals, ServedTotal{Service: s.name, Workspace: w.Name, Served: s.ledger.LocalService(w.Name)})
 }
 
-// sendSum sends the part of a sum that is relevant to a peer: to a daemon of
-// this zone, the service of all others; to the aggregator in another zone, the
-// service of this zone.
-func (c *Core) sendSum(p *peer, s *service, w *workspace, sum *workspaceSum, otherZonesDirty bool) {
+// sendAggregate sends the total that is relevant to a peer: to a daemon of this
+// zone, the service of all others; to the aggregator in another zone, the service
+// of this zone.
+func (c *Core) sendAggregate(p *peer, s *service, w *workspace, sum *workspaceAggregate, otherZonesDirty bool) {
 	own := s.ledger.LocalService(w.Name)
-	part := ServedTotal{Service: s.name, Workspace: w.Name}
+	total := ServedTotal{Service: s.name, Workspace: w.Name}
 	switch {
 	case p.Zone == c.cfg.Zone:
-		part.Served = sum.TotalForZonePeer(p.ID, own)
-	case otherZonesDirty && c.reduction.aggregator(p.Zone, w.shard) == p.ID:
-		part.Served = sum.ZoneTotal(own)
+		total.Served = sum.TotalForZonePeer(p.ID, own)
+	case otherZonesDirty && c.aggregation.aggregator(p.Zone, w.shard) == p.ID:
+		total.Served = sum.ZoneTotal(own)
 	default:
 		return
 	}
 	m := c.messageTo(p.ID)
-	m.Aggregates = append(m.Aggregates, part)
+	m.Aggregates = append(m.Aggregates, total)
 }
 
-// exchangeParts sends the service totals that are due.
-func (c *Core) exchangeParts(now time.Time, at updateTrigger) {
-	if c.reduction == nil {
-		if at == onExchange {
+// exchangeTotals sends the served totals that are due.
+func (c *Core) exchangeTotals(now time.Time, trigger updateTrigger) {
+	if c.aggregation == nil {
+		if trigger == onExchange {
 			for _, s := range c.services {
 				c.sendTotals(s)
 			}
 		}
 		return
 	}
-	if at == onExchange {
+	if trigger == onExchange {
 		for _, p := range c.peers {
 			if !p.needsFullUpdate && !p.needsTotals {
 				continue
@@ -304,7 +304,7 @@
 
 // roundInterval is the time between two rounds: at least the exchange interval,
 // and long enough to stay within the budget. In each round a daemon sends its
-// totals and its sums to the daemons of its zone, and its sums to the
+// totals and its aggregates to the daemons of its zone, and its aggregates to the
 // aggregators in each other zone.
 func (c *Core) roundInterval() time.Duration {
 	zonePeers, rows := 0, 0
@@ -335,7 +335,7 @@
 // lag of one, two, and three rounds, is 0.229, 0.213, and 0.272 s at 7 daemons,
 // and 0.138, 0.142, and 0.169 s at 32.
 func (c *Core) reportingLag() time.Duration {
-	if c.reduction == nil {
+	if c.aggregation == nil {
 		return c.cfg.ExchangeInterval
 	}
 	return lagRounds * c.roundInterval()
--- a/internal/scheduler/reduce_test.go
+++ b/internal/scheduler/reduce_test.go
@@ -30,11 +30,11 @@
 	served map[ident.Workspace]float64
 	// dropMessage reports whether a link breaks and loses the current message.
 	dropMessage func() bool
-	// sentRows counts the parts and sums sent by each daemon.
+	// sentRows counts the served totals and aggregates sent by each daemon.
 	sentRows map[ident.Daemon]int
 }
 
-func newAggregationFleet(daemons, reduceAbove int) *aggregationFleet {
+func newAggregationFleet(daemons, aggregationThreshold int) *aggregationFleet {
 	f := &aggregationFleet{
 		now:    time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
 		cores:  map[ident.Daemon]*Core{},
@@ -42,7 +42,7 @@
 		dropMessage: func() bool { return false },
 	}
 	for d := range daemons {
-		f.start(ident.Daemon(fmt.Sprintf("d%02d", d)), ident.Zone(fmt.Sprintf("z%d", d%fleetZones)), 1, reduceAbove)
+		f.start(ident.Daemon(fmt.Sprintf("d%02d", d)), ident.Zone(fmt.Sprintf("z%d", d%fleetZones)), 1, aggregationThreshold)
 	}
 	f.updatePeers()
 	return f
@@ -51,8 +51,8 @@
 func workspaceName(i int) ident.Workspace { return ident.Workspace(fmt.Sprintf("w%02d", i)) }
 
 // start adds a daemon without state.
-func (f *aggregationFleet) start(id ident.Daemon, zone ident.Zone, incarnation uint64, reduceAbove int) {
-	c := New(Config{Self: id, Incarnation: incarnation, Zone: zone, ReduceAbove: reduceAbove}, rand.New(rand.NewPCG(1, 2)))
+func (f *aggregationFleet) start(id ident.Daemon, zone ident.Zone, incarnation uint64, aggregationThreshold int) {
+	c := New(Config{Self: id, Incarnation: incarnation, Zone: zone, AggregationThreshold: aggregationThreshold}, rand.New(rand.NewPCG(1, 2)))
 	s := Service{Name: "pool", MeanCost: 100}
 	for i := range fleetWorkspaces {
 		s.Workspaces = append(s.Workspaces, Workspace{Name: workspaceName(i), Weight: 1, QueueLimit: 1})
@@ -233,11 +233,11 @@
 	f.run(20*time.Second, func() { f.serveRandom(rng) })
 	f.run(settleTime, noWork)
 	is.True(f.maxError() < 1e-6)
-	is.True(f.cores["d00"].reduction == nil)
+	is.True(f.cores["d00"].aggregation == nil)
 
 	f.start("e00", "z0", 5, bound)
 	f.updatePeers()
-	is.True(f.cores["d00"].reduction != nil)
+	is.True(f.cores["d00"].aggregation != nil)
 	f.run(settleTime, noWork)
 	delete(f.cores, "e00") // it started without state, so only the others are compared
 	is.True(f.maxError() < 1e-6)
@@ -245,7 +245,7 @@
 	f.crash("d09")
 	f.crash("d08")
 	f.updatePeers()
-	is.True(f.cores["d00"].reduction == nil)
+	is.True(f.cores["d00"].aggregation == nil)
 	f.run(settleTime, noWork)
 	is.True(f.maxError() < 1e-6)
 	f.run(5*time.Second, func() { f.serveRandom(rng) })
@@ -257,8 +257,8 @@
 // otherwise a large fleet exceeds its control traffic budget.
 func TestAggregatedExchangeLimitsRowsSent(t *testing.T) {
 	is := is.New(t)
-	rows := func(reduceAbove int) int {
-		f := newAggregationFleet(40, reduceAbove)
+	rows := func(aggregationThreshold int) int {
+		f := newAggregationFleet(40, aggregationThreshold)
 		rng := rand.New(rand.NewPCG(4, 4))
 		f.run(settleTime, noWork)
 		clear(f.sentRows)
--- a/internal/scheduler/repair_test.go
+++ b/internal/scheduler/repair_test.go
@@ -238,8 +238,8 @@
 }
 
 // A daemon without targets has many short requests. One grant and one release
-// per request would exceed the control traffic budget, so a grant is reused for
-// the length of a slice. A request that ends after the slice returns the slot,
+// per request would exceed the control traffic budget, so a grant is reused
+// within its reuse window. A request that ends after the window returns the slot,
 // because another workspace may have priority by then.
 func TestShortRequestsShareOneGrant(t *testing.T) {
 	is := is.New(t)
--- a/internal/scheduler/workspace.go
+++ b/internal/scheduler/workspace.go
@@ -11,15 +11,15 @@
 // workspace is the state of one workspace of one service.
 type workspace struct {
 	Workspace
-	// shard is the shard of the workspace in the reduced exchange.
+	// shard is the shard of the workspace in hierarchical aggregation.
 	shard int
 	// queue holds the requests that wait at this daemon; running counts those that
 	// run.
 	queue   *queue.Queue[*request]
 	running int
-	// nonEmptySince is when the queue was last empty, and urgentSince when it last
-	// held no interactive request.
-	nonEmptySince, urgentSince time.Time
+	// nonEmptySince is when the queue was last empty, and interactiveSince when it
+	// last held no interactive request.
+	nonEmptySince, interactiveSince time.Time
 	// owners caches the peers to send demand to, in order.
 	owners []*peer
 	// sentDemand is the demand that each owner knows: what it was last sent, less the
@@ -33,7 +33,7 @@
 	// demandUpToDate while owners need no update before demand is next withdrawn.
 	active, demandUpToDate bool
 	// pickCount counts the times an ingress was picked for a grant, modulo
-	// urgentTurns + 1.
+	// maxInteractiveGrants + 1.
 	pickCount int
 	// allowedTargets are the targets that a workspace restricted to some targets may
 	// use; nil means all. ownsAllowedTarget reports whether this daemon owns one.
@@ -72,7 +72,7 @@
 func (w *workspace) setIngressDemand(ingress ident.Daemon, d demand) {
 	old := w.ingressDemand[ingress]
 	w.remoteTotal.waiting += d.waiting - old.waiting
-	w.remoteTotal.urgent += d.urgent - old.urgent
+	w.remoteTotal.interactive += d.interactive - old.interactive
 	setOrDelete(w.ingressDemand, ingress, d)
 }
 
@@ -97,7 +97,7 @@
 
 // ownDemand returns the demand of this ingress.
 func (w *workspace) ownDemand() demand {
-	return demand{waiting: w.waiting(), urgent: w.queue.LenClass(uint8(Interactive))}
+	return demand{waiting: w.waiting(), interactive: w.queue.LenClass(uint8(Interactive))}
 }
 
 // addGrant records a grant to an ingress.
--- a/test/capacity/daemon.go
+++ b/test/capacity/daemon.go
@@ -38,7 +38,7 @@
 // newDaemon starts the daemon with index i and configures the service of p.
 func newDaemon(ctx context.Context, p Point, i int, identity *certs.Identity) (*daemon, error) {
 	d := &daemon{name: p.daemonName(i), zone: zoneName(i)}
-	core := scheduler.New(scheduler.Config{Self: d.name, Incarnation: 1, Zone: d.zone, ExchangeInterval: p.Exchange, ReduceAbove: p.ReduceAbove},
+	core := scheduler.New(scheduler.Config{Self: d.name, Incarnation: 1, Zone: d.zone, ExchangeInterval: p.Exchange, AggregationThreshold: p.ReduceAbove},
 		rand.New(rand.NewPCG(uint64(i), 1)))
 	d.loop = control.New(control.Config{}, core, d)
 	var err error
--- a/test/fairness/fleet.go
+++ b/test/fairness/fleet.go
@@ -89,11 +89,11 @@
 	n := f.nodes[d]
 	n.incarnation++
 	n.core = scheduler.New(scheduler.Config{
-		Self:             n.id,
-		Incarnation:      n.incarnation,
-		Zone:             zoneName(n.zone),
-		ExchangeInterval: f.run.lag,
-		ReduceAbove:      f.reduceAbove,
+		Self:                 n.id,
+		Incarnation:          n.incarnation,
+		Zone:                 zoneName(n.zone),
+		ExchangeInterval:     f.run.lag,
+		AggregationThreshold: f.reduceAbove,
 	}, rand.New(rand.NewPCG(uint64(d), n.incarnation)))
 	n.core.Configure(f.run.wallTime(), []scheduler.Service{f.service()})
 }
