--- a/internal/booking/candidates.go
+++ b/internal/booking/candidates.go
@@ -40,7 +40,7 @@
 	if spareOnly && !r.PreviouslyPlaced {
 		n = spareHomesPerPrefix
 	}
-	r.tryEmptiest = !spareOnly && (shared < longPrefixTokens || float64(shared) < longPrefixShare*float64(r.Prompt))
+	r.tryLeastLoaded = !spareOnly && (shared < longPrefixTokens || float64(shared) < longPrefixShare*float64(r.Prompt))
 	return homeCandidates(prefix, usable, n)
 }
 
@@ -93,10 +93,10 @@
 
 // addFallbacks adds the least loaded targets once all home targets were asked.
 func (c *Core) addFallbacks(now time.Time, r *request) {
-	if len(r.candidates) > 0 || !r.tryEmptiest {
+	if len(r.candidates) > 0 || !r.tryLeastLoaded {
 		return
 	}
-	r.tryEmptiest = false
+	r.tryLeastLoaded = false
 	s := c.services[r.Service]
 	if s == nil {
 		return
--- a/internal/booking/core.go
+++ b/internal/booking/core.go
@@ -111,8 +111,8 @@
 	// contacted reports that an owner has received the request, callerRetry that one recognized
 	// it as a retry by the caller.
 	contacted, callerRetry bool
-	// tryEmptiest reports that the least loaded targets may be asked after the candidates.
-	tryEmptiest bool
+	// tryLeastLoaded reports that the least loaded targets may be asked after the candidates.
+	tryLeastLoaded bool
 	// askedEngines are the targets that were asked.
 	askedEngines []*engine
 	// unresponsive are the targets whose owners did not reply, anyReply reports that one did.
--- a/internal/booking/core_bench_test.go
+++ b/internal/booking/core_bench_test.go
@@ -44,8 +44,8 @@
 		c.Submit(now, r)
 		for _, e := range c.TakeEffects() {
 			if s, ok := e.(booking.Send); ok {
-				for _, a := range s.Message.Reservations {
-					c.Receive(now, s.To, booking.Message{Incarnation: 1, Replies: []booking.Reply{{ID: a.ID, OK: true}}})
+				for _, res := range s.Message.Reservations {
+					c.Receive(now, s.To, booking.Message{Incarnation: 1, Replies: []booking.Reply{{ID: res.ID, OK: true}}})
 				}
 			}
 		}
--- a/internal/booking/core_test.go
+++ b/internal/booking/core_test.go
@@ -72,7 +72,7 @@
 // Guards against counting a run twice when a link comes up and makes the other end the owner of
 // a target at the same time, so that it is notified twice. The second notification stood for a
 // second request that was never released: for 12 s after a restart of all daemons each engine
-// seemed to have ten more prompts to read, and a third fewer requests met their objective.
+// seemed to have ten more prompts in prefill, and a third fewer requests met their objective.
 func TestRepeatedNotificationOfOwnerCountsOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
--- a/internal/booking/cut_test.go
+++ b/internal/booking/cut_test.go
@@ -94,9 +94,9 @@
 					c.Finish(now, "r", booking.Result{Elapsed: time.Second})
 					return e.Target, e.Basis.FetchSource
 				case booking.Send:
-					for _, a := range e.Message.Reservations {
+					for _, res := range e.Message.Reservations {
 						if len(avoid) > 0 {
-							c.Receive(now, "b", booking.Message{Incarnation: 1, Replies: []booking.Reply{{ID: a.ID, OK: true}}})
+							c.Receive(now, "b", booking.Message{Incarnation: 1, Replies: []booking.Reply{{ID: res.ID, OK: true}}})
 						}
 					}
 				}
--- a/internal/booking/estimate.go
+++ b/internal/booking/estimate.go
@@ -99,8 +99,8 @@
 		if sum.asked > a.weight*s.level {
 			continue
 		}
-		if lift := (1-burstShare)*a.weight*s.level - sum.granted; lift > a.presumedGrants.now(now) {
-			a.presumedGrants = decayingSum{lift, now}
+		if offset := (1-burstShare)*a.weight*s.level - sum.granted; offset > a.presumedGrants.now(now) {
+			a.presumedGrants = decayingSum{offset, now}
 		}
 	}
 }
--- a/internal/booking/fetch.go
+++ b/internal/booking/fetch.go
@@ -20,20 +20,20 @@
 // needs no additional messages.
 
 const (
-	// minCopyTokens is the minimum number of tokens that is copied. Copying so few takes as
+	// minFetchTokens is the minimum number of tokens that is copied. Copying so few takes as
 	// long as prefill, but uses a link and not the engine.
-	minCopyTokens = 128
-	// copySetupTime is the fixed cost of a copy: both ends have to set it up.
-	copySetupTime = 4 * time.Millisecond
+	minFetchTokens = 128
+	// fetchSetupTime is the fixed cost of a copy: both ends have to set it up.
+	fetchSetupTime = 4 * time.Millisecond
 )
 
 // prefillCost returns the prefill work of a prompt on a target that has cached the given number
 // of tokens of its prefix, and the copy time if another target has more of it cached.
 func (s *service) prefillCost(prompt, cached, cachedElsewhere int) (work float64, fetch time.Duration) {
-	if s.fetchPerToken <= 0 || cachedElsewhere-cached < minCopyTokens {
+	if s.fetchPerToken <= 0 || cachedElsewhere-cached < minFetchTokens {
 		return prefillWork(prompt, cached), 0
 	}
-	return prefillWork(prompt, cachedElsewhere), copySetupTime + time.Duration(cachedElsewhere-cached)*s.fetchPerToken
+	return prefillWork(prompt, cachedElsewhere), fetchSetupTime + time.Duration(cachedElsewhere-cached)*s.fetchPerToken
 }
 
 // ownerWarmup is how long a new owner also relies on what ingresses know of a target's cache,
@@ -43,19 +43,19 @@
 const ownerWarmup = 10 * time.Second
 
 // cachedTokens returns how many tokens of a prompt's prefix the target has cached.
-func (e *engine) cachedTokens(now time.Time, a *Reservation) int {
-	cached := e.cache.hitTokens(a.Parts)
+func (e *engine) cachedTokens(now time.Time, res *Reservation) int {
+	cached := e.cache.hitTokens(res.Parts)
 	if now.Sub(e.ownedSince) < ownerWarmup {
-		cached = max(cached, min(a.CachedHint, a.Prompt))
+		cached = max(cached, min(res.CachedHint, res.Prompt))
 	}
 	return cached
 }
 
-// findCopySource searches the home targets that were not asked yet for one that has more of the
-// prompt cached, by what this daemon has sent there: the home that is asked may have just
+// findFetchSource searches the home targets that were not asked yet for one that has more of
+// the prompt cached, by what this daemon has sent there: the home that is asked may have just
 // started. Targets that fail or whose owner is silent are skipped. They may be unreachable for
 // the other target as well, and a request that waits for the copy would hang.
-func (c *Core) findCopySource(now time.Time, r *request) {
+func (c *Core) findFetchSource(now time.Time, r *request) {
 	for _, home := range r.candidates {
 		if home.engine.suspended(now) || c.ownerSilent(now, home.engine) {
 			continue
@@ -66,11 +66,11 @@
 	}
 }
 
-// copySource returns the target from which the selected target copies the prompt's prefix, or
+// fetchSource returns the target from which the selected target copies the prompt's prefix, or
 // an empty name if nothing is copied.
-func (c *Core) copySource(r *request) ident.Target {
+func (c *Core) fetchSource(r *request) ident.Target {
 	s := c.services[r.Service]
-	if s == nil || s.fetchPerToken <= 0 || r.sourceTokens-r.targetTokens < minCopyTokens || r.fetchSource == r.current.engine.Name {
+	if s == nil || s.fetchPerToken <= 0 || r.sourceTokens-r.targetTokens < minFetchTokens || r.fetchSource == r.current.engine.Name {
 		return ""
 	}
 	return r.fetchSource
--- a/internal/booking/fetch_test.go
+++ b/internal/booking/fetch_test.go
@@ -48,9 +48,9 @@
 	now := time.Unix(1000, 0)
 	_, owner, ownerID := newIngressAndOwner(now)
 	ingressID := map[ident.Daemon]ident.Daemon{"a": "b", "b": "a"}[ownerID]
-	admits := func(id uint64, here int) bool {
+	admits := func(id uint64, cachedHint int) bool {
 		owner.Receive(now, ingressID, booking.Message{Incarnation: 1, Reservations: []booking.Reservation{{
-			ID: id, Service: "pool", Target: "t", Workspace: "w", Prompt: 15000, Output: 10, CachedHint: here, Remaining: 100 * time.Millisecond,
+			ID: id, Service: "pool", Target: "t", Workspace: "w", Prompt: 15000, Output: 10, CachedHint: cachedHint, Remaining: 100 * time.Millisecond,
 			Parts: []booking.PromptPart{{ID: id, Tokens: 13000}, {ID: 1000 + id, Tokens: 2000}},
 		}}})
 		for _, e := range owner.TakeEffects() {
@@ -58,7 +58,7 @@
 				return s.Message.Replies[0].OK
 			}
 		}
-		t.Fatal("the owner gave no answer")
+		t.Fatal("the owner sent no reply")
 		return false
 	}
 	is.True(!admits(1, 0))
--- a/internal/booking/hold.go
+++ b/internal/booking/hold.go
@@ -37,8 +37,8 @@
 
 // holdFor returns the maximum time for which a request is to be held, and records the request
 // that it waits for. The hold ends before the answer would certainly be late.
-func (e *engine) holdFor(now time.Time, a *Reservation, r *run) time.Duration {
-	if a.Running || !e.service.servesModel {
+func (e *engine) holdFor(now time.Time, res *Reservation, r *run) time.Duration {
+	if res.Running || !e.service.servesModel {
 		return 0
 	}
 	prefillRun, tokens := e.cache.pendingPrefill(r.shared)
@@ -47,7 +47,7 @@
 	}
 	remaining := max(0, prefillRun.expected.Sub(now))
 	hold := remaining + time.Duration(holdSlack*float64(remaining)) + minHoldSlack
-	hold = min(hold, a.Remaining-e.overhead-e.prefillTime(r))
+	hold = min(hold, res.Remaining-e.overhead-e.prefillTime(r))
 	if hold <= 0 {
 		return 0
 	}
@@ -73,7 +73,7 @@
 	}
 }
 
-// hold holds a request of this ingress.
+// holdRequest holds a request of this ingress.
 func (c *Core) holdRequest(now time.Time, r *request, limit time.Duration) {
 	c.held[r.runID] = r
 	at := now.Add(limit)
--- a/internal/booking/ingress.go
+++ b/internal/booking/ingress.go
@@ -94,7 +94,7 @@
 // so that it must not be retried elsewhere although other zones have capacity.
 func (r *request) deferUnresponsive() {
 	r.unresponsive = append(r.unresponsive, r.current)
-	r.tryEmptiest = true
+	r.tryLeastLoaded = true
 }
 
 // recordReply records what an owner replied: the wait at the target that admits the request, or
@@ -116,11 +116,11 @@
 func (c *Core) nextReservation(now time.Time, r *request) Reservation {
 	c.lastReservationID++
 	r.runID = c.lastReservationID
-	c.findCopySource(now, r)
-	a := r.newReservation(now)
-	a.FirstContact = !r.contacted && !r.PreviouslyPlaced
+	c.findFetchSource(now, r)
+	res := r.newReservation(now)
+	res.FirstContact = !r.contacted && !r.PreviouslyPlaced
 	r.contacted = true
-	return a
+	return res
 }
 
 func (r *request) newReservation(now time.Time) Reservation {
@@ -132,12 +132,12 @@
 }
 
 func (c *Core) sendReservation(now time.Time, r *request, e *engine) {
-	a := c.nextReservation(now, r)
-	r.pendingID, r.sentAt, r.pendingOwner = a.ID, now, e.owner
-	c.pending[a.ID] = r
-	c.sentReservations = append(c.sentReservations, sentReservation{a.ID, now})
+	res := c.nextReservation(now, r)
+	r.pendingID, r.sentAt, r.pendingOwner = res.ID, now, e.owner
+	c.pending[res.ID] = r
+	c.sentReservations = append(c.sentReservations, sentReservation{res.ID, now})
 	m := c.messageTo(e.owner)
-	m.Reservations = append(m.Reservations, a)
+	m.Reservations = append(m.Reservations, res)
 }
 
 // handleReply processes an owner's reply.
@@ -175,8 +175,8 @@
 // placeUnconfirmed decides from local state if no owner replied: this ingress uses its quota of
 // the target's slots, counting only its own requests there.
 func (c *Core) placeUnconfirmed(now time.Time, r *request) bool {
-	for _, at := range r.unresponsive {
-		e := at.engine
+	for _, cand := range r.unresponsive {
+		e := cand.engine
 		quota := e.Slots / (len(c.peers) + 1)
 		if e.ingressRuns >= max(1, quota) || e.suspended(now) {
 			continue
@@ -198,7 +198,7 @@
 		e.cache.recordSent(now, r.Parts[:len(r.Parts)-1], e.Memory/2)
 	}
 	basis := r.decisionBasis()
-	basis.FetchSource, basis.Held = c.copySource(r), hold > 0
+	basis.FetchSource, basis.Held = c.fetchSource(r), hold > 0
 	r.dispatch = Dispatch{Request: r.ID, Target: r.current.engine.Name, Basis: basis}
 	if hold > 0 {
 		c.holdRequest(now, r, hold)
@@ -215,11 +215,11 @@
 	if r.runOwner != e.owner {
 		c.sendRelease(now, r, Release{ID: r.runID})
 	}
-	a := r.newReservation(now)
-	a.Running, a.PrefillDone = true, r.firstByteSeen
+	res := r.newReservation(now)
+	res.Running, res.PrefillDone = true, r.firstByteSeen
 	r.runOwner = e.owner
 	if e.owned {
-		c.admit(now, c.cfg.Self, a)
+		c.admit(now, c.cfg.Self, res)
 		return
 	}
 	if c.peers[e.owner] == nil {
@@ -227,7 +227,7 @@
 		return
 	}
 	m := c.messageTo(e.owner)
-	m.Reservations = append(m.Reservations, a)
+	m.Reservations = append(m.Reservations, res)
 }
 
 // FirstByte records that the first byte of an answer has arrived.
--- a/internal/booking/kept_test.go
+++ b/internal/booking/kept_test.go
@@ -16,22 +16,22 @@
 	now := time.Unix(1000, 0)
 	s := &service{servesModel: true}
 	e := newEngine(s, Target{Name: "e", Slots: 64, Memory: 100000})
-	ask := Reservation{Prompt: 15000, Output: 500, Parts: []PromptPart{{ID: 1, Tokens: 13000}, {ID: 2, Tokens: 2000}}}
+	res := Reservation{Prompt: 15000, Output: 500, Parts: []PromptPart{{ID: 1, Tokens: 13000}, {ID: 2, Tokens: 2000}}}
 	var runs []*run
 	for range 10 {
 		r := &run{}
-		r.shared, r.memory = memoryNeeds(&ask)
+		r.shared, r.memory = memoryNeeds(&res)
 		is.True(e.fitsMemory(r))
 		e.addRun(now, r)
 		runs = append(runs, r)
 	}
 	is.Equal(e.usedMemory(), 13000+10*2500)
-	is.Equal(e.cache.hitTokens(ask.Parts), 13000)
+	is.Equal(e.cache.hitTokens(res.Parts), 13000)
 	for _, r := range runs {
 		e.removeRun(now, r, time.Second)
 	}
 	is.Equal(e.usedMemory(), 0)
-	is.Equal(e.cache.hitTokens(ask.Parts), 13000) // it stays cached until it is evicted
+	is.Equal(e.cache.hitTokens(res.Parts), 13000) // it stays cached until it is evicted
 }
 
 // Guards against ignoring the unshared suffixes of prompts in the cache model. After a
@@ -67,13 +67,13 @@
 func TestPartsInUseAreNotEvicted(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	k := newPrefixCache()
-	k.acquire(now, []PromptPart{{ID: 1, Tokens: 60}}, nil, 100)
-	k.acquire(now.Add(time.Second), []PromptPart{{ID: 2, Tokens: 60}}, nil, 100)
-	is.Equal(k.totalTokens, 120)
-	k.release(now, []PromptPart{{ID: 1, Tokens: 60}})
-	k.acquire(now.Add(2*time.Second), []PromptPart{{ID: 3, Tokens: 30}}, nil, 100)
-	is.Equal(k.hitTokens([]PromptPart{{ID: 1, Tokens: 60}}), 0)
-	is.Equal(k.hitTokens([]PromptPart{{ID: 2, Tokens: 60}}), 60)
-	is.Equal(k.tokensInUse, 90)
+	cache := newPrefixCache()
+	cache.acquire(now, []PromptPart{{ID: 1, Tokens: 60}}, nil, 100)
+	cache.acquire(now.Add(time.Second), []PromptPart{{ID: 2, Tokens: 60}}, nil, 100)
+	is.Equal(cache.totalTokens, 120)
+	cache.release(now, []PromptPart{{ID: 1, Tokens: 60}})
+	cache.acquire(now.Add(2*time.Second), []PromptPart{{ID: 3, Tokens: 30}}, nil, 100)
+	is.Equal(cache.hitTokens([]PromptPart{{ID: 1, Tokens: 60}}), 0)
+	is.Equal(cache.hitTokens([]PromptPart{{ID: 2, Tokens: 60}}), 60)
+	is.Equal(cache.tokensInUse, 90)
 }
--- a/internal/booking/load_test.go
+++ b/internal/booking/load_test.go
@@ -258,9 +258,9 @@
 
 // Guards against placements that stay reserved because a message was lost. Links between
 // daemons are replaced several times, as at a start when both ends dial, and messages in
-// transit are lost, among them that a slot is not needed. The owner would count the request as
-// pending prefill, expect a wait of a quarter of a second where there is none, and refuse
-// requests that can be in time.
+// transit are lost, including releases of slots. The owner would count the request as pending
+// prefill, expect a wait of a quarter of a second where there is none, and refuse requests that
+// can be in time.
 func TestMessagesLostWithALinkAreReconciled(t *testing.T) {
 	for _, seed := range seeds {
 		is := is.New(t)
--- a/internal/booking/members.go
+++ b/internal/booking/members.go
@@ -110,7 +110,7 @@
 // LinkUp handles a new link to a peer. Each end lists again what it has running on the other's
 // targets, and discards what it knew about the other's requests before: a release or first-byte
 // notice that was sent over the lost link is never repeated, and a request without a release
-// would count as a prompt still to be read until it expires.
+// would count as a prompt still in prefill until it expires.
 func (c *Core) LinkUp(now time.Time, id ident.Daemon) {
 	c.LinkLost(now, id)
 	c.dropPeerRuns(now, id)
--- a/internal/booking/owner.go
+++ b/internal/booking/owner.go
@@ -40,8 +40,8 @@
 	for _, release := range m.Releases {
 		c.handleRelease(now, from, release)
 	}
-	for _, a := range m.Reservations {
-		c.handleReservation(now, from, a)
+	for _, res := range m.Reservations {
+		c.handleReservation(now, from, res)
 	}
 	for _, reply := range m.Replies {
 		c.handleReply(now, from, reply)
@@ -52,9 +52,9 @@
 }
 
 // handleReservation processes a reservation and replies to it.
-func (c *Core) handleReservation(now time.Time, from ident.Daemon, a Reservation) {
-	reply := c.admit(now, from, a)
-	if a.Running {
+func (c *Core) handleReservation(now time.Time, from ident.Daemon, res Reservation) {
+	reply := c.admit(now, from, res)
+	if res.Running {
 		return
 	}
 	m := c.messageTo(from)
@@ -69,75 +69,75 @@
 }
 
 // admit decides whether a target admits a request, and records the run if it does.
-func (c *Core) admit(now time.Time, from ident.Daemon, a Reservation) Reply {
-	reply := Reply{ID: a.ID}
-	e := c.engine(a.Service, a.Target)
-	if e == nil || c.runs[runKey{from, a.ID}] != nil {
+func (c *Core) admit(now time.Time, from ident.Daemon, res Reservation) Reply {
+	reply := Reply{ID: res.ID}
+	e := c.engine(res.Service, res.Target)
+	if e == nil || c.runs[runKey{from, res.ID}] != nil {
 		return reply
 	}
-	if a.FirstContact {
-		reply.CallerRetry = c.recordDemand(now, e.service, &a)
+	if res.FirstContact {
+		reply.CallerRetry = c.recordDemand(now, e.service, &res)
 	}
-	kept := e.cachedTokens(now, &a)
+	cached := e.cachedTokens(now, &res)
 	if !e.suspended(now) {
-		reply.CachedTokens = kept // nothing is copied from a failing target
+		reply.CachedTokens = cached // nothing is copied from a failing target
 	}
-	r := &run{ingress: from, id: a.ID, expiresAt: now.Add(runTTL)}
-	r.shared, r.memory = memoryNeeds(&a)
-	if n := len(a.Parts); n > 0 {
-		r.ownPart = PromptPart{ID: a.Parts[n-1].ID, Tokens: r.memory}
+	r := &run{ingress: from, id: res.ID, expiresAt: now.Add(runTTL)}
+	r.shared, r.memory = memoryNeeds(&res)
+	if n := len(res.Parts); n > 0 {
+		r.ownPart = PromptPart{ID: res.Parts[n-1].ID, Tokens: r.memory}
 	}
-	r.prefillWork, r.fetchTime = e.service.prefillCost(a.Prompt, kept, a.CachedElsewhere)
-	if !a.Running {
-		reply.Limit = c.admissionLimit(now, e, a, r)
-		e.service.shares.account(a.Workspace).tally.record(a, reply.Limit)
+	r.prefillWork, r.fetchTime = e.service.prefillCost(res.Prompt, cached, res.CachedElsewhere)
+	if !res.Running {
+		reply.Limit = c.admissionLimit(now, e, res, r)
+		e.service.shares.account(res.Workspace).tally.record(res, reply.Limit)
 	}
 	if reply.Limit != LimitNone {
 		reply.Wait = e.backlog(now) + e.overhead
-		reply.ShareUsed = e.service.shareUsed(now, a.Workspace)
+		reply.ShareUsed = e.service.shareUsed(now, res.Workspace)
 		if reply.Limit == LimitPrompt {
 			reply.UnloadedWait = e.isolatedFirstByte(r)
 		}
 		return reply
 	}
-	reply.Hold = e.holdFor(now, &a, r)
-	c.addRun(now, e, a, r)
+	reply.Hold = e.holdFor(now, &res, r)
+	c.addRun(now, e, res, r)
 	reply.OK, reply.Wait = true, r.expected.Sub(now)
 	return reply
 }
 
 // recordDemand processes the first reservation of a request, and reports whether the caller has
 // retried it. Only the first try counts in the workspace's demand.
-func (c *Core) recordDemand(now time.Time, s *service, a *Reservation) (callerRetry bool) {
-	callerRetry = c.callerRetries.record(now, a.Parts, a.Prompt)
-	a.Late = a.Late || callerRetry
-	if !a.Late {
-		account := s.shares.account(a.Workspace)
-		account.own.asked.add(now, reservationCost(*a))
+func (c *Core) recordDemand(now time.Time, s *service, res *Reservation) (callerRetry bool) {
+	callerRetry = c.callerRetries.record(now, res.Parts, res.Prompt)
+	res.Late = res.Late || callerRetry
+	if !res.Late {
+		account := s.shares.account(res.Workspace)
+		account.own.asked.add(now, reservationCost(*res))
 		c.expediteReport(now, s, account)
 	}
 	return callerRetry
 }
 
 // addRun records a request on a target.
-func (c *Core) addRun(now time.Time, e *engine, a Reservation, r *run) {
-	r.prefillDone = a.PrefillDone
+func (c *Core) addRun(now time.Time, e *engine, res Reservation, r *run) {
+	r.prefillDone = res.PrefillDone
 	e.addRun(now, r)
-	c.runs[runKey{r.ingress, a.ID}] = r
-	if !a.Running && !a.PreviouslyPlaced {
-		r.workspace, r.grantedCost = a.Workspace, reservationCost(a)
+	c.runs[runKey{r.ingress, res.ID}] = r
+	if !res.Running && !res.PreviouslyPlaced {
+		r.workspace, r.grantedCost = res.Workspace, reservationCost(res)
 		s := &e.service.shares
-		s.recordGrant(now, s.account(a.Workspace), r.grantedCost)
+		s.recordGrant(now, s.account(res.Workspace), r.grantedCost)
 	}
 }
 
-func reservationCost(a Reservation) float64 {
-	r := Request{Prompt: a.Prompt, Output: a.Output}
+func reservationCost(res Reservation) float64 {
+	r := Request{Prompt: res.Prompt, Output: res.Output}
 	return r.Cost()
 }
 
 // admissionLimit decides about a request on a target: LimitNone admits it.
-func (c *Core) admissionLimit(now time.Time, e *engine, a Reservation, r *run) Limit {
+func (c *Core) admissionLimit(now time.Time, e *engine, res Reservation, r *run) Limit {
 	switch {
 	case !c.healthy(now, e):
 		return LimitFailing
@@ -145,25 +145,25 @@
 		return LimitMemory
 	case !e.hasSlot():
 		return LimitSlots
-	case !c.spareOnly(now, e, a):
-		return c.latencyLimit(now, e, a, r)
+	case !c.spareOnly(now, e, res):
+		return c.latencyLimit(now, e, res, r)
 	case e.occupancy() >= maxSpareUtilization || e.backlog(now) > maxSpareBacklog:
 		return LimitSpare
-	case !e.service.shares.mayUseSpare(now, a.Workspace, reservationCost(a), e.service.currentRates(now)):
+	case !e.service.shares.mayUseSpare(now, res.Workspace, reservationCost(res), e.service.currentRates(now)):
 		return LimitShare
 	}
 	return LimitNone
 }
 
 // latencyLimit checks a request against its latency objective.
-func (c *Core) latencyLimit(now time.Time, e *engine, a Reservation, r *run) Limit {
-	if e.service.servesModel && e.isolatedFirstByte(r) > a.Remaining {
+func (c *Core) latencyLimit(now time.Time, e *engine, res Reservation, r *run) Limit {
+	if e.service.servesModel && e.isolatedFirstByte(r) > res.Remaining {
 		return LimitPrompt
 	}
 	wait := e.expectedFirstByte(now, r).Sub(now)
-	maxWait := time.Duration(c.usableTimeFraction(now, e, a) * float64(a.Remaining))
+	maxWait := time.Duration(c.usableTimeFraction(now, e, res) * float64(res.Remaining))
 	if wait > maxWait && e.backlog(now) <= maxSpareBacklog {
-		maxWait = a.Remaining // its own prefill alone takes longer than that
+		maxWait = res.Remaining // its own prefill alone takes longer than that
 	}
 	if wait > maxWait {
 		return LimitTime
@@ -176,11 +176,11 @@
 // Otherwise, when the targets deliver less than their stated rate, so that all workspaces are
 // within their shares and the engines are full, those that ask for most would get most (trunk
 // reservation).
-func (c *Core) usableTimeFraction(now time.Time, e *engine, a Reservation) float64 {
-	if e.service.rate <= 0 || !e.service.servesModel || a.PreviouslyPlaced {
+func (c *Core) usableTimeFraction(now time.Time, e *engine, res Reservation) float64 {
+	if e.service.rate <= 0 || !e.service.servesModel || res.PreviouslyPlaced {
 		return 1
 	}
-	return 1 - reservedTimeFraction*min(1, e.service.shareUsed(now, a.Workspace))
+	return 1 - reservedTimeFraction*min(1, e.service.shareUsed(now, res.Workspace))
 }
 
 // reservedTimeFraction is the fraction of the time that a workspace at its share leaves to
@@ -223,11 +223,11 @@
 }
 
 // spareOnly reports whether a request gets spare capacity only.
-func (c *Core) spareOnly(now time.Time, e *engine, a Reservation) bool {
-	if !e.service.servesModel || a.PreviouslyPlaced {
+func (c *Core) spareOnly(now time.Time, e *engine, res Reservation) bool {
+	if !e.service.servesModel || res.PreviouslyPlaced {
 		return false
 	}
-	return a.Late || !e.service.shares.withinShare(now, a.Workspace, reservationCost(a), e.service.currentRates(now))
+	return res.Late || !e.service.shares.withinShare(now, res.Workspace, reservationCost(res), e.service.currentRates(now))
 }
 
 // hasSlot reports whether the target has a free slot. A plain target may have a few requests
@@ -241,9 +241,9 @@
 }
 
 // handleFirstByte records that the first byte of an answer has arrived.
-func (c *Core) handleFirstByte(now time.Time, from ident.Daemon, m FirstByteNotice) {
-	if r := c.runs[runKey{from, m.ID}]; r != nil {
-		r.target.recordFirstByte(now, r, m.Elapsed)
+func (c *Core) handleFirstByte(now time.Time, from ident.Daemon, notice FirstByteNotice) {
+	if r := c.runs[runKey{from, notice.ID}]; r != nil {
+		r.target.recordFirstByte(now, r, notice.Elapsed)
 		c.releaseHeld(now, r)
 	}
 }
@@ -271,7 +271,7 @@
 // connections is skipped at once and not only when its owner reports it.
 func (e *engine) recordOutcome(now time.Time, result Result) {
 	if e.owned || result.Elapsed == 0 {
-		return // handleRelease records it in the same state
+		return // recorded by handleRelease, or not dispatched
 	}
 	e.health.record(now, result.Failed)
 }
--- a/internal/booking/policies_test.go
+++ b/internal/booking/policies_test.go
@@ -41,7 +41,7 @@
 			const runs = 20
 			for b.Loop() {
 				var all, usual tally
-				reread := 0
+				recomputed := 0
 				for seed := range uint64(runs) {
 					s := newSim(seed, 6, 12, "a", "b", "c")
 					s.service.Rate = p.rate
@@ -57,11 +57,11 @@
 							usual.inTime += t.inTime
 						}
 					}
-					reread += s.recomputed
+					recomputed += s.recomputed
 				}
 				b.ReportMetric(100*all.inTimeShare(), "%in-time")
 				b.ReportMetric(100*usual.inTimeShare(), "%usual-in-time")
-				b.ReportMetric(float64(reread)/runs/1000, "ktokens-again")
+				b.ReportMetric(float64(recomputed)/runs/1000, "ktokens-again")
 			}
 		})
 	}
--- a/internal/booking/report.go
+++ b/internal/booking/report.go
@@ -56,8 +56,8 @@
 // TargetUtilization is the mean utilization of the targets that one daemon owns.
 type TargetUtilization struct {
 	Owned int `json:"owned"`
-	// SlotUtilization is the fraction of the slots in use, Utilization the load relative to the
-	// intended maximum.
+	// SlotUtilization is the fraction of the slots in use, Utilization the use of the most
+	// heavily used resource relative to its desired use.
 	SlotUtilization float64 `json:"taken"`
 	Utilization     float64 `json:"use"`
 }
@@ -141,12 +141,12 @@
 }
 
 // record counts an owner's decision about a reservation.
-func (t *tally) record(a Reservation, l Limit) {
+func (t *tally) record(res Reservation, l Limit) {
 	switch {
 	case l != LimitNone:
-		t.refused[l] += reservationCost(a)
-	case !a.PreviouslyPlaced:
-		t.granted += reservationCost(a)
+		t.refused[l] += reservationCost(res)
+	case !res.PreviouslyPlaced:
+		t.granted += reservationCost(res)
 	}
 }
 
--- a/internal/booking/run.go
+++ b/internal/booking/run.go
@@ -11,10 +11,10 @@
 	ingress ident.Daemon
 	id      uint64
 	target  *engine
-	// prefillWork is the work to read the prompt, in tokens at the speed of an empty context.
+	// prefillWork is the prefill cost of the prompt, in tokens at the pace of an empty context.
 	prefillWork float64
-	// fetchTime is the time to copy the cached prefix from another target, before the rest is
-	// read.
+	// fetchTime is the time to copy the cached prefix from another target, before the prefill
+	// of the rest.
 	fetchTime time.Duration
 	// memory is the number of tokens that the request occupies beyond its shared parts when it
 	// ends.
@@ -43,12 +43,12 @@
 
 // memoryNeeds returns the shared parts of a request, and the number of tokens that it occupies
 // beyond them.
-func memoryNeeds(a *Reservation) (shared []PromptPart, own int) {
-	own = a.Prompt + a.Output
-	if len(a.Parts) < 2 {
+func memoryNeeds(res *Reservation) (shared []PromptPart, own int) {
+	own = res.Prompt + res.Output
+	if len(res.Parts) < 2 {
 		return nil, own
 	}
-	shared = a.Parts[:len(a.Parts)-1]
+	shared = res.Parts[:len(res.Parts)-1]
 	for _, p := range shared {
 		own -= p.Tokens
 	}
--- a/internal/booking/sim_test.go
+++ b/internal/booking/sim_test.go
@@ -377,5 +377,5 @@
 		g := s.tallies[w.Name]
 		t.Logf("%s: asked %d, in time %d, late %d, refused %d, failed %d", w.Name, g.submitted, g.inTime, g.late, g.refused, g.failed)
 	}
-	t.Logf("shared tokens read again: %d", s.recomputed)
+	t.Logf("shared tokens recomputed: %d", s.recomputed)
 }
--- a/internal/booking/slowdown.go
+++ b/internal/booking/slowdown.go
@@ -31,10 +31,10 @@
 	// the last 300 streams or so.
 	streamDecay     = 1.0 / 300
 	streamRetention = 1 - streamDecay
-	// minPause and maxPause bound an observed mean pause between events. Values outside were
-	// not caused by the engine.
-	minPause = time.Millisecond
-	maxPause = time.Second
+	// minEventInterval and maxEventInterval bound an observed mean interval between events.
+	// Values outside were not caused by the engine.
+	minEventInterval = time.Millisecond
+	maxEventInterval = time.Second
 )
 
 // decodeSlowdown estimates the event rates with and without prefill by least squares.
@@ -46,14 +46,14 @@
 	idleRateSum, prefillRateSum float64
 }
 
-// observe adds the mean pause of a stream during which the engine spent the given fraction of
-// its time on prefill.
-func (s *decodeSlowdown) observe(prefillShare float64, pause time.Duration) {
-	if pause < minPause || pause > maxPause {
+// observe adds the mean event interval of a stream during which the engine spent the given
+// fraction of its time on prefill.
+func (s *decodeSlowdown) observe(prefillShare float64, interval time.Duration) {
+	if interval < minEventInterval || interval > maxEventInterval {
 		return
 	}
 	prefillShare = min(1, prefillShare)
-	rate := 1 / pause.Seconds()
+	rate := 1 / interval.Seconds()
 	s.idleSq = streamRetention*s.idleSq + (1-prefillShare)*(1-prefillShare)
 	s.cross = streamRetention*s.cross + (1-prefillShare)*prefillShare
 	s.prefillSq = streamRetention*s.prefillSq + prefillShare*prefillShare
@@ -84,11 +84,11 @@
 }
 
 // recordStream records the event rate of a stream that has ended.
-func (e *engine) recordStream(now time.Time, r *run, end Release) {
-	if end.EventInterval <= 0 || r.firstByteAt.IsZero() || !now.After(r.firstByteAt) {
+func (e *engine) recordStream(now time.Time, r *run, release Release) {
+	if release.EventInterval <= 0 || r.firstByteAt.IsZero() || !now.After(r.firstByteAt) {
 		return
 	}
 	duration := now.Sub(r.firstByteAt)
 	prefillShare := (e.totalPrefill - r.prefillBefore).Seconds() / duration.Seconds()
-	e.service.slowdown.observe(prefillShare, end.EventInterval)
+	e.service.slowdown.observe(prefillShare, release.EventInterval)
 }
--- a/internal/booking/slowdown_test.go
+++ b/internal/booking/slowdown_test.go
@@ -13,9 +13,9 @@
 // additional time of a prefill chunk.
 type engineModel struct{ step, chunk time.Duration }
 
-// pause is the mean time between tokens on an engine that spends the given fraction of its time
-// on prefill.
-func (m engineModel) pause(prefillShare float64) time.Duration {
+// eventInterval is the mean time between tokens on an engine that spends the given fraction of
+// its time on prefill.
+func (m engineModel) eventInterval(prefillShare float64) time.Duration {
 	rate := (1-prefillShare)/m.step.Seconds() + prefillShare/(m.step+m.chunk).Seconds()
 	return time.Duration(float64(time.Second) / rate)
 }
@@ -39,11 +39,11 @@
 			var s decodeSlowdown
 			for range 400 {
 				prefillShare := rng.Float64()
-				pause := float64(c.model.pause(prefillShare)) * math.Exp(0.3*rng.NormFloat64())
-				s.observe(prefillShare, time.Duration(pause))
+				interval := float64(c.model.eventInterval(prefillShare)) * math.Exp(0.3*rng.NormFloat64())
+				s.observe(prefillShare, time.Duration(interval))
 			}
 			limit := s.prefillShareLimit()
-			t.Logf("the engine may read prompts for %.2f of its time", limit)
+			t.Logf("the engine may spend %.2f of its time on prefill", limit)
 			is.True(limit > c.least && limit < c.most)
 		})
 	}
--- a/internal/booking/sums.go
+++ b/internal/booking/sums.go
@@ -18,22 +18,22 @@
 	updated time.Time
 }
 
-func (f *decayingSum) add(now time.Time, x float64) { f.addWithDecay(now, x, decayTime) }
+func (d *decayingSum) add(now time.Time, x float64) { d.addWithDecay(now, x, decayTime) }
 
-func (f *decayingSum) now(now time.Time) float64 { return f.decayed(now, decayTime) }
+func (d *decayingSum) now(now time.Time) float64 { return d.decayed(now, decayTime) }
 
 // addWithDecay adds to a sum that has a time constant other than decayTime.
-func (f *decayingSum) addWithDecay(now time.Time, x float64, timeConstant time.Duration) {
-	f.value = f.decayed(now, timeConstant) + x
-	f.updated = now
+func (d *decayingSum) addWithDecay(now time.Time, x float64, timeConstant time.Duration) {
+	d.value = d.decayed(now, timeConstant) + x
+	d.updated = now
 }
 
 // decayed returns the value of a sum that has a time constant other than decayTime.
-func (f *decayingSum) decayed(now time.Time, timeConstant time.Duration) float64 {
-	if f.value == 0 {
+func (d *decayingSum) decayed(now time.Time, timeConstant time.Duration) float64 {
+	if d.value == 0 {
 		return 0
 	}
-	return f.value * math.Exp(-max(0, now.Sub(f.updated)).Seconds()/timeConstant.Seconds())
+	return d.value * math.Exp(-max(0, now.Sub(d.updated)).Seconds()/timeConstant.Seconds())
 }
 
 // sums are the recent demand of a workspace, the part of it that daemons refused for lack of
@@ -57,8 +57,8 @@
 	return decayingSums{asked: decayingSum{s.asked, at}, shed: decayingSum{s.shed, at}, granted: decayingSum{s.granted, at}}
 }
 
-func (f *decayingSums) now(now time.Time) sums {
-	return sums{asked: f.asked.now(now), shed: f.shed.now(now), granted: f.granted.now(now)}
+func (d *decayingSums) now(now time.Time) sums {
+	return sums{asked: d.asked.now(now), shed: d.shed.now(now), granted: d.granted.now(now)}
 }
 
 // account is what is known about one workspace's use of a service.
--- a/internal/booking/tell.go
+++ b/internal/booking/tell.go
@@ -49,8 +49,8 @@
 	// minPublishedChange is the relative change of a decayed sum that makes it worth
 	// publishing.
 	minPublishedChange = 0.05
-	// maxForwardAge is how old a load may be for a hub to forward it: when it arrives it is
-	// still younger than stale.
+	// maxForwardAge is how old a load may be for a hub to forward it: when it arrives it must
+	// still be younger than maxLoadAge.
 	maxForwardAge = time.Second
 )
 
--- a/internal/booking/types.go
+++ b/internal/booking/types.go
@@ -110,7 +110,7 @@
 	// Running reports that the target already runs the request: the owner only records it.
 	Running bool
 	// PrefillDone reports that the first byte of a running request has arrived, so that its
-	// prompt has been read.
+	// prefill is complete.
 	PrefillDone bool
 	// PreviouslyPlaced reports that an earlier attempt was placed.
 	PreviouslyPlaced bool
@@ -188,7 +188,8 @@
 	// slots in use, FailureRate the fraction of recent requests that failed.
 	Wait                         time.Duration
 	SlotUtilization, FailureRate float64
-	// Utilization is the load of the target relative to its intended maximum, which is 1.
+	// Utilization is the use of the target's most heavily used resource relative to its desired
+	// use, which is 1.
 	Utilization float64
 }
 
@@ -256,8 +257,8 @@
 	// FetchSource is the target from which the prompt's prefix is copied; empty if there is
 	// none.
 	FetchSource ident.Target
-	// Held reports that the request was held back until the target had read the prefix that it
-	// shares with another request.
+	// Held reports that the request was held back until the target had completed the prefill of
+	// the prefix that it shares with another request.
 	Held bool
 }
 
