--- a/internal/daemon/routedservers.go
+++ b/internal/daemon/routedservers.go
@@ -29,7 +29,7 @@
 	readinessListener net.Listener
 }
 
-func newRoutedServers(s settings.Settings, g *gateway.Server, life *Lifecycle, loop *control.BookingLoop, load *loadMonitor, h *connForwarder, disconnects *disconnectWatcher,
+func newRoutedServers(s settings.Settings, g *gateway.Server, life *Lifecycle, loop *control.BookingLoop, load *loadMonitor, h *connForwarder, watcher *disconnectWatcher,
 	routes *route.Holder, metrics *telemetry.Metrics) (*routedServers, error) {
 	ops := &routedOperators{life: life, loop: loop, load: load, metrics: metrics}
 	r := &routedServers{connections: newConnTracker(maxCallerConnections(s.Memory))}
@@ -54,10 +54,7 @@
 		}
 	}
 	r.callers = &http.Server{
-		ConnState: func(c net.Conn, state http.ConnState) {
-			r.connections.track(c, state)
-			disconnects.pollIfDue(c, state)
-		},
+		ConnState:         func(c net.Conn, state http.ConnState) { r.connections.track(c, state); watcher.pollIfDue(c, state) },
 		ConnContext:       withConn,
 		Handler:           withConnectionHeaders(s.Callers.IdleTimeout, r.connections.nearLimit, closeWhenStopping(life, countRequests(g))),
 		ReadHeaderTimeout: s.Callers.HeaderTimeout,
